--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -28,7 +28,7 @@
 };
 use crate::{
     event_log::{Event, EventSink, WatchReason},
-    fleet::{DeclaredCheck, Fleet, FleetParts, Load},
+    fleet::{DeclaredCheck, Fleet, FleetConfig, Load},
     metrics::{ControlFigures, EntryMetrics},
     prelude::*,
     store::{FollowPace, Followed, Follower, Platform},
@@ -167,10 +167,10 @@
         }
         let mut demand: HashMap<(RegionId, u32), f64> = HashMap::new();
         for (region, load) in self.fleet.loads(now) {
-            for (tag, count) in &load.running {
+            for (tag, count) in &load.in_flight {
                 *view.elsewhere.entry(*tag).or_default() += u32::from(*count);
             }
-            view.runs.extend(&load.runs);
+            view.runs.extend(&load.recent_objects);
             for (tag, slowness) in &load.slow {
                 let sum = view.slow.entry(*tag).or_default();
                 *sum = sum.and(*slowness);
@@ -191,11 +191,11 @@
                 *sum = sum.saturating_add(*crashes);
             }
         }
-        for peer in self.fleet.live(now).filter(|peer| !peer.note.leaving) {
+        for peer in self.fleet.live(now).filter(|peer| !peer.info.leaving) {
             view.hosts.push(LiveHost {
-                callers: peer.note.callers,
-                host: peer.note.host.clone(),
-                is_strained: peer.note.strained,
+                callers: peer.info.callers,
+                host: peer.info.host.clone(),
+                is_strained: peer.info.strained,
                 region: peer.region.clone(),
                 zone: peer.zone.clone(),
             });
@@ -282,15 +282,15 @@
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-fn fleet_parts(settings: &EntrySettings) -> FleetParts {
-    FleetParts {
+fn fleet_parts(settings: &EntrySettings) -> FleetConfig {
+    FleetConfig {
         callers: settings.listen.callers,
         control: settings.listen.control,
         gossip: settings.listen.gossip,
         host: settings.host.clone(),
         region: settings.region.clone(),
         seeds: gossip_seeds(settings),
-        start: wall_ms(),
+        start_ms: wall_ms(),
         zone: settings.zone.clone(),
         zones: settings.zones.clone(),
     }
--- a/src/entry/control/handlers.rs
+++ b/src/entry/control/handlers.rs
@@ -42,11 +42,11 @@
             Ok(message) => message,
             Err(error) => return log::debug!("a datagram can't be read: {error}"),
         };
-        let heard = self.fleet.heard(message, self.now());
-        for (peer, zone) in heard.new {
+        let received = self.fleet.receive(message, self.now());
+        for (peer, zone) in received.new_hosts {
             self.record(Event::HostHeard { peer, zone });
         }
-        self.send(heard.send);
+        self.send(received.send);
         if self.followers.is_empty() {
             self.ask(&cx.mailbox().address());
         }
@@ -62,10 +62,10 @@
         for target in self.known_state.tick(now) {
             self.target_gone(target, Source::Listing);
         }
-        for peer in self.fleet.lost(now) {
+        for peer in self.fleet.detect_lost(now) {
             self.record(Event::HostLost {
-                peer: peer.note.host,
-                silent_ms: now.saturating_sub(peer.heard).as_millis() as u64,
+                peer: peer.info.host,
+                silent_ms: now.saturating_sub(peer.last_heard).as_millis() as u64,
                 zone: peer.zone,
             });
         }
@@ -153,7 +153,7 @@
         match hosts {
             Some(records) => {
                 let now = self.now();
-                self.fleet.listed(records.iter().map(|record| record.gossip), now);
+                self.fleet.replace_contacts(records.iter().map(|record| record.gossip), now);
                 self.tidy(&records);
             }
             None => self.list_hosts_at = self.now() + REGISTER_PAUSE,
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -78,7 +78,7 @@
         let mine = self.known_state.stamp();
         let region = &self.parts.settings.region;
         let watches = !self.followers.is_empty();
-        let informed = self.fleet.informed(now);
+        let informed = self.fleet.state_sources(now);
         let Some(addr) = self.questions.next(&mine, informed, region, watches, now) else { return };
         let (peer_client, own) = (self.peer_client.clone(), own.clone());
         let (events, metrics) = (self.parts.events.clone(), self.parts.metrics.clone());
@@ -101,7 +101,7 @@
         let now = self.now();
         let keys = self.parts.protocol.keys();
         let store = self.parts.store.clone();
-        if RECORDED_HOSTS <= self.fleet.place(now) {
+        if RECORDED_HOSTS <= self.fleet.rank_in_zone(now) {
             return;
         }
         if self.register_at.is_some_and(|at| at <= now) {
@@ -149,7 +149,7 @@
         if !records.iter().any(|record| record.gossip == own) {
             self.register_at.get_or_insert(now);
         }
-        let heard = self.fleet.live(now).map(|peer| peer.note.gossip).collect();
+        let heard = self.fleet.live(now).map(|peer| peer.info.gossip).collect();
         for record in self.records.stale(records, &heard, own, now) {
             let store = self.parts.store.clone();
             tokio::spawn(async move {
--- a/src/entry/questions.rs
+++ b/src/entry/questions.rs
@@ -10,7 +10,7 @@
     Part, Stamp,
     sync::{self, AskError},
 };
-use crate::{fleet::Informed, prelude::*};
+use crate::{fleet::StateSource, prelude::*};
 
 /// A watcher that knows less than another host for longer asks it: the store's own word takes less
 /// time where it comes at all. Hosts that do not watch ask at once.
@@ -98,12 +98,12 @@
     pub fn next<'a>(
         &mut self,
         mine: &Stamp,
-        others: impl Iterator<Item = (&'a RegionId, Informed)>,
+        others: impl Iterator<Item = (&'a RegionId, StateSource)>,
         region: &RegionId,
         watches: bool,
         now: Moment,
     ) -> Option<SocketAddr> {
-        let is_ahead = |informed: &Informed| {
+        let is_ahead = |informed: &StateSource| {
             Part::ALL.iter().any(|part| informed.stamp.is_ahead_of(mine, *part))
         };
         let ahead: Vec<_> = others.filter(|(_, informed)| is_ahead(informed)).collect();
@@ -121,7 +121,8 @@
         }
         let untried = ahead.iter().filter(|(_, it)| !self.failed.contains(&it.control));
         // The nearest ones answer soonest.
-        let nearest = |(of, it): &&(&RegionId, Informed)| (*of == region, self.weight(it.control));
+        let nearest =
+            |(of, it): &&(&RegionId, StateSource)| (*of == region, self.weight(it.control));
         let Some((_, informed)) = untried.max_by_key(nearest) else {
             self.failed.clear();
             self.not_before = now + ROUND_PAUSE;
--- a/src/entry/tests/hosts.rs
+++ b/src/entry/tests/hosts.rs
@@ -12,7 +12,7 @@
         sync::{AnswerCache, Difference, RawObjects, ReceivedState, since},
         watchers::WatcherElection,
     },
-    fleet::{HostNote, Informed, Load, Peer},
+    fleet::{HostInfo, Load, Peer, StateSource},
     prelude::*,
 };
 
@@ -55,23 +55,23 @@
 }
 
 fn peer(host: &str, region: &str, reaches_store: bool) -> Peer {
-    let note = HostNote {
+    let info = HostInfo {
         callers: addr(1),
         control: addr(2),
         gossip: addr(3),
         host: host.into(),
         leaving: false,
         reaches_store,
-        start: 1,
+        start_ms: 1,
         strained: false,
-        turn: 1,
+        sequence: 1,
     };
     Peer {
         declared_check: None,
-        heard: secs(1.0),
+        last_heard: secs(1.0),
         is_lost: false,
         load: Load::default(),
-        note,
+        info,
         region: region.into(),
         stamp: None,
         zone: "north-a".into(),
@@ -250,7 +250,7 @@
     let region = RegionId::from("north");
     let ahead = |port, region: &str| {
         let stamp = Stamp { declared: 2, ..Stamp::default() };
-        (RegionId::from(region), Informed { control: addr(port), stamp })
+        (RegionId::from(region), StateSource { control: addr(port), stamp })
     };
     let others = [ahead(1, "south"), ahead(2, "north")];
     let mut questions = Questions::new(addr(3));
@@ -276,7 +276,7 @@
 fn a_busy_host_is_asked_again_before_the_store() {
     let region = RegionId::from("north");
     let stamp = Stamp { declared: 2, ..Stamp::default() };
-    let informed = [(&region, Informed { control: addr(1), stamp })];
+    let informed = [(&region, StateSource { control: addr(1), stamp })];
     let mut questions = Questions::new(addr(3));
     for at in [1.0, 1.6, 2.2] {
         let next = |it: &mut Questions, now| {
@@ -296,7 +296,7 @@
 fn hosts_that_lack_the_same_ask_different_ones() {
     let region = RegionId::from("north");
     let stamp = Stamp { declared: 2, ..Stamp::default() };
-    let informed = (1..=4).map(|port| (&region, Informed { control: addr(port), stamp }));
+    let informed = (1..=4).map(|port| (&region, StateSource { control: addr(port), stamp }));
     let mut asked: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for asker in 100..200 {
         let mut questions = Questions::new(addr(asker));
--- a/src/entry/tests/propagation.rs
+++ b/src/entry/tests/propagation.rs
@@ -12,7 +12,7 @@
         questions::{QuestionEnd, Questions},
         sync::{ANSWERS_MOST, AnswerCache, QUERY_TIMEOUT, RawObjects, ReceivedState},
     },
-    fleet::Informed,
+    fleet::StateSource,
     prelude::*,
 };
 
@@ -155,12 +155,12 @@
 
     /// The stamps that a host receives: of each host of its zone, and of the other zone's most
     /// up-to-date host for each part.
-    fn informed(&self, of: usize) -> Vec<Informed> {
+    fn informed(&self, of: usize) -> Vec<StateSource> {
         let informed_host =
-            |at: usize| Informed { control: addr(at), stamp: self.hosts[at].announced };
+            |at: usize| StateSource { control: addr(at), stamp: self.hosts[at].announced };
         let (near, far): (Vec<usize>, Vec<usize>) =
             (0..self.hosts.len()).filter(|at| *at != of).partition(|at| at % 2 == of % 2);
-        let mut informed: Vec<Informed> = near.into_iter().map(informed_host).collect();
+        let mut informed: Vec<StateSource> = near.into_iter().map(informed_host).collect();
         for part in [Part::Declared, Part::Targets] {
             let most = far.iter().max_by_key(|at| self.hosts[**at].announced.revisions.of(part));
             informed.extend(most.map(|at| informed_host(*at)));
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -409,7 +409,7 @@
     pub fn load(&self) -> Load {
         let conditions = self.conditions.borrow();
         let busy = conditions.iter().filter(|(_, condition)| 0 < condition.in_flight);
-        let running = busy
+        let in_flight = busy
             .map(|(tag, condition)| (*tag, condition.in_flight.min(u32::from(u16::MAX)) as u16))
             .collect();
         let services = self.services.borrow();
@@ -424,7 +424,7 @@
             conditions.iter().filter_map(|(tag, it)| Some((*tag, it.slowness(told(tag), now)?)));
         let slow = slow.collect();
         let teams = self.quota.borrow().report(now);
-        Load { crashes, demand, running, runs: self.told_runs(), sent, slow, teams }
+        Load { crashes, demand, in_flight, recent_objects: self.told_runs(), sent, slow, teams }
     }
 }
 
--- a/src/entry/watchers.rs
+++ b/src/entry/watchers.rs
@@ -48,7 +48,7 @@
         let weight = |host: &HostId| (xxh3_64(host.as_bytes()), host.clone());
         let own = weight(host);
         let before = peers.filter(|peer| {
-            peer.region == *region && peer.note.reaches_store && own < weight(&peer.note.host)
+            peer.region == *region && peer.info.reaches_store && own < weight(&peer.info.host)
         });
         let better = before.take(WATCHERS).count();
         let needed = better < WATCHERS;
--- a/src/fleet/contacts.rs
+++ b/src/fleet/contacts.rs
@@ -5,45 +5,47 @@
 use crate::prelude::*;
 
 /// Most addresses that are kept.
-const MOST: usize = 4_096;
+const CONTACTS_MAX: usize = 4_096;
 
 /// Addresses whose zone is not known that are probed at once.
-const UNPLACED_AT_ONCE: usize = 16;
+const UNKNOWN_ZONE_PROBES: usize = 16;
 
 /// Time after which an address is forgotten that nobody tells any more. Hosts are replaced several
 /// times a day, and those that are gone would be probed for ever.
-const FORGET: Duration = Duration::from_secs(120);
+const CONTACT_TTL: Duration = Duration::from_secs(120);
 
 /// Addresses that were told, with their zones as far as these are known.
 #[derive(Clone, Debug, Default)]
 pub struct Contacts {
-    told: BTreeMap<SocketAddr, Contact>,
+    by_addr: BTreeMap<SocketAddr, Contact>,
 }
 
 #[derive(Clone, Debug)]
 struct Contact {
-    at: Moment,
+    last_reported: Moment,
     zone: Option<ZoneId>,
 }
 
 impl Contacts {
     /// A host of a zone was told.
     pub fn add(&mut self, addr: SocketAddr, zone: ZoneId, now: Moment) {
-        if self.told.len() < MOST || self.told.contains_key(&addr) {
-            self.told.insert(addr, Contact { at: now, zone: Some(zone) });
+        if self.by_addr.len() < CONTACTS_MAX || self.by_addr.contains_key(&addr) {
+            self.by_addr.insert(addr, Contact { last_reported: now, zone: Some(zone) });
         }
     }
 
     /// All hosts that the store's records name, in place of what was told before.
-    pub fn listed(&mut self, addrs: impl Iterator<Item = SocketAddr>, now: Moment) {
-        let zone = |addr| self.told.get(&addr).and_then(|contact| contact.zone.clone());
-        let listed = addrs.take(MOST).map(|addr| (addr, Contact { at: now, zone: zone(addr) }));
-        self.told = listed.collect();
+    pub fn replace(&mut self, addrs: impl Iterator<Item = SocketAddr>, now: Moment) {
+        let zone = |addr| self.by_addr.get(&addr).and_then(|contact| contact.zone.clone());
+        let contacts = addrs
+            .take(CONTACTS_MAX)
+            .map(|addr| (addr, Contact { last_reported: now, zone: zone(addr) }));
+        self.by_addr = contacts.collect();
     }
 
     /// Forgets what was told long ago.
-    pub fn tick(&mut self, now: Moment) {
-        self.told.retain(|_, contact| now.saturating_sub(contact.at) < FORGET);
+    pub fn remove_expired(&mut self, now: Moment) {
+        self.by_addr.retain(|_, contact| now.saturating_sub(contact.last_reported) < CONTACT_TTL);
     }
 
     /// Whom to probe of those that are not `live`: all of the own zone, one of each zone that has
@@ -53,23 +55,28 @@
         own_zone: &ZoneId,
         live: &BTreeSet<SocketAddr>,
         live_zones: &BTreeSet<&ZoneId>,
-        turn: usize,
+        round: usize,
     ) -> BTreeSet<SocketAddr> {
-        let mut found = BTreeSet::new();
+        let mut to_probe = BTreeSet::new();
         let mut by_zone: BTreeMap<&ZoneId, Vec<SocketAddr>> = BTreeMap::new();
-        let mut unplaced = Vec::new();
-        for (addr, contact) in self.told.iter().filter(|(addr, _)| !live.contains(addr)) {
+        let mut unknown_zone = Vec::new();
+        for (addr, contact) in self.by_addr.iter().filter(|(addr, _)| !live.contains(addr)) {
             match &contact.zone {
-                Some(zone) if zone == own_zone => _ = found.insert(*addr),
+                Some(zone) if zone == own_zone => _ = to_probe.insert(*addr),
                 Some(zone) if live_zones.contains(zone) => {}
                 Some(zone) => by_zone.entry(zone).or_default().push(*addr),
-                None => unplaced.push(*addr),
+                None => unknown_zone.push(*addr),
             }
         }
-        found.extend(by_zone.values().map(|addrs| addrs[turn % addrs.len()]));
-        let first = turn.wrapping_mul(UNPLACED_AT_ONCE) % unplaced.len().max(1);
-        found
-            .extend(unplaced.iter().cycle().skip(first).take(UNPLACED_AT_ONCE.min(unplaced.len())));
-        found
+        to_probe.extend(by_zone.values().map(|addrs| addrs[round % addrs.len()]));
+        let first = round.wrapping_mul(UNKNOWN_ZONE_PROBES) % unknown_zone.len().max(1);
+        to_probe.extend(
+            unknown_zone
+                .iter()
+                .cycle()
+                .skip(first)
+                .take(UNKNOWN_ZONE_PROBES.min(unknown_zone.len())),
+        );
+        to_probe
     }
 }
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -12,7 +12,7 @@
 };
 
 /// Most runs that are told of a zone together: with its other figures they stay in a few packets.
-const RUNS_MOST: usize = 256;
+const RECENT_OBJECTS_MAX: usize = 256;
 
 /// What one host, or all hosts of a zone together, tell of their requests.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -22,9 +22,9 @@
     /// Busy slots that callers ask for, by hash of the service.
     pub demand: Vec<(NameTag, f32)>,
     /// Requests in attempt by target.
-    pub running: Vec<(TargetTag, u16)>,
+    pub in_flight: Vec<(TargetTag, u16)>,
     /// Objects that targets were lately asked for.
-    pub runs: Vec<(TargetTag, ObjectTag)>,
+    pub recent_objects: Vec<(TargetTag, ObjectTag)>,
     /// Requests that were sent, by service and region, in the last window of shifts and the one
     /// before.
     pub sent: Vec<(Way, Counts)>,
@@ -37,12 +37,13 @@
 impl Load {
     /// That of several hosts together.
     pub fn sum<'a>(loads: impl Iterator<Item = &'a Load> + Clone) -> Self {
-        let runs: BTreeSet<_> = loads.clone().flat_map(|load| &load.runs).copied().collect();
+        let recent_objects: BTreeSet<_> =
+            loads.clone().flat_map(|load| &load.recent_objects).copied().collect();
         Self {
             crashes: summed(loads.clone().flat_map(|load| &load.crashes), u8::saturating_add),
             demand: summed(loads.clone().flat_map(|load| &load.demand), |a, b| a + b),
-            running: summed(loads.clone().flat_map(|load| &load.running), u16::saturating_add),
-            runs: runs.into_iter().take(RUNS_MOST).collect(),
+            in_flight: summed(loads.clone().flat_map(|load| &load.in_flight), u16::saturating_add),
+            recent_objects: recent_objects.into_iter().take(RECENT_OBJECTS_MAX).collect(),
             sent: summed(loads.clone().flat_map(|load| &load.sent), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    Contacts, DeclaredCheckAge, Heartbeat, HostNote, Informed, Load, Message, Peer, Peers, Reports,
-    Rotation, ZoneReport,
+    Contacts, DeclaredCheckAge, Heartbeat, HostInfo, Load, Message, Peer, Peers, Reports, Rotation,
+    StateSource, ZoneReport,
 };
 use crate::{
     entry::{DeclaredVersion, Part, Stamp},
@@ -13,27 +13,27 @@
 
 /// Slots of reports between two to zones of other regions, which need to know little more than who
 /// lives and what their callers ask for.
-const FAR_SLOTS: u64 = 5;
+const CROSS_REGION_SLOTS: u64 = 5;
 
 /// Receivers of a report in a zone of another region: such reports are few, and one that is lost
 /// leaves the whole zone without word.
-const FAR_RECEIVERS: usize = 2;
+const CROSS_REGION_RECEIVERS: usize = 2;
 
 /// Receivers of a report that can't wait.
 const ANNOUNCE_RECEIVERS: usize = 2;
 
 /// Contacts in one heartbeat: enough to find all within a second or two.
-const TOLD_CONTACTS: usize = 3;
+const HEARTBEAT_CONTACTS: usize = 3;
 
 /// Contacts of each zone but the prober's own in the answer to a probe.
-const ANSWERED_CONTACTS: usize = 2;
+const PROBE_REPLY_CONTACTS: usize = 2;
 
 /// Ticks between two probes of those that are not heard.
 const PROBE_TICKS: u64 = 10;
 
 /// Ticks in which a new host probes more often, and the number between two probes then.
-const NEW_TICKS: u64 = 20;
-const NEW_PROBE_TICKS: u64 = 2;
+const STARTUP_TICKS: u64 = 20;
+const STARTUP_PROBE_TICKS: u64 = 2;
 
 /// Least difference of start times for a host to count as started earlier. Covers clock skew between
 /// hosts that are started together.
@@ -41,7 +41,7 @@
 
 /// What a host is built from.
 #[derive(Clone, Debug)]
-pub struct FleetParts {
+pub struct FleetConfig {
     pub callers: SocketAddr,
     pub control: SocketAddr,
     pub gossip: SocketAddr,
@@ -50,7 +50,7 @@
     /// Gossip addresses to start from; may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// Wall clock at the start, in milliseconds.
-    pub start: u64,
+    pub start_ms: u64,
     pub zone: ZoneId,
     /// Region of each availability zone.
     pub zones: BTreeMap<ZoneId, RegionId>,
@@ -98,9 +98,9 @@
 
 /// What a message from outside led to.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct Received {
     /// Hosts that did not count as living before.
-    pub new: Vec<(HostId, ZoneId)>,
+    pub new_hosts: Vec<(HostId, ZoneId)>,
     pub send: Vec<Outgoing>,
 }
 
@@ -108,47 +108,47 @@
 #[derive(Debug)]
 pub struct Fleet {
     contacts: Contacts,
-    far: Rotation,
-    near: Rotation,
+    cross_region: Rotation,
+    same_region: Rotation,
     own: OwnState,
-    parts: FleetParts,
+    config: FleetConfig,
     peers: Peers,
     reports: Reports,
     ticks: u64,
     /// Rises with each message that tells of this host.
-    turn: u64,
+    sequence: u64,
 }
 
 impl Fleet {
     /// A host that has heard nobody.
-    pub fn new(parts: FleetParts) -> Self {
+    pub fn new(config: FleetConfig) -> Self {
         Self {
             contacts: Contacts::default(),
-            far: Rotation::default(),
-            near: Rotation::default(),
+            cross_region: Rotation::default(),
+            same_region: Rotation::default(),
             own: OwnState { reaches_store: true, ..OwnState::default() },
-            parts,
+            config,
             peers: Peers::default(),
             reports: Reports::default(),
             ticks: 0,
-            turn: 0,
+            sequence: 0,
         }
     }
 
     /// Settings were read again.
     pub fn reload(&mut self, seeds: Vec<SocketAddr>, zones: BTreeMap<ZoneId, RegionId>) {
-        self.parts.seeds = seeds;
-        self.parts.zones = zones;
+        self.config.seeds = seeds;
+        self.config.zones = zones;
     }
 
     /// Whether the host is too new to know who lives.
     pub fn is_new(&self) -> bool {
-        self.ticks <= NEW_TICKS
+        self.ticks <= STARTUP_TICKS
     }
 
     /// The host's place among the living ones of its zone, in the order of their names.
-    pub fn place(&self, now: Moment) -> usize {
-        self.zone_peers(now).filter(|peer| peer.note.host < self.parts.host).count()
+    pub fn rank_in_zone(&self, now: Moment) -> usize {
+        self.zone_peers(now).filter(|peer| peer.info.host < self.config.host).count()
     }
 
     /// Hosts that live, in the order of their names.
@@ -158,8 +158,9 @@
 
     /// Whether most of the other live hosts were running when this one started.
     pub fn peers_started_earlier(&self, now: Moment) -> bool {
-        let started_earlier =
-            |peer: &&Peer| peer.note.start + START_MARGIN.as_millis() as u64 <= self.parts.start;
+        let started_earlier = |peer: &&Peer| {
+            peer.info.start_ms + START_MARGIN.as_millis() as u64 <= self.config.start_ms
+        };
         let live = self.peers.live(now);
         live.clone().count() < live.filter(started_earlier).count() * 2
     }
@@ -167,19 +168,19 @@
     /// Number of hosts that are live, or silent without having left and possibly partitioned, including
     /// this one.
     pub fn known_hosts(&self, now: Moment) -> usize {
-        let silent = self.peers.silent(now).filter(|peer| !peer.note.leaving);
+        let silent = self.peers.silent(now).filter(|peer| !peer.info.leaving);
         self.peers.live(now).count() + silent.count() + 1
     }
 
     /// Hosts that fell silent since the last call.
-    pub fn lost(&mut self, now: Moment) -> Vec<Peer> {
-        self.contacts.tick(now);
-        self.peers.tick(now)
+    pub fn detect_lost(&mut self, now: Moment) -> Vec<Peer> {
+        self.contacts.remove_expired(now);
+        self.peers.detect_lost(now)
     }
 
     /// The store's records of hosts were read.
-    pub fn listed(&mut self, gossip: impl Iterator<Item = SocketAddr>, now: Moment) {
-        self.contacts.listed(gossip, now);
+    pub fn replace_contacts(&mut self, gossip: impl Iterator<Item = SocketAddr>, now: Moment) {
+        self.contacts.replace(gossip, now);
     }
 
     /// What other hosts have in attempt and are asked for, with their regions: hosts of the own zone
@@ -202,13 +203,13 @@
     }
 
     /// Hosts that are known to know something of the store, with their regions.
-    pub fn informed(&self, now: Moment) -> impl Iterator<Item = (&RegionId, Informed)> {
+    pub fn state_sources(&self, now: Moment) -> impl Iterator<Item = (&RegionId, StateSource)> {
         let heard = self.peers.live(now).filter_map(|peer| {
             let stamp = peer.stamp?;
-            Some((&peer.region, Informed { control: peer.note.control, stamp }))
+            Some((&peer.region, StateSource { control: peer.info.control, stamp }))
         });
-        let told = self.reports.informed(now);
-        heard.chain(told.map(|(zone, informed)| (self.region_of(zone), informed.clone())))
+        let told = self.reports.state_sources(now);
+        heard.chain(told.map(|(zone, source)| (self.region_of(zone), source.clone())))
     }
 
     /// What is due now: heartbeats to the own zone, its report if this host has a turn, probes.
@@ -217,17 +218,17 @@
         self.own = own;
         self.ticks += 1;
         let mut send = vec![self.heartbeat_to_zone(now)];
-        let place = self.place(now);
+        let rank = self.rank_in_zone(now);
         let hosts = self.zone_peers(now).count() + 1;
-        let far_slot = slot / FAR_SLOTS;
-        let is_near = self.near.is_due(slot, place, hosts);
-        let is_far = self.far.is_due(far_slot, place, hosts);
+        let cross_region_slot = slot / CROSS_REGION_SLOTS;
+        let is_same_region_due = self.same_region.is_due(slot, rank, hosts);
+        let is_cross_region_due = self.cross_region.is_due(cross_region_slot, rank, hosts);
         let mut to = Vec::new();
-        if is_near {
+        if is_same_region_due {
             to.extend(self.receivers(true, slot, 1, now));
         }
-        if is_far {
-            to.extend(self.receivers(false, far_slot, FAR_RECEIVERS, now));
+        if is_cross_region_due {
+            to.extend(self.receivers(false, cross_region_slot, CROSS_REGION_RECEIVERS, now));
         }
         send.extend(self.report_to(to, now));
         send.extend(self.probes(now));
@@ -250,142 +251,142 @@
     }
 
     /// Takes a message in.
-    pub fn heard(&mut self, message: Message, now: Moment) -> Heard {
+    pub fn receive(&mut self, message: Message, now: Moment) -> Received {
         match message {
-            Message::Heartbeat(heartbeat) => self.heard_heartbeat(heartbeat, now),
-            Message::Zone(report) => self.heard_report(report, now),
+            Message::Heartbeat(heartbeat) => self.receive_heartbeat(heartbeat, now),
+            Message::Zone(report) => self.receive_report(report, now),
         }
     }
 
-    fn heard_heartbeat(&mut self, heartbeat: Heartbeat, now: Moment) -> Heard {
-        let mut heard = Heard::default();
-        if heartbeat.note.host == self.parts.host {
-            return heard;
+    fn receive_heartbeat(&mut self, heartbeat: Heartbeat, now: Moment) -> Received {
+        let mut received = Received::default();
+        if heartbeat.info.host == self.config.host {
+            return received;
         }
-        self.take_contacts(&heartbeat.contacts, now);
-        let from = heartbeat.note.gossip;
-        let (host, zone) = (heartbeat.note.host.clone(), heartbeat.zone.clone());
+        self.add_contacts(&heartbeat.contacts, now);
+        let from = heartbeat.info.gossip;
+        let (host, zone) = (heartbeat.info.host.clone(), heartbeat.zone.clone());
         let region = self.region_of(&zone).clone();
-        let is_new = self.peers.heard(heartbeat, region, now);
-        if is_new || zone != self.parts.zone {
+        let is_new = self.peers.record_heartbeat(heartbeat, region, now);
+        if is_new || zone != self.config.zone {
             let report = ZoneReport { contacts: self.contacts_for(&zone, now), ..self.report(now) };
-            heard.send.push(Outgoing { message: Message::Zone(report), to: vec![from] });
+            received.send.push(Outgoing { message: Message::Zone(report), to: vec![from] });
         }
         if is_new {
-            heard.new.push((host, zone));
+            received.new_hosts.push((host, zone));
         }
-        heard
+        received
     }
 
-    fn heard_report(&mut self, mut report: ZoneReport, now: Moment) -> Heard {
-        let mut heard = Heard::default();
-        self.take_contacts(&report.contacts, now);
+    fn receive_report(&mut self, mut report: ZoneReport, now: Moment) -> Received {
+        let mut received = Received::default();
+        self.add_contacts(&report.contacts, now);
         report.contacts.clear();
-        if report.zone == self.parts.zone {
+        if report.zone == self.config.zone {
             // The answer of a host of the own zone: each of them is heard directly soon.
-            for (note, _) in report.hosts {
-                self.contacts.add(note.gossip, report.zone.clone(), now);
+            for (info, _) in report.hosts {
+                self.contacts.add(info.gossip, report.zone.clone(), now);
             }
-            return heard;
+            return received;
         }
-        if !self.reports.take(&report, now) {
-            return heard;
+        if !self.reports.record(&report, now) {
+            return received;
         }
         let region = self.region_of(&report.zone).clone();
-        for (note, silent_ms) in &report.hosts {
+        for (info, silent_ms) in &report.hosts {
             let at = now.saturating_sub(Duration::from_millis(u64::from(*silent_ms)));
-            if self.peers.learn_of(note.clone(), &report.zone, &region, at, now) {
-                heard.new.push((note.host.clone(), report.zone.clone()));
+            if self.peers.record_indirect(info.clone(), &report.zone, &region, at, now) {
+                received.new_hosts.push((info.host.clone(), report.zone.clone()));
             }
         }
-        if !report.is_passed_on {
-            report.is_passed_on = true;
-            let to: Vec<SocketAddr> = self.zone_peers(now).map(|peer| peer.note.gossip).collect();
-            heard.send.push(Outgoing { message: Message::Zone(report), to });
+        if !report.is_forwarded {
+            report.is_forwarded = true;
+            let to: Vec<SocketAddr> = self.zone_peers(now).map(|peer| peer.info.gossip).collect();
+            received.send.push(Outgoing { message: Message::Zone(report), to });
         }
-        heard
+        received
     }
 
-    fn take_contacts(&mut self, contacts: &[(SocketAddr, ZoneId)], now: Moment) {
+    fn add_contacts(&mut self, contacts: &[(SocketAddr, ZoneId)], now: Moment) {
         for (addr, zone) in contacts {
-            if *addr != self.parts.gossip {
+            if *addr != self.config.gossip {
                 self.contacts.add(*addr, zone.clone(), now);
             }
         }
     }
 
     fn region_of<'a>(&'a self, zone: &'a ZoneId) -> &'a RegionId {
-        self.parts.zones.get(zone).unwrap_or(zone)
+        self.config.zones.get(zone).unwrap_or(zone)
     }
 
     /// Other living hosts of the own zone.
     fn zone_peers(&self, now: Moment) -> impl Iterator<Item = &Peer> + Clone {
-        self.peers.live(now).filter(|peer| peer.zone == self.parts.zone)
+        self.peers.live(now).filter(|peer| peer.zone == self.config.zone)
     }
 
-    fn note(&self) -> HostNote {
-        HostNote {
-            callers: self.parts.callers,
-            control: self.parts.control,
-            gossip: self.parts.gossip,
-            host: self.parts.host.clone(),
+    fn info(&self) -> HostInfo {
+        HostInfo {
+            callers: self.config.callers,
+            control: self.config.control,
+            gossip: self.config.gossip,
+            host: self.config.host.clone(),
             leaving: self.own.leaving,
             reaches_store: self.own.reaches_store,
-            start: self.parts.start,
+            start_ms: self.config.start_ms,
             strained: self.own.strained,
-            turn: self.turn,
+            sequence: self.sequence,
         }
     }
 
     fn heartbeat(&mut self, now: Moment) -> Message {
-        self.turn += 1;
+        self.sequence += 1;
         let live = self.peers.live(now);
-        let first = self.turn as usize * TOLD_CONTACTS % live.clone().count().max(1);
-        let told = live.clone().chain(live).skip(first).take(TOLD_CONTACTS);
+        let first = self.sequence as usize * HEARTBEAT_CONTACTS % live.clone().count().max(1);
+        let told = live.clone().chain(live).skip(first).take(HEARTBEAT_CONTACTS);
         Message::Heartbeat(Heartbeat {
-            contacts: told.map(|peer| (peer.note.gossip, peer.zone.clone())).collect(),
+            contacts: told.map(|peer| (peer.info.gossip, peer.zone.clone())).collect(),
             declared_check: self.own_declared_check().map(|check| check.to_age(now)),
             load: self.own.load.clone(),
-            note: self.note(),
+            info: self.info(),
             stamp: self.own.stamp,
-            zone: self.parts.zone.clone(),
+            zone: self.config.zone.clone(),
         })
     }
 
     fn heartbeat_to_zone(&mut self, now: Moment) -> Outgoing {
-        let to = self.zone_peers(now).map(|peer| peer.note.gossip).collect();
+        let to = self.zone_peers(now).map(|peer| peer.info.gossip).collect();
         Outgoing { message: self.heartbeat(now), to }
     }
 
     /// The own zone's report, as this host sees it.
     fn report(&self, now: Moment) -> ZoneReport {
         let others = self.zone_peers(now);
-        let silent_ms = |peer: &Peer| now.saturating_sub(peer.heard).as_millis() as u16;
-        let hosts = others.clone().map(|peer| (peer.note.clone(), silent_ms(peer)));
+        let silent_ms = |peer: &Peer| now.saturating_sub(peer.last_heard).as_millis() as u16;
+        let hosts = others.clone().map(|peer| (peer.info.clone(), silent_ms(peer)));
         let checks =
             others.clone().filter_map(|peer| peer.declared_check).chain(self.own_declared_check());
         let latest = checks.max_by_key(|check| (check.version, check.at));
         let loads = others.map(|peer| &peer.load).chain([&self.own.load]);
         ZoneReport {
-            by: self.parts.host.clone(),
+            sender: self.config.host.clone(),
             contacts: Vec::new(),
             declared_check: latest.map(|check| check.to_age(now)),
-            hosts: hosts.chain([(self.note(), 0)]).collect(),
-            informed: self.best_informed(now),
+            hosts: hosts.chain([(self.info(), 0)]).collect(),
+            state_sources: self.best_state_sources(now),
             load: Load::sum(loads),
-            is_passed_on: false,
-            order: self.note().order(),
-            zone: self.parts.zone.clone(),
+            is_forwarded: false,
+            order: self.info().order(),
+            zone: self.config.zone.clone(),
         }
     }
 
     /// For each part of the store's state, the host of the zone that knows most of it.
-    fn best_informed(&self, now: Moment) -> Vec<Informed> {
-        let own = Informed { control: self.parts.control, stamp: self.own.stamp };
-        let mut best: Vec<Informed> = Vec::new();
+    fn best_state_sources(&self, now: Moment) -> Vec<StateSource> {
+        let own = StateSource { control: self.config.control, stamp: self.own.stamp };
+        let mut best: Vec<StateSource> = Vec::new();
         for part in Part::ALL {
             let others = self.zone_peers(now).filter_map(|peer| {
-                Some(Informed { control: peer.note.control, stamp: peer.stamp? })
+                Some(StateSource { control: peer.info.control, stamp: peer.stamp? })
             });
             let most = others.fold(own.clone(), |most, other| {
                 if other.stamp.is_ahead_of(&most.stamp, part) { other } else { most }
@@ -404,24 +405,30 @@
             return None;
         }
         // Each report of a host is a later word than its last one.
-        self.turn += 1;
+        self.sequence += 1;
         Some(Outgoing { message: Message::Zone(self.report(now)), to })
     }
 
     /// Receivers of the own zone's report in each other zone of the region, or of the other regions.
     /// A zone of which no host lives is tried where hosts last lived: it may only have been cut off.
-    fn receivers(&self, near: bool, slot: u64, count: usize, now: Moment) -> Vec<SocketAddr> {
+    fn receivers(
+        &self,
+        same_region: bool,
+        slot: u64,
+        count: usize,
+        now: Moment,
+    ) -> Vec<SocketAddr> {
         let mut zones: BTreeMap<&ZoneId, Vec<SocketAddr>> = BTreeMap::new();
         let wanted = |peer: &&Peer| {
-            peer.zone != self.parts.zone && (peer.region == self.parts.region) == near
+            peer.zone != self.config.zone && (peer.region == self.config.region) == same_region
         };
         for peer in self.peers.live(now).filter(wanted) {
-            zones.entry(&peer.zone).or_default().push(peer.note.gossip);
+            zones.entry(&peer.zone).or_default().push(peer.info.gossip);
         }
         let live: BTreeSet<&ZoneId> = zones.keys().copied().collect();
         for peer in self.peers.silent(now).filter(wanted) {
             if !live.contains(&peer.zone) {
-                zones.entry(&peer.zone).or_default().push(peer.note.gossip);
+                zones.entry(&peer.zone).or_default().push(peer.info.gossip);
             }
         }
         let receivers = zones.values().map(|hosts| Rotation::receivers(slot, hosts, count));
@@ -430,19 +437,19 @@
 
     /// Probes those that may live and are not heard.
     fn probes(&mut self, now: Moment) -> Option<Outgoing> {
-        let every = if self.is_new() { NEW_PROBE_TICKS } else { PROBE_TICKS };
+        let every = if self.is_new() { STARTUP_PROBE_TICKS } else { PROBE_TICKS };
         if self.ticks % every != 1 {
             return None;
         }
         let mut live: BTreeSet<SocketAddr> =
-            self.peers.live(now).map(|peer| peer.note.gossip).collect();
-        live.insert(self.parts.gossip);
+            self.peers.live(now).map(|peer| peer.info.gossip).collect();
+        live.insert(self.config.gossip);
         let zones: BTreeSet<&ZoneId> = self.peers.live(now).map(|peer| &peer.zone).collect();
-        let turn = (self.ticks / every) as usize;
-        let mut to = self.contacts.to_probe(&self.parts.zone, &live, &zones, turn);
-        to.extend(self.parts.seeds.iter().filter(|seed| !live.contains(*seed)));
-        let silent = self.peers.silent(now).filter(|peer| peer.zone == self.parts.zone);
-        to.extend(silent.map(|peer| peer.note.gossip));
+        let round = (self.ticks / every) as usize;
+        let mut to = self.contacts.to_probe(&self.config.zone, &live, &zones, round);
+        to.extend(self.config.seeds.iter().filter(|seed| !live.contains(*seed)));
+        let silent = self.peers.silent(now).filter(|peer| peer.zone == self.config.zone);
+        to.extend(silent.map(|peer| peer.info.gossip));
         let to: Vec<SocketAddr> = to.into_iter().collect();
         Some(Outgoing { message: self.heartbeat(now), to })
     }
@@ -450,13 +457,13 @@
     /// Whom a host of `zone` may probe beyond the hosts of this zone: all of its own zone, and some
     /// of each other one.
     fn contacts_for(&self, zone: &ZoneId, now: Moment) -> Vec<(SocketAddr, ZoneId)> {
-        let mut told: BTreeMap<&ZoneId, usize> = BTreeMap::new();
+        let mut counts: BTreeMap<&ZoneId, usize> = BTreeMap::new();
         let mut contacts = Vec::new();
-        for peer in self.peers.live(now).filter(|peer| peer.zone != self.parts.zone) {
-            let count = told.entry(&peer.zone).or_default();
+        for peer in self.peers.live(now).filter(|peer| peer.zone != self.config.zone) {
+            let count = counts.entry(&peer.zone).or_default();
             *count += 1;
-            if peer.zone == *zone || *count <= ANSWERED_CONTACTS {
-                contacts.push((peer.note.gossip, peer.zone.clone()));
+            if peer.zone == *zone || *count <= PROBE_REPLY_CONTACTS {
+                contacts.push((peer.info.gossip, peer.zone.clone()));
             }
         }
         contacts
--- a/src/fleet/messages.rs
+++ b/src/fleet/messages.rs
@@ -15,7 +15,7 @@
 
 /// What is told of one host everywhere.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct HostNote {
+pub struct HostInfo {
     /// Address of its callers' listener.
     pub callers: SocketAddr,
     /// Address of its control listener.
@@ -27,17 +27,17 @@
     /// The store answers it.
     pub reaches_store: bool,
     /// Wall clock at its start, in milliseconds: a restarted host has a higher one.
-    pub start: u64,
+    pub start_ms: u64,
     /// It gets too little of its processor, and callers are better off elsewhere.
     pub strained: bool,
     /// Rises with each message of one start.
-    pub turn: u64,
+    pub sequence: u64,
 }
 
-impl HostNote {
+impl HostInfo {
     /// Which of two words of one host is the later one.
     pub fn order(&self) -> (u64, u64) {
-        (self.start, self.turn)
+        (self.start_ms, self.sequence)
     }
 }
 
@@ -57,7 +57,7 @@
     /// `None` if the store has not confirmed the declaration to this host.
     pub declared_check: Option<DeclaredCheckAge>,
     pub load: Load,
-    pub note: HostNote,
+    pub info: HostInfo,
     pub stamp: Stamp,
     pub zone: ZoneId,
 }
@@ -66,19 +66,19 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ZoneReport {
     /// The host that sent it.
-    pub by: HostId,
+    pub sender: HostId,
     /// For a host that probed: whom else to probe.
     pub contacts: Vec<(SocketAddr, ZoneId)>,
     /// The latest confirmation among its hosts.
     pub declared_check: Option<DeclaredCheckAge>,
     /// Its living hosts, and for how many milliseconds each had been silent.
-    pub hosts: Vec<(HostNote, u16)>,
+    pub hosts: Vec<(HostInfo, u16)>,
     /// For each part of the store's state, the host that knows most of it.
-    pub informed: Vec<Informed>,
+    pub state_sources: Vec<StateSource>,
     /// That of all its hosts together.
     pub load: Load,
     /// It came from a host of the receiver's own zone, and goes no further.
-    pub is_passed_on: bool,
+    pub is_forwarded: bool,
     /// Start and turn of the host that sent it.
     pub order: (u64, u64),
     pub zone: ZoneId,
@@ -86,7 +86,7 @@
 
 /// A host, and what it knows of the store.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Informed {
+pub struct StateSource {
     pub control: SocketAddr,
     pub stamp: Stamp,
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -21,9 +21,9 @@
 pub use self::{
     contacts::Contacts,
     load::Load,
-    machine::{DeclaredCheck, Fleet, FleetParts, Heard, Outgoing, OwnState},
-    messages::{DeclaredCheckAge, Heartbeat, HostNote, Informed, Message, ZoneReport},
-    peers::{Peer, Peers, SILENCE},
+    machine::{DeclaredCheck, Fleet, FleetConfig, Outgoing, OwnState, Received},
+    messages::{DeclaredCheckAge, Heartbeat, HostInfo, Message, StateSource, ZoneReport},
+    peers::{Peer, Peers, SILENCE_TIMEOUT},
     reports::Reports,
     rotation::Rotation,
 };
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -1,14 +1,14 @@
 //! Other hosts, as they were last heard or heard of.
 
-use super::{DeclaredCheck, Heartbeat, HostNote, Load};
+use super::{DeclaredCheck, Heartbeat, HostInfo, Load};
 use crate::{entry::Stamp, prelude::*};
 
 /// A host that is silent longer than this is taken for lost. Reports between regions come every half
 /// second, so that two of them may go missing.
-pub const SILENCE: Duration = Duration::from_millis(1_700);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_700);
 
 /// A silent host's address is probed this long, so that it is found again after a partition.
-const FORGET: Duration = Duration::from_secs(120);
+const PEER_TTL: Duration = Duration::from_secs(120);
 
 /// A host as it was last heard.
 #[derive(Clone, Debug)]
@@ -16,12 +16,12 @@
     /// Taken from its heartbeat; `None` if it is known only through other hosts.
     pub declared_check: Option<DeclaredCheck>,
     /// When it last spoke, as far as this host was told.
-    pub heard: Moment,
+    pub last_heard: Moment,
     /// It was told to be lost.
     pub is_lost: bool,
     /// Taken from its heartbeat; `None` if it is known only through other hosts.
     pub load: Load,
-    pub note: HostNote,
+    pub info: HostInfo,
     pub region: RegionId,
     /// Taken from its heartbeat; `None` if it is known only through other hosts.
     pub stamp: Option<Stamp>,
@@ -31,7 +31,7 @@
 impl Peer {
     /// Whether it counts as living.
     pub fn is_live(&self, now: Moment) -> bool {
-        now.saturating_sub(self.heard) < SILENCE
+        now.saturating_sub(self.last_heard) < SILENCE_TIMEOUT
     }
 }
 
@@ -43,18 +43,24 @@
 
 impl Peers {
     /// Takes a heartbeat in; true when it comes from a host that did not count as living.
-    pub fn heard(&mut self, heartbeat: Heartbeat, region: RegionId, now: Moment) -> bool {
-        let Heartbeat { declared_check, load, note, stamp, zone, .. } = heartbeat;
+    pub fn record_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        region: RegionId,
+        now: Moment,
+    ) -> bool {
+        let Heartbeat { declared_check, load, info, stamp, zone, .. } = heartbeat;
         let declared_check = declared_check.map(|age| DeclaredCheck::from_age(age, now));
-        let known = self.peers.get(&note.host);
-        if known.is_some_and(|known| is_outdated(&note, known, now)) {
+        let known = self.peers.get(&info.host);
+        if known.is_some_and(|known| is_outdated(&info, known, now)) {
             return false;
         }
         let new = known.is_none_or(|known| !known.is_live(now));
         let stamp = Some(stamp);
-        let host = note.host.clone();
+        let host = info.host.clone();
         let is_lost = false;
-        let peer = Peer { declared_check, heard: now, is_lost, load, note, region, stamp, zone };
+        let peer =
+            Peer { declared_check, last_heard: now, is_lost, load, info, region, stamp, zone };
         self.peers.insert(host, peer);
         new
     }
@@ -64,35 +70,35 @@
     ///
     /// Only ever prolongs a life: a host that was cut off from its zone, and tells of itself alone,
     /// must not take the others out of look-ups.
-    pub fn learn_of(
+    pub fn record_indirect(
         &mut self,
-        note: HostNote,
+        info: HostInfo,
         zone: &ZoneId,
         region: &RegionId,
-        heard: Moment,
+        last_heard: Moment,
         now: Moment,
     ) -> bool {
-        let Some(known) = self.peers.get_mut(&note.host) else {
+        let Some(known) = self.peers.get_mut(&info.host) else {
             let peer = Peer {
                 declared_check: None,
-                heard,
+                last_heard,
                 is_lost: false,
                 load: Load::default(),
-                note,
+                info,
                 region: region.clone(),
                 stamp: None,
                 zone: zone.clone(),
             };
             let new = peer.is_live(now);
-            self.peers.insert(peer.note.host.clone(), peer);
+            self.peers.insert(peer.info.host.clone(), peer);
             return new;
         };
-        if note.order() < known.note.order() && known.is_live(now) {
+        if info.order() < known.info.order() && known.is_live(now) {
             return false;
         }
         let was_live = known.is_live(now);
-        known.heard = known.heard.max(heard);
-        known.note = note;
+        known.last_heard = known.last_heard.max(last_heard);
+        known.info = info;
         known.region = region.clone();
         known.zone = zone.clone();
         let new = !was_live && known.is_live(now);
@@ -112,7 +118,7 @@
 
     /// Tells which hosts have fallen silent since the last call, and forgets those that were silent
     /// for long.
-    pub fn tick(&mut self, now: Moment) -> Vec<Peer> {
+    pub fn detect_lost(&mut self, now: Moment) -> Vec<Peer> {
         let mut lost = Vec::new();
         for peer in self.peers.values_mut() {
             if !peer.is_lost && !peer.is_live(now) {
@@ -120,13 +126,13 @@
                 lost.push(peer.clone());
             }
         }
-        self.peers.retain(|_, peer| now.saturating_sub(peer.heard) < FORGET);
+        self.peers.retain(|_, peer| now.saturating_sub(peer.last_heard) < PEER_TTL);
         lost
     }
 }
 
 /// Datagrams overtake each other, and a start before the last has nothing to say. A clock that was
 /// set back would silence the host for good, so after a while any word counts.
-fn is_outdated(note: &HostNote, known: &Peer, now: Moment) -> bool {
-    note.order() <= known.note.order() && known.is_live(now)
+fn is_outdated(info: &HostInfo, known: &Peer, now: Moment) -> bool {
+    info.order() <= known.info.order() && known.is_live(now)
 }
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -1,10 +1,10 @@
 //! What other zones last told of themselves.
 
-use super::{DeclaredCheck, Informed, Load, SILENCE, ZoneReport};
+use super::{DeclaredCheck, Load, SILENCE_TIMEOUT, StateSource, ZoneReport};
 use crate::prelude::*;
 
 /// Time for which a report that covers few hosts of its zone does not replace a fuller one.
-const PARTIAL_WAIT: Duration = Duration::from_secs(1);
+const PARTIAL_REPORT_DELAY: Duration = Duration::from_secs(1);
 
 /// The last reports by zone.
 #[derive(Debug, Default)]
@@ -14,10 +14,10 @@
 
 #[derive(Debug)]
 struct LastReport {
-    at: Moment,
+    received_at: Moment,
     declared_check: Option<DeclaredCheck>,
-    covers: usize,
-    informed: Vec<Informed>,
+    host_count: usize,
+    state_sources: Vec<StateSource>,
     load: Load,
     /// The last word of each host that sent one.
     orders: BTreeMap<HostId, (u64, u64)>,
@@ -25,35 +25,35 @@
 
 impl Reports {
     /// Takes a report in; false if it was known already. Its hosts are left to `Peers`.
-    pub fn take(&mut self, report: &ZoneReport, now: Moment) -> bool {
-        let covers = report.hosts.len();
+    pub fn record(&mut self, report: &ZoneReport, now: Moment) -> bool {
+        let host_count = report.hosts.len();
         let last = self.zones.entry(report.zone.clone()).or_insert_with(|| LastReport {
-            at: Moment::ZERO,
+            received_at: Moment::ZERO,
             declared_check: None,
-            covers: 0,
-            informed: Vec::new(),
+            host_count: 0,
+            state_sources: Vec::new(),
             load: Load::default(),
             orders: BTreeMap::new(),
         });
-        let is_silent = SILENCE <= now.saturating_sub(last.at);
-        let known = last.orders.get(&report.by);
+        let is_silent = SILENCE_TIMEOUT <= now.saturating_sub(last.received_at);
+        let known = last.orders.get(&report.sender);
         // A host whose clock went back is listened to again after a silence of its zone.
         if known.is_some_and(|known| report.order <= *known && !is_silent) {
             return false;
         }
-        last.orders.retain(|host, _| report.hosts.iter().any(|(note, _)| note.host == *host));
-        last.orders.insert(report.by.clone(), report.order);
+        last.orders.retain(|host, _| report.hosts.iter().any(|(info, _)| info.host == *host));
+        last.orders.insert(report.sender.clone(), report.order);
         // A host that has just woken, or is cut off from its zone, knows of itself alone: its sums
         // would make the zone's targets look idle for a moment.
-        let is_partial = covers * 2 < last.covers;
-        if is_partial && now.saturating_sub(last.at) < PARTIAL_WAIT {
+        let is_partial = host_count * 2 < last.host_count;
+        if is_partial && now.saturating_sub(last.received_at) < PARTIAL_REPORT_DELAY {
             return true;
         }
-        last.at = now;
-        last.covers = covers;
+        last.received_at = now;
+        last.host_count = host_count;
         let check = report.declared_check.map(|age| DeclaredCheck::from_age(age, now));
         last.declared_check = check.or(last.declared_check);
-        last.informed.clone_from(&report.informed);
+        last.state_sources.clone_from(&report.state_sources);
         last.load.clone_from(&report.load);
         true
     }
@@ -69,11 +69,13 @@
     }
 
     /// The hosts of other zones that know most of the store.
-    pub fn informed(&self, now: Moment) -> impl Iterator<Item = (&ZoneId, &Informed)> {
-        self.fresh(now).flat_map(|(zone, last)| last.informed.iter().map(move |it| (zone, it)))
+    pub fn state_sources(&self, now: Moment) -> impl Iterator<Item = (&ZoneId, &StateSource)> {
+        self.fresh(now).flat_map(|(zone, last)| last.state_sources.iter().map(move |it| (zone, it)))
     }
 
     fn fresh(&self, now: Moment) -> impl Iterator<Item = (&ZoneId, &LastReport)> {
-        self.zones.iter().filter(move |(_, last)| now.saturating_sub(last.at) < SILENCE)
+        self.zones
+            .iter()
+            .filter(move |(_, last)| now.saturating_sub(last.received_at) < SILENCE_TIMEOUT)
     }
 }
--- a/src/fleet/rotation.rs
+++ b/src/fleet/rotation.rs
@@ -11,16 +11,16 @@
 
 impl Rotation {
     /// Whether a host at `place` of `hosts` has a turn between the last call and `slot`.
-    pub fn is_due(&mut self, slot: u64, place: usize, hosts: usize) -> bool {
-        let (place, hosts) = (place as u64, hosts.max(1) as u64);
+    pub fn is_due(&mut self, slot: u64, rank: usize, hosts: usize) -> bool {
+        let (rank, hosts) = (rank as u64, hosts.max(1) as u64);
         let last = self.last.replace(slot);
         let Some(last) = last.filter(|last| *last <= slot) else {
-            return slot % hosts == place;
+            return slot % hosts == rank;
         };
         if hosts <= slot - last {
             return true;
         }
-        (last + 1..=slot).any(|slot| slot % hosts == place)
+        (last + 1..=slot).any(|slot| slot % hosts == rank)
     }
 
     /// The receivers of a slot: `count` of `all`, another one each time.
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of the picture of the fleet, over a network in memory.
 
+mod convergence;
 mod network;
 mod peers;
 mod reports;
-mod spread;
 
-use super::{Heartbeat, HostNote, Load};
+use super::{Heartbeat, HostInfo, Load};
 use crate::{entry::Stamp, prelude::*};
 
 fn secs(secs: f64) -> Duration {
@@ -16,26 +16,26 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn note(host: &str, start: u64, turn: u64) -> HostNote {
-    HostNote {
+fn info(host: &str, start_ms: u64, sequence: u64) -> HostInfo {
+    HostInfo {
         callers: addr(1),
         control: addr(2),
         gossip: addr(3),
         host: host.into(),
         leaving: false,
         reaches_store: true,
-        start,
+        start_ms,
         strained: false,
-        turn,
+        sequence,
     }
 }
 
-fn heartbeat(host: &str, start: u64, turn: u64) -> Heartbeat {
+fn heartbeat(host: &str, start_ms: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         contacts: Vec::new(),
         declared_check: None,
         load: Load::default(),
-        note: note(host, start, turn),
+        info: info(host, start_ms, sequence),
         stamp: Stamp::default(),
         zone: "north-a".into(),
     }
--- a/src/fleet/tests/spread.rs
+++ b/src/fleet/tests/convergence.rs
@@ -16,8 +16,8 @@
         assert_eq!(network.known(), (9 * hosts - 1, 9 * hosts - 1), "{hosts} a zone");
         network.run(10);
         let all = 9 * hosts as u32 - 1;
-        assert_eq!(network.running(0), all, "each host's requests count once");
-        assert_eq!(network.running(9 * hosts - 1), all);
+        assert_eq!(network.in_flight(0), all, "each host's requests count once");
+        assert_eq!(network.in_flight(9 * hosts - 1), all);
     }
 }
 
@@ -34,7 +34,7 @@
     network.run(25);
     assert_eq!(network.known(), (left - 1, left - 1));
     network.run(10);
-    assert_eq!(network.running(1), left as u32 - 1);
+    assert_eq!(network.in_flight(1), left as u32 - 1);
 }
 
 /// A host starts anew while the fleet runs. It knows all, and is known to all, within a second.
@@ -146,14 +146,14 @@
     let region: Vec<_> = network.hosts.iter().filter(|host| host.zone.starts_with("r0")).collect();
     assert_eq!(region.len(), 18);
     for host in &region[1..] {
-        let mut informed = host.fleet.informed(network.now);
-        let told = informed.any(|(_, it)| it.stamp == stamp && it.control == region[0].gossip);
+        let mut sources = host.fleet.state_sources(network.now);
+        let told = sources.any(|(_, it)| it.stamp == stamp && it.control == region[0].gossip);
         assert!(told, "{}", host.name);
     }
     network.run(15);
     for host in network.hosts.iter().filter(|host| !host.zone.starts_with("r0")) {
-        let mut informed = host.fleet.informed(network.now);
-        assert!(informed.any(|(_, it)| it.stamp == stamp), "{}", host.name);
+        let mut sources = host.fleet.state_sources(network.now);
+        assert!(sources.any(|(_, it)| it.stamp == stamp), "{}", host.name);
     }
 }
 
@@ -166,7 +166,7 @@
     network.announce(0, Stamp::default());
     let leaving = |host: &Host| {
         let mut live = host.fleet.live(network.now);
-        live.any(|peer| peer.note.host == network.hosts[0].name && peer.note.leaving)
+        live.any(|peer| peer.info.host == network.hosts[0].name && peer.info.leaving)
     };
     assert!(network.hosts[1..].iter().all(leaving));
 }
--- a/src/fleet/tests/network.rs
+++ b/src/fleet/tests/network.rs
@@ -5,7 +5,7 @@
 use super::addr;
 use crate::{
     entry::Stamp,
-    fleet::{Fleet, FleetParts, Load, Message, Outgoing, OwnState},
+    fleet::{Fleet, FleetConfig, Load, Message, Outgoing, OwnState},
     prelude::*,
 };
 
@@ -64,18 +64,18 @@
     pub fn start(&mut self, at: usize, in_zone: usize) {
         let name: HostId = format!("h-{at:03}").into();
         let (zone, gossip) = (zone(in_zone), addr(10_000 + at as u16));
-        let fleet = Fleet::new(FleetParts {
+        let fleet = Fleet::new(FleetConfig {
             callers: gossip,
             control: gossip,
             gossip,
             host: name.clone(),
             region: self.zones[&zone].clone(),
             seeds: self.seeds.clone(),
-            start: self.now.as_millis() as u64,
+            start_ms: self.now.as_millis() as u64,
             zone: zone.clone(),
             zones: self.zones.clone(),
         });
-        let load = Load { running: vec![(7, 1)], demand: vec![(5, 0.5)], ..Load::default() };
+        let load = Load { in_flight: vec![(7, 1)], demand: vec![(5, 0.5)], ..Load::default() };
         let own = OwnState { load, reaches_store: true, ..OwnState::default() };
         self.hosts.push(Host { fleet, gossip, is_up: true, name, own, zone });
     }
@@ -89,7 +89,7 @@
                 let host = &mut self.hosts[at];
                 let due = host.fleet.tick(host.own.clone(), slot, self.now);
                 self.send(at, due);
-                self.hosts[at].fleet.lost(self.now);
+                self.hosts[at].fleet.detect_lost(self.now);
             }
         }
         self.deliver();
@@ -131,8 +131,8 @@
     }
 
     fn receive(&mut self, at: usize, message: Message) {
-        let heard = self.hosts[at].fleet.heard(message, self.now);
-        self.send(at, heard.send);
+        let received = self.hosts[at].fleet.receive(message, self.now);
+        self.send(at, received.send);
     }
 
     fn count(&mut self, from: &ZoneId, to: usize, size: usize) {
@@ -153,9 +153,9 @@
     }
 
     /// Requests at the one target that all hosts use, as a host sees those of all others.
-    pub fn running(&self, at: usize) -> u32 {
+    pub fn in_flight(&self, at: usize) -> u32 {
         let loads = self.hosts[at].fleet.loads(self.now);
-        loads.flat_map(|(_, load)| &load.running).map(|(_, count)| u32::from(*count)).sum()
+        loads.flat_map(|(_, load)| &load.in_flight).map(|(_, count)| u32::from(*count)).sum()
     }
 }
 
--- a/src/fleet/tests/reports.rs
+++ b/src/fleet/tests/reports.rs
@@ -1,40 +1,40 @@
 //! What zones tell of themselves.
 
-use super::{note, secs};
+use super::{info, secs};
 use crate::{
     fleet::{Load, Reports, Rotation, ZoneReport},
     placement::Slowness,
     prelude::*,
 };
 
-fn report(by: &str, turn: u64, hosts: usize, running: u16) -> ZoneReport {
+fn report(sender: &str, sequence: u64, hosts: usize, in_flight: u16) -> ZoneReport {
     ZoneReport {
-        by: by.into(),
+        sender: sender.into(),
         contacts: Vec::new(),
         declared_check: None,
-        hosts: (0..hosts).map(|at| (note(&format!("h-{at}"), 1, turn), 0)).collect(),
-        informed: Vec::new(),
-        load: Load { running: vec![(7, running)], ..Load::default() },
-        is_passed_on: false,
-        order: (1, turn),
+        hosts: (0..hosts).map(|at| (info(&format!("h-{at}"), 1, sequence), 0)).collect(),
+        state_sources: Vec::new(),
+        load: Load { in_flight: vec![(7, in_flight)], ..Load::default() },
+        is_forwarded: false,
+        order: (1, sequence),
         zone: "north-b".into(),
     }
 }
 
-fn running(reports: &Reports, now: Moment) -> Option<u16> {
-    reports.loads(now).flat_map(|(_, load)| &load.running).map(|(_, count)| *count).next()
+fn in_flight(reports: &Reports, now: Moment) -> Option<u16> {
+    reports.loads(now).flat_map(|(_, load)| &load.in_flight).map(|(_, count)| *count).next()
 }
 
 /// A report comes twice, by two hosts of the own zone: it counts, and is passed on, once.
 #[test]
 fn a_report_counts_once() {
     let mut reports = Reports::default();
-    assert!(reports.take(&report("h-1", 3, 4, 9), secs(1.0)));
-    assert!(!reports.take(&report("h-1", 3, 4, 9), secs(1.0)));
-    assert!(!reports.take(&report("h-1", 2, 4, 1), secs(1.1)));
-    assert!(reports.take(&report("h-2", 1, 4, 5), secs(1.2)), "another host counts for itself");
-    assert_eq!(running(&reports, secs(1.2)), Some(5));
-    assert_eq!(running(&reports, secs(3.0)), None, "a zone that is silent tells nothing");
+    assert!(reports.record(&report("h-1", 3, 4, 9), secs(1.0)));
+    assert!(!reports.record(&report("h-1", 3, 4, 9), secs(1.0)));
+    assert!(!reports.record(&report("h-1", 2, 4, 1), secs(1.1)));
+    assert!(reports.record(&report("h-2", 1, 4, 5), secs(1.2)), "another host counts for itself");
+    assert_eq!(in_flight(&reports, secs(1.2)), Some(5));
+    assert_eq!(in_flight(&reports, secs(3.0)), None, "a zone that is silent tells nothing");
 }
 
 /// A host that was frozen wakes and tells of itself alone. Its sums would make all targets that its
@@ -42,11 +42,11 @@
 #[test]
 fn a_host_alone_does_not_speak_for_its_zone() {
     let mut reports = Reports::default();
-    reports.take(&report("h-1", 3, 6, 9), secs(1.0));
-    assert!(reports.take(&report("h-2", 1, 1, 0), secs(1.1)));
-    assert_eq!(running(&reports, secs(1.1)), Some(9));
-    reports.take(&report("h-2", 2, 1, 0), secs(2.1));
-    assert_eq!(running(&reports, secs(2.1)), Some(0), "the others may really be gone");
+    reports.record(&report("h-1", 3, 6, 9), secs(1.0));
+    assert!(reports.record(&report("h-2", 1, 1, 0), secs(1.1)));
+    assert_eq!(in_flight(&reports, secs(1.1)), Some(9));
+    reports.record(&report("h-2", 2, 1, 0), secs(2.1));
+    assert_eq!(in_flight(&reports, secs(2.1)), Some(0), "the others may really be gone");
 }
 
 /// Loads of several hosts add up by target and by service, and each run is told once.
@@ -55,19 +55,22 @@
     let one = Load {
         crashes: vec![(1, 2)],
         demand: vec![(5, 0.5)],
-        running: vec![(7, 2), (8, 1)],
-        runs: vec![(7, 11)],
+        in_flight: vec![(7, 2), (8, 1)],
+        recent_objects: vec![(7, 11)],
         sent: vec![((5, 1), (3, 4))],
         slow: vec![(7, Slowness::seen(4.0))],
         teams: vec![(5, (3, 1))],
     };
-    let two = Load { running: vec![(7, 3)], ..one.clone() };
+    let two = Load { in_flight: vec![(7, 3)], ..one.clone() };
     let sum = Load::sum([&one, &two].into_iter());
-    assert_eq!(sum.running, [(7, 5), (8, 1)]);
+    assert_eq!(sum.in_flight, [(7, 5), (8, 1)]);
     assert_eq!(sum.sent, [((5, 1), (6, 8))]);
     assert_eq!(sum.teams, [(5, (6, 2))]);
     assert_eq!(sum.slow, [(7, Slowness::seen(4.0).and(Slowness::seen(4.0)))]);
-    assert_eq!((sum.crashes, sum.demand, sum.runs), (vec![(1, 4)], vec![(5, 1.0)], vec![(7, 11)]));
+    assert_eq!(
+        (sum.crashes, sum.demand, sum.recent_objects),
+        (vec![(1, 4)], vec![(5, 1.0)], vec![(7, 11)])
+    );
 }
 
 /// Each host of a zone has one turn in a round, also where its ticks come late or its clock jumps.
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -10,7 +10,7 @@
 
 use lavenderplank::{
     entry::{EntryHost, Revisions, Stamp},
-    fleet::{Heartbeat, HostNote, Load, Message},
+    fleet::{Heartbeat, HostInfo, Load, Message},
     platform::standin::{Conduct, StoreStandin},
 };
 use serde_json::json;
@@ -525,25 +525,25 @@
 async fn beat(name: &str, control: SocketAddr, to: SocketAddr, stamp: watch::Receiver<Stamp>) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let gossip = socket.local_addr().expect("an address");
-    for turn in 1.. {
+    for sequence in 1.. {
         let stamp = *stamp.borrow();
-        let note = HostNote {
+        let info = HostInfo {
             callers: control,
             control,
             gossip,
             host: name.into(),
             leaving: false,
             reaches_store: true,
-            start: 1,
+            start_ms: 1,
             strained: false,
-            turn,
+            sequence,
         };
         let (contacts, load, zone) = (Vec::new(), Load::default(), "north-b".into());
         let message = Message::Heartbeat(Heartbeat {
             contacts,
             declared_check: None,
             load,
-            note,
+            info,
             stamp,
             zone,
         });
