--- a/src/cmd/run.rs
+++ b/src/cmd/run.rs
@@ -11,8 +11,8 @@
     forward::{ForwardLimits, HttpUpstream},
     peer::PeerClient,
     prelude::*,
+    routing::RouterLimits,
     settings::Settings,
-    steer::SteerLimits,
     store::HttpPlatform,
 };
 
@@ -48,7 +48,7 @@
     let member = settings.member.clone();
     let daemon = Daemon::spawn(DaemonParts {
         clock: Arc::new(BootClock),
-        limits: SteerLimits::default(),
+        limits: RouterLimits::default(),
         link: Arc::new(PeerClient::open(peer_key.clone(), member)),
         operator_token: settings.operator_token()?,
         peer_key,
--- a/src/daemon/control/actor.rs
+++ b/src/daemon/control/actor.rs
@@ -105,7 +105,7 @@
                     // Peers no longer list this process; what callers still send here would be sent
                     // on without a right to any target.
                     self.parts.membership.leave();
-                    self.parts.traffic.feed(crate::steer::Event::Leave);
+                    self.parts.traffic.feed(crate::routing::Event::Leave);
                     EventKind::HostLeft { host }
                 }
                 MembershipEvent::Suspected(host) => EventKind::HostSuspected { host },
--- a/src/daemon/control/drains.rs
+++ b/src/daemon/control/drains.rs
@@ -43,13 +43,13 @@
         let hosts = self.parts.membership.hosts(self.now());
         let live: Vec<HostId> = hosts.into_iter().map(|host| host.id).collect();
         self.drains.reconcile(&manifest, at);
-        let loads = self.parts.traffic.with_steer(|steer, _| steer.loads());
+        let loads = self.parts.traffic.with_steer(|steer, _| steer.region_loads());
         self.drains.start_waiting(&manifest, &loads, &live, at);
     }
 
     fn observe_drains(&mut self) {
         let Some(view) = self.shown.clone() else { return };
-        let busy = self.parts.traffic.with_steer(|steer, _| steer.busy_targets());
+        let busy = self.parts.traffic.with_steer(|steer, _| steer.in_flight_by_target());
         let drained = |scope: &DrainScope, target: &TargetId| {
             let targets = view.manifest.services.iter().flat_map(|service| &service.targets);
             let found = targets.into_iter().find(|known| known.name == *target);
@@ -109,7 +109,7 @@
             return Err(PeerError::Unavailable("no manifest is in force here yet".into()));
         };
         let at = self.parts.recorder.stamp();
-        let loads = self.parts.traffic.with_steer(|steer, _| steer.loads());
+        let loads = self.parts.traffic.with_steer(|steer, _| steer.region_loads());
         let record = self.drains.order(order.0, at, &manifest, &loads).map_err(refused)?;
         self.announce_drains(&cx.mailbox().address());
         Ok(record)
--- a/src/daemon/control/exchange.rs
+++ b/src/daemon/control/exchange.rs
@@ -10,7 +10,7 @@
     manifest::DrainScope,
     membership::{Digest, Notes},
     prelude::*,
-    steer::Event,
+    routing::Event,
     tenure,
     timeline::EventKind,
     view::HostView,
--- a/src/daemon/control/operator.rs
+++ b/src/daemon/control/operator.rs
@@ -16,7 +16,7 @@
     fn status(&self) -> StatusAnswer {
         let now = self.now();
         let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        let usage = self.parts.traffic.with_steer(|steer, _| steer.usage());
+        let usage = self.parts.traffic.with_steer(|steer, _| steer.slot_usage());
         let manifest = self.parts.store.current().map(|(manifest, _)| manifest);
         let cap_of = |service: &ServiceId| {
             let manifest = manifest.as_ref();
@@ -48,7 +48,7 @@
         Ok(HostStatus {
             breaker_open: self.platform_fails,
             drains: drains.collect(),
-            ejected: self.parts.traffic.with_steer(|steer, now| steer.ejected(now)),
+            ejected: self.parts.traffic.with_steer(|steer, now| steer.ejected_targets(now)),
             hosts: self.parts.membership.hosts(now),
             own: self.parts.membership.own().clone(),
             platform_age_ms: self.platform_at.map(|at| millis(now.saturating_sub(at))),
@@ -72,7 +72,7 @@
         let (mut explanation, options) = self.parts.traffic.with_steer(|steer, now| {
             let home = steer.blocks().home(caller).unwrap_or(&view.own.region).clone();
             let explanation = explain(view, steer.blocks(), &ask, now);
-            (explanation, steer.survey(service, &home, now))
+            (explanation, steer.target_statuses(service, &home, now))
         });
         for option in &options {
             explanation.step("here", option.to_string());
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -21,8 +21,8 @@
     metrics::{self, MeteredSink},
     peer::{HandoverChunk, PeerKeys, PeerServer},
     prelude::*,
+    routing::{Event, RouterLimits},
     settings::{Secret, Settings},
-    steer::{Event, SteerLimits},
     store::Platform,
     timeline::{EventKind, EventSink, Recorder},
     timer::Subscription,
@@ -67,7 +67,7 @@
 /// What a host is built from.
 pub struct DaemonParts {
     pub clock: Arc<dyn Clock>,
-    pub limits: SteerLimits,
+    pub limits: RouterLimits,
     /// The way to other hosts' RPC servers.
     pub link: Arc<dyn PeerLink>,
     pub operator_token: Secret,
@@ -227,7 +227,7 @@
 
     /// Requests in flight.
     pub fn busy(&self) -> usize {
-        self.traffic.with_steer(|steer, _| steer.busy())
+        self.traffic.with_steer(|steer, _| steer.pending_calls())
     }
 
     /// Sequence of the manifest in force; `None` while the host does not serve.
--- a/src/daemon/incoming.rs
+++ b/src/daemon/incoming.rs
@@ -12,8 +12,8 @@
     ledger::body_digest,
     prelude::*,
     quarantine::{Fingerprint, Mark, fingerprint},
+    routing::{Arrival, CallId, Via},
     settings::Secret,
-    steer::{Arrival, CallId, Via},
 };
 
 /// Time limit of a request whose caller names none.
--- a/src/daemon/order.rs
+++ b/src/daemon/order.rs
@@ -12,7 +12,7 @@
     manifest::ServiceKind,
     prelude::*,
     quarantine::Fingerprint,
-    steer::{AttemptId, CallId, Outcome, Via},
+    routing::{AttemptId, CallId, Outcome, Via},
 };
 
 /// One attempt to be carried out.
--- a/src/daemon/probe.rs
+++ b/src/daemon/probe.rs
@@ -7,8 +7,8 @@
     forward::{Attempt, Reply, ReplyBody, Upstream},
     manifest::Target,
     prelude::*,
+    routing::Event,
     selection::LoadReport,
-    steer::Event,
 };
 
 /// Path of a target's load report.
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -16,8 +16,8 @@
     membership::{Membership, MembershipLimits},
     metrics::{Metric, Metrics, Tags},
     prelude::*,
+    routing::{Event, Router},
     settings::Settings,
-    steer::{Event, Steer},
     timeline::{EventSink, Recorder},
     timer::{Subscription, Timer, TokioTimer},
     trace::Setup,
@@ -58,7 +58,7 @@
         seed,
         silence: parts.settings.ingress.silence(),
         sink,
-        steer: Steer::new(own.id.clone(), own.incarnation, parts.limits.clone()),
+        steer: Router::new(own.id.clone(), own.incarnation, parts.limits.clone()),
         tape: tape(parts, own, seed),
         targets: parts.targets.clone(),
     })
@@ -165,7 +165,8 @@
     let traffic = traffic.clone();
     let timer = TokioTimer::open(control_rt.handle().clone());
     let send = move || {
-        let (busy, usage) = traffic.with_steer(|steer, _| (steer.busy(), steer.usage()));
+        let (busy, usage) =
+            traffic.with_steer(|steer, _| (steer.pending_calls(), steer.slot_usage()));
         metrics.gauge(Metric::InFlight, busy as f64, None);
         for row in usage {
             let free = row.slots.saturating_sub(row.busy);
--- a/src/daemon/stream.rs
+++ b/src/daemon/stream.rs
@@ -25,7 +25,7 @@
     base::HeaderLine,
     forward::{Alternatives, Edition, Failure, Reply, ResumedBody, asks_for_whole},
     prelude::*,
-    steer::{AttemptId, CallId, Event, Outcome, Via},
+    routing::{AttemptId, CallId, Event, Outcome, Via},
 };
 
 #[cfg(test)]
--- a/src/daemon/tape.rs
+++ b/src/daemon/tape.rs
@@ -3,7 +3,7 @@
 use crate::{
     ledger::SealedLedger,
     prelude::*,
-    steer::{Action, Event},
+    routing::{Action, Event},
     trace::SteerTrack,
 };
 
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -32,8 +32,8 @@
     lookup::{BlockTable, HostIndex, Lookup, LookupAsk},
     prelude::*,
     quarantine::{Fingerprint, Mark},
+    routing::{Action, Answer, AttemptId, CallId, Event, Outcome, Router, Via},
     settings::Secret,
-    steer::{Action, Answer, AttemptId, CallId, Event, Outcome, Steer, Via},
     timeline::{EventKind, EventSink},
     view::View,
 };
@@ -49,7 +49,7 @@
     /// Longest time that the caller of a file takes nothing of it.
     pub silence: Duration,
     pub sink: Arc<dyn EventSink>,
-    pub steer: Steer,
+    pub steer: Router,
     pub tape: Arc<dyn Tape>,
     /// The way to targets.
     pub targets: Arc<dyn Upstream>,
@@ -89,7 +89,7 @@
 
 struct Core {
     rng: ChaCha8Rng,
-    steer: Steer,
+    steer: Router,
 }
 
 /// A request whose caller waits.
@@ -221,7 +221,7 @@
     }
 
     /// Reads the decisions, for the control side.
-    pub fn with_steer<T>(&self, f: impl FnOnce(&Steer, Moment) -> T) -> T {
+    pub fn with_steer<T>(&self, f: impl FnOnce(&Router, Moment) -> T) -> T {
         let now = self.parts.clock.now();
         f(&lock(&self.core).steer, now)
     }
@@ -252,9 +252,9 @@
         let core = &mut *core;
         let now = self.parts.clock.now();
         if !self.parts.tape.is_on() {
-            return core.steer.on(event, now, &mut core.rng);
+            return core.steer.handle(event, now, &mut core.rng);
         }
-        let actions = core.steer.on(event.clone(), now, &mut core.rng);
+        let actions = core.steer.handle(event.clone(), now, &mut core.rng);
         self.parts.tape.event(now, &event, &actions);
         actions
     }
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -17,13 +17,13 @@
     manifest::{Manifest, SignedManifest, Target, sign},
     peer::PeerClient,
     prelude::*,
+    routing::RouterLimits,
     settings::{LogSettings, Secret, Settings},
     standin::{
         linked::Linked,
         links::{Links, Place},
         target::{RunLog, TargetModel, TargetStandin},
     },
-    steer::SteerLimits,
     store::HttpPlatform,
     timeline::Recorder,
     trace::SteerRecorder,
@@ -129,7 +129,7 @@
         let platform = HttpPlatform::open(self.platform)?;
         let daemon = Daemon::spawn(DaemonParts {
             clock: Arc::new(BootClock),
-            limits: SteerLimits::default(),
+            limits: RouterLimits::default(),
             link: Arc::new(Linked::new(link, self.links.clone(), place.clone())),
             operator_token: self.operator_token.clone(),
             peer_key: self.peer_key.clone(),
--- a/src/measure/capacity/requests.rs
+++ b/src/measure/capacity/requests.rs
@@ -14,8 +14,8 @@
 use crate::{
     ledger::body_digest,
     prelude::*,
+    routing::{Action, Arrival, Event, Outcome, Router, RouterLimits, Via},
     selection::LoadReport,
-    steer::{Action, Arrival, Event, Outcome, Steer, SteerLimits, Via},
     view::View,
 };
 
@@ -56,7 +56,7 @@
     call: u64,
     now: Moment,
     rng: ChaCha8Rng,
-    steer: Steer,
+    steer: Router,
     pub view: Arc<View>,
 }
 
@@ -65,7 +65,7 @@
         let manifest = Arc::new(fleet::manifest(sites, fleet::blocks(1_000)));
         let view = Arc::new(fleet::view(hosts, manifest));
         let own = &view.own;
-        let steer = Steer::new(own.id.clone(), own.incarnation, SteerLimits::default());
+        let steer = Router::new(own.id.clone(), own.incarnation, RouterLimits::default());
         let rng = ChaCha8Rng::seed_from_u64(7);
         let mut path = Self { call: 0, now: Moment::from_secs(1), rng, steer, view };
         path.show();
@@ -117,6 +117,6 @@
     }
 
     fn on(&mut self, event: Event) -> Vec<Action> {
-        self.steer.on(event, self.now, &mut self.rng)
+        self.steer.handle(event, self.now, &mut self.rng)
     }
 }
--- a/src/measure/policies/agenda.rs
+++ b/src/measure/policies/agenda.rs
@@ -5,7 +5,7 @@
     collections::BinaryHeap,
 };
 
-use crate::{prelude::*, selection::LoadReport, steer};
+use crate::{prelude::*, routing, selection::LoadReport};
 
 /// One attempt of a host at a target or at another host.
 #[derive(Clone, Copy, Debug)]
@@ -23,11 +23,11 @@
 #[derive(Clone, Debug)]
 pub(super) enum Step {
     /// The answer of a host reaches a caller.
-    Answered { answer: steer::Answer, request: usize },
+    Answered { answer: routing::Answer, request: usize },
     /// A request reaches a host from its caller.
     AtHost { host: usize, request: usize },
     /// A request reaches a host from another host.
-    AtPeer { attempt: Attempt, via: steer::Via },
+    AtPeer { attempt: Attempt, via: routing::Via },
     /// A request reaches a target.
     AtTarget { attempt: Attempt },
     /// The word that an attempt is given up reaches its target or host.
@@ -35,7 +35,7 @@
     /// A target is through with a request.
     Done { attempt: Attempt, served: bool },
     /// An attempt's outcome reaches the host that made it.
-    Ended { attempt: Attempt, outcome: steer::Outcome },
+    Ended { attempt: Attempt, outcome: routing::Outcome },
     /// The scenario's event.
     Event,
     /// What a target said of its load reaches its owner.
--- a/src/measure/policies/carry.rs
+++ b/src/measure/policies/carry.rs
@@ -8,8 +8,8 @@
 use crate::{
     lookup::owner_of,
     prelude::*,
+    routing::{Action, Answer, Arrival, Event, Outcome, Via},
     selection::LoadReport,
-    steer::{Action, Answer, Arrival, Event, Outcome, Via},
     timeline::EventKind,
 };
 
@@ -65,7 +65,7 @@
         if !self.hosts[host].alive {
             return;
         }
-        let actions = self.hosts[host].steer.on(event, self.now, &mut self.rng);
+        let actions = self.hosts[host].steer.handle(event, self.now, &mut self.rng);
         for action in actions {
             match action {
                 Action::Answer { answer, call } => self.answer(host, call, answer),
--- a/src/measure/policies/contender.rs
+++ b/src/measure/policies/contender.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     prelude::*,
+    routing::RouterTuning,
     selection::{Policy, Rules},
     shift::ShiftRules,
-    steer::Tuning,
 };
 
 /// One way of deciding; all run the same machine under the same load.
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(super) fn tuning(self) -> Tuning {
+    pub(super) fn tuning(self) -> RouterTuning {
         let policy = match self {
             Contender::Chosen | Contender::NoCaps | Contender::NoHedges | Contender::NoRamps => {
                 None
@@ -70,7 +70,7 @@
         };
         let ramp = self != Contender::NoRamps;
         let caps = self != Contender::NoCaps;
-        Tuning {
+        RouterTuning {
             hedge: self != Contender::NoHedges,
             policy,
             selection: Rules { ramp, ..Rules::default() },
--- a/src/measure/policies/experiment.rs
+++ b/src/measure/policies/experiment.rs
@@ -17,7 +17,7 @@
     lookup::{BlockTable, HostIndex, LookupAsk},
     manifest::Manifest,
     prelude::*,
-    steer::{Answer, Event, Steer, SteerLimits, Via},
+    routing::{Answer, Event, Router, RouterLimits, Via},
     view::{Baseline, HostView},
 };
 
@@ -65,7 +65,7 @@
     pub next_call: u64,
     /// Attempts under way, by number.
     pub sent: BTreeMap<u64, Sent>,
-    pub steer: Steer,
+    pub steer: Router,
     pub view: HostView,
 }
 
@@ -111,13 +111,13 @@
     fn new(contender: Contender, member: Member, scenario: Scenario, seed: u64) -> Self {
         let manifest = Arc::new(member.manifest());
         let views = member.hosts();
-        let limits = SteerLimits { tuning: contender.tuning(), ..SteerLimits::default() };
+        let limits = RouterLimits { tuning: contender.tuning(), ..RouterLimits::default() };
         let host = |view: &HostView| Host {
             alive: true,
             calls: BTreeMap::new(),
             next_call: 0,
             sent: BTreeMap::new(),
-            steer: Steer::new(view.id.clone(), view.incarnation, limits.clone()),
+            steer: Router::new(view.id.clone(), view.incarnation, limits.clone()),
             view: view.clone(),
         };
         let backends = backends(&manifest, scenario);
--- a/src/steer/arrive.rs
+++ b/src/routing/arrival.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use super::{
-    Action, Answer, Arrival, AttemptId, CallId, Steer, Via,
+    Action, Answer, Arrival, AttemptId, CallId, Router, Via,
     call::{Attempt, Call, Place, latest_start},
 };
 use crate::{
@@ -17,7 +17,7 @@
     view::View,
 };
 
-impl Steer {
+impl Router {
     pub(super) fn arrived(&mut self, arrival: Arrival, now: Moment, rng: &mut impl Rng) {
         let call = arrival.call;
         let kind = EventKind::Arrived {
@@ -55,7 +55,7 @@
         // By the manifest of this host the copy cannot run; by an older one, or by that of the
         // owner, an earlier copy may have. So its ledger is asked all the same, and says `not run`
         // only once its entry keeps every other copy from running.
-        if let Some(error) = unfit.filter(|_| !(booking && arrival.has_entry())) {
+        if let Some(error) = unfit.filter(|_| !(booking && arrival.names_ledger_entry())) {
             return Err(error);
         }
         // Whether a late booking ran is for its ledger to say, not for its deadline.
@@ -218,7 +218,7 @@
     /// Counts a caller's request at home, or asks whether a caller from elsewhere may be served.
     fn count_home(&mut self, call: CallId, now: Moment) -> Result<(), ErrorKind> {
         let state = &self.calls[&call];
-        if state.arrival.via.is_slot_hop() {
+        if state.arrival.via.requests_slot() {
             return Ok(());
         }
         let view = self.view.clone().ok_or(ErrorKind::NoManifest)?;
--- a/src/steer/settle.rs
+++ b/src/routing/attempt_end.rs
@@ -3,9 +3,9 @@
 use rand::Rng;
 
 use super::{
-    Answer, AttemptId, CallId, Outcome, Steer, Via,
+    Answer, AttemptId, CallId, Outcome, Router, Via,
     call::{Attempt, Place},
-    place::queue_id,
+    route::queue_id,
 };
 use crate::{
     base::invariant,
@@ -16,7 +16,7 @@
     timeline::EventKind,
 };
 
-impl Steer {
+impl Router {
     pub(super) fn ended(
         &mut self,
         attempt: AttemptId,
@@ -76,7 +76,7 @@
         let shifted = state.shifted || state.direct;
         // Attempts that fail are judged by how the call ends: a receiver that has no spare slot
         // at one target may have some at the next.
-        if error.is_none() && !arrival.via.is_slot_hop() {
+        if error.is_none() && !arrival.via.requests_slot() {
             let end = ShiftEnd { latency: Some(latency), refused: false, shifted };
             let home = self.home_or_own(&arrival);
             self.caps.ended(&arrival.service, &home, end, now);
--- a/src/steer/event.rs
+++ b/src/routing/event.rs
@@ -28,7 +28,7 @@
 
 impl Via {
     /// Whether a host of the member sent it here for one of this host's targets.
-    pub fn is_slot_hop(self) -> bool {
+    pub fn requests_slot(self) -> bool {
         matches!(self, Via::HedgeHop | Via::SlotHop)
     }
 }
@@ -55,7 +55,7 @@
 impl Arrival {
     /// Whether it names an entry of a ledger, which can say what became of earlier copies. A slot
     /// hop comes from the holder of that entry and asks for this one attempt.
-    pub fn has_entry(&self) -> bool {
+    pub fn names_ledger_entry(&self) -> bool {
         self.via != Via::SlotHop && self.binding.is_some() && self.key.is_some()
     }
 
--- a/src/steer/hedge.rs
+++ b/src/routing/hedge.rs
@@ -3,9 +3,9 @@
 use rand::Rng;
 
 use super::{
-    Action, AttemptId, CallId, Outcome, Steer, Via,
+    Action, AttemptId, CallId, Outcome, Router, Via,
     call::{Attempt, Call, Place},
-    place::{EXPECTED_TIME, MAX_ATTEMPTS, Way},
+    route::{EXPECTED_TIME, MAX_ATTEMPTS, Way},
 };
 use crate::{
     manifest::Service,
@@ -16,7 +16,7 @@
     view::View,
 };
 
-impl Steer {
+impl Router {
     /// Makes a second attempt at each read that takes longer than usual.
     pub(super) fn hedge_slow(&mut self, now: Moment, rng: &mut impl Rng) {
         if !self.tuning.hedge || self.leaving {
--- a/src/steer/mod.rs
+++ b/src/routing/mod.rs
@@ -1,29 +1,29 @@
 //! The decisions of one host about its requests, composed of the slices.
 //!
-//! `Steer::on(event, now, rng)` takes one event and returns the actions that the shell carries out.
+//! `Router::handle(event, now, rng)` takes one event and returns the actions that the shell carries out.
 //! It does no I/O and reads no clock, so that a recorded trace gives the same actions again.
 
 mod action;
-mod arrive;
+mod arrival;
+mod attempt_end;
 mod call;
 mod event;
 mod hedge;
-mod loads;
-mod machine;
 mod owners;
-mod pace;
-mod place;
+mod read_latency;
+mod region_load;
 mod resume;
-mod settle;
-mod survey;
+mod route;
+mod router;
+mod target_status;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
     action::{Action, Answer},
     event::{Arrival, Event, Outcome, Via},
-    machine::{BusyTarget, Steer, SteerLimits, Tuning, Usage},
-    survey::Surveyed,
+    router::{Router, RouterLimits, RouterTuning, SlotUsage, TargetInFlight},
+    target_status::TargetStatus,
 };
 
 /// Number of one request at this host, given by the shell; never used twice.
--- a/src/steer/loads.rs
+++ b/src/routing/region_load.rs
@@ -1,12 +1,12 @@
 //! Use of the regions, as far as one host can tell.
 
-use super::Steer;
+use super::Router;
 use crate::{drain::Load, prelude::*};
 
-impl Steer {
+impl Router {
     /// Mean slots in use by each region's callers: its baseline times the mean latency of the
     /// targets that this host has used. Nothing for a service that it has not used.
-    pub fn loads(&self) -> Vec<Load> {
+    pub fn region_loads(&self) -> Vec<Load> {
         let Some(view) = &self.view else { return Vec::new() };
         let load = |baseline: &crate::view::Baseline| {
             let latency = self.mean_latency(&baseline.service)?;
--- a/src/steer/resume.rs
+++ b/src/routing/resume.rs
@@ -7,12 +7,12 @@
 use rand::Rng;
 
 use super::{
-    CallId, Steer,
+    CallId, Router,
     call::{Call, Place},
 };
 use crate::prelude::*;
 
-impl Steer {
+impl Router {
     /// Another attempt for the rest, or the end of a body that stays short.
     pub(super) fn interrupted(
         &mut self,
--- a/src/steer/place.rs
+++ b/src/routing/route.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use super::{
-    Action, CallId, Steer, Via,
+    Action, CallId, Router, Via,
     call::{Call, Place},
 };
 use crate::{
@@ -35,7 +35,7 @@
     pub peer: Option<HostId>,
 }
 
-impl Steer {
+impl Router {
     /// Sends the request somewhere, queues it, or refuses it.
     pub(super) fn place(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
         let Some(view) = self.view.clone() else { return };
@@ -107,7 +107,7 @@
     /// with the least forwarded, where the request waits.
     fn wait_at_owner(&mut self, call: CallId, options: Vec<Way>, now: Moment) -> bool {
         let state = &self.calls[&call];
-        if state.arrival.via.is_slot_hop() {
+        if state.arrival.via.requests_slot() {
             return false;
         }
         let may_wait = |way: &Way| {
@@ -166,11 +166,11 @@
     ) -> Option<Way> {
         let region = &view.manifest.region_of(&target.zone)?.name;
         let own = self.slots.owns(&target.name);
-        if call.arrival.via.is_slot_hop() && !own {
+        if call.arrival.via.requests_slot() && !own {
             return None;
         }
         let home_lives = view.hosts.iter().any(|host| host.region == *home && !host.leaving);
-        let is_guest = *home != view.own.region && !call.arrival.via.is_slot_hop();
+        let is_guest = *home != view.own.region && !call.arrival.via.requests_slot();
         if is_guest && home_lives && region != home {
             return None;
         }
--- a/src/steer/machine.rs
+++ b/src/routing/router.rs
@@ -8,7 +8,7 @@
     Action, Answer, AttemptId, CallId, Event,
     call::{Attempt, Call},
     owners::Owners,
-    pace::Paces,
+    read_latency::Paces,
 };
 use crate::{
     admission::{OwnedTarget, Queue, RetryBudget, Slots},
@@ -26,7 +26,7 @@
 
 /// Bounds of the machine's state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct SteerLimits {
+pub struct RouterLimits {
     /// How long the slots of a former owner count as taken, unless a report frees them: the
     /// longest time that a request may run on a target.
     pub hold: Duration,
@@ -35,13 +35,13 @@
     /// Requests of one service that may wait for a slot.
     pub queue: usize,
     #[serde(default)]
-    pub tuning: Tuning,
+    pub tuning: RouterTuning,
 }
 
 /// Safeguards that measurements turn off, and the policy that they put in the member's place.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
-pub struct Tuning {
+pub struct RouterTuning {
     /// Reads that take long get a second attempt.
     pub hedge: bool,
     /// Instead of the manifest's weighing.
@@ -50,7 +50,7 @@
     pub shift: ShiftRules,
 }
 
-impl Default for Tuning {
+impl Default for RouterTuning {
     fn default() -> Self {
         Self {
             hedge: true,
@@ -61,20 +61,20 @@
     }
 }
 
-impl Default for SteerLimits {
+impl Default for RouterLimits {
     fn default() -> Self {
         Self {
             hold: Duration::from_secs(5),
             ledger: LedgerLimits::default(),
             quarantine: QuarantineLimits::default(),
             queue: 64,
-            tuning: Tuning::default(),
+            tuning: RouterTuning::default(),
         }
     }
 }
 
 /// The decisions of one incarnation of one host.
-pub struct Steer {
+pub struct Router {
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
     pub(super) blocks: Arc<BlockTable>,
     pub(super) calls: BTreeMap<CallId, Call>,
@@ -91,13 +91,13 @@
     pub(super) retries: RetryBudget,
     pub(super) selector: Selector,
     pub(super) slots: Slots,
-    pub(super) tuning: Tuning,
+    pub(super) tuning: RouterTuning,
     pub(super) view: Option<Arc<View>>,
 }
 
-impl Steer {
+impl Router {
     /// A machine that knows nothing yet: it answers `NoManifest` until it is shown a view.
-    pub fn new(host: HostId, incarnation: Incarnation, limits: SteerLimits) -> Self {
+    pub fn new(host: HostId, incarnation: Incarnation, limits: RouterLimits) -> Self {
         Self {
             attempts: BTreeMap::new(),
             blocks: Arc::default(),
@@ -124,7 +124,7 @@
     }
 
     /// Takes one event and returns what is to be done, in order.
-    pub fn on(&mut self, event: Event, now: Moment, rng: &mut impl Rng) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event, now: Moment, rng: &mut impl Rng) -> Vec<Action> {
         match event {
             Event::Arrived(arrival) => self.arrived(arrival, now, rng),
             Event::Begun { attempt } => self.begun(attempt, now),
@@ -158,7 +158,7 @@
     }
 
     /// Requests that have no final answer yet.
-    pub fn busy(&self) -> usize {
+    pub fn pending_calls(&self) -> usize {
         self.calls.len()
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Targets that get no work since they failed.
-    pub fn ejected(&self, now: Moment) -> Vec<TargetId> {
+    pub fn ejected_targets(&self, now: Moment) -> Vec<TargetId> {
         let Some(view) = &self.view else { return Vec::new() };
         let targets = view.manifest.services.iter().flat_map(|service| &service.targets);
         let names = targets.map(|target| &target.name);
@@ -218,17 +218,17 @@
     }
 
     /// This host's requests on each target that has any, its own or another host's.
-    pub fn busy_targets(&self) -> Vec<BusyTarget> {
+    pub fn in_flight_by_target(&self) -> Vec<TargetInFlight> {
         let mut busy: BTreeMap<&TargetId, u32> = BTreeMap::new();
         for target in self.attempts.values().filter_map(|attempt| attempt.place.target()) {
             *busy.entry(target).or_default() += 1;
         }
         let rows = busy.into_iter();
-        rows.map(|(target, requests)| BusyTarget { requests, target: target.clone() }).collect()
+        rows.map(|(target, requests)| TargetInFlight { requests, target: target.clone() }).collect()
     }
 
     /// Slots in use and slots in all at the targets that this host owns, by service.
-    pub fn usage(&self) -> Vec<Usage> {
+    pub fn slot_usage(&self) -> Vec<SlotUsage> {
         let Some(view) = &self.view else { return Vec::new() };
         view.manifest
             .services
@@ -238,7 +238,7 @@
                 let (busy, slots) = owned.fold((0, 0), |(busy, slots), target| {
                     (busy + self.slots.in_flight(&target.name), slots + target.slots)
                 });
-                Usage { busy, service: service.name.clone(), slots }
+                SlotUsage { busy, service: service.name.clone(), slots }
             })
             .collect()
     }
@@ -366,14 +366,14 @@
 
 /// Requests on one target.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct BusyTarget {
+pub struct TargetInFlight {
     pub requests: u32,
     pub target: TargetId,
 }
 
 /// Use of the slots of one service at this host's own targets.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Usage {
+pub struct SlotUsage {
     pub busy: u32,
     pub service: ServiceId,
     pub slots: u32,
--- a/src/steer/survey.rs
+++ b/src/routing/target_status.rs
@@ -2,12 +2,12 @@
 
 use std::fmt;
 
-use super::Steer;
+use super::Router;
 use crate::{lookup::owner_of, prelude::*};
 
 /// One target as an operator is shown it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Surveyed {
+pub struct TargetStatus {
     pub draining: bool,
     pub ejected: bool,
     pub free: Option<u32>,
@@ -19,7 +19,7 @@
     pub zone: ZoneId,
 }
 
-impl fmt::Display for Surveyed {
+impl fmt::Display for TargetStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} in {} of {}", self.target, self.zone, self.region)?;
         if let Some(owner) = &self.owner {
@@ -36,18 +36,23 @@
     }
 }
 
-impl Steer {
+impl Router {
     /// The targets of a service in the order in which a request from `home` would be offered them.
-    pub fn survey(&self, service: &ServiceId, home: &RegionId, now: Moment) -> Vec<Surveyed> {
+    pub fn target_statuses(
+        &self,
+        service: &ServiceId,
+        home: &RegionId,
+        now: Moment,
+    ) -> Vec<TargetStatus> {
         let Some(view) = &self.view else { return Vec::new() };
         let Some(service) = view.manifest.service(service) else { return Vec::new() };
-        let mut targets: Vec<Surveyed> = Vec::new();
+        let mut targets: Vec<TargetStatus> = Vec::new();
         for target in &service.targets {
             let Some(region) = view.manifest.region_of(&target.zone) else { continue };
             let near = target.zone == view.own.zone;
             let own = self.slots.owns(&target.name);
             let limit = self.selector.limit(&target.name, target.slots, now);
-            targets.push(Surveyed {
+            targets.push(TargetStatus {
                 draining: self.is_draining(view, target),
                 ejected: self.selector.ejected(&target.name, now),
                 free: own.then(|| self.slots.free(&target.name, limit, now)),
--- a/src/steer/tests.rs
+++ b/src/routing/tests.rs
@@ -27,7 +27,7 @@
     calls: CallId,
     now: Moment,
     rng: ChaCha8Rng,
-    steer: Steer,
+    steer: Router,
 }
 
 impl Host {
@@ -36,7 +36,7 @@
             calls: 0,
             now: START,
             rng: ChaCha8Rng::seed_from_u64(1),
-            steer: Steer::new("a-1".into(), 1, SteerLimits::default()),
+            steer: Router::new("a-1".into(), 1, RouterLimits::default()),
         };
         host.on(Event::Tick);
         host.on(Event::Viewed { view: Arc::new(view(START + Duration::from_secs(3600))) });
@@ -49,7 +49,7 @@
     }
 
     fn on(&mut self, event: Event) -> Vec<Action> {
-        self.steer.on(event, self.now, &mut self.rng)
+        self.steer.handle(event, self.now, &mut self.rng)
     }
 
     fn pass(&mut self, time: Duration) {
@@ -199,9 +199,9 @@
     let first = host.dispatch(file);
     let actions = host.interrupt(first);
     let second = attempt(&actions).expect("the rest is asked for");
-    assert_eq!(host.steer.busy_targets().iter().map(|busy| busy.requests).sum::<u32>(), 1);
+    assert_eq!(host.steer.in_flight_by_target().iter().map(|busy| busy.requests).sum::<u32>(), 1);
     assert_eq!(error(&host.fail(second, ErrorKind::ConnectFailed)), Some(ErrorKind::StreamCut));
-    assert_eq!(host.steer.usage()[0].busy, 0);
+    assert_eq!(host.steer.slot_usage()[0].busy, 0);
 
     let mut late = Host::new();
     let file = late.arrival("read");
@@ -225,7 +225,7 @@
     let second = attempt(&left.interrupt(first)).expect("the rest is asked for");
     let actions = left.on(Event::Cancelled { call: 1 });
     assert!(actions.contains(&Action::Cancel { attempt: second }));
-    assert_eq!(left.steer.usage()[0].busy, 0);
+    assert_eq!(left.steer.slot_usage()[0].busy, 0);
 }
 
 // Targets break off every file that they begin. Without the retry budget each would be asked for up
@@ -340,7 +340,7 @@
     let actions = host.answer(running);
     let passed = Action::Answer { answer: Answer::Pass, call: 1 };
     assert!(actions.contains(&passed));
-    assert_eq!(host.steer.busy(), 0);
+    assert_eq!(host.steer.pending_calls(), 0);
 }
 
 // A booking comes before the manifest that opens its service, or is larger than this manifest
@@ -385,7 +385,7 @@
     assert_eq!(error(&host.on(Event::Arrived(read))), Some(ErrorKind::DeadlinePassed));
     let part = Arrival { key: Some("k".into()), ..host.arrival("book") };
     assert_eq!(error(&host.on(Event::Arrived(part))), Some(ErrorKind::BookingIncomplete));
-    host.steer = Steer::new("a-1".into(), 1, SteerLimits::default());
+    host.steer = Router::new("a-1".into(), 1, RouterLimits::default());
     let early = Arrival { key: Some("k".into()), ..host.arrival("book") };
     assert_eq!(error(&host.on(Event::Arrived(early))), Some(ErrorKind::OwnerUnreachable));
     let bare = host.arrival("read");
--- a/src/steer/tests/hedge.rs
+++ b/src/routing/tests/hedge.rs
@@ -77,7 +77,7 @@
 }
 
 fn busy(host: &Host) -> u32 {
-    host.steer.usage().iter().map(|usage| usage.busy).sum()
+    host.steer.slot_usage().iter().map(|usage| usage.busy).sum()
 }
 
 // A target is slow, so the read runs on a second one too. Whichever answers first is passed to the
@@ -90,7 +90,7 @@
         let (winner, loser) = if second_wins { (second, first) } else { (first, second) };
         let actions = host.answer(winner);
         assert_eq!((passed(&actions), cancelled(&actions)), (1, vec![loser]));
-        assert_eq!((busy(&host), host.steer.busy()), (0, 0));
+        assert_eq!((busy(&host), host.steer.pending_calls()), (0, 0));
         assert_eq!(passed(&host.answer(loser)), 0);
     }
 }
@@ -112,7 +112,7 @@
                 let actions = host.fail(other, ErrorKind::DispatchTimeout);
                 assert_eq!(error(&actions), Some(ErrorKind::DispatchTimeout));
             }
-            assert_eq!((busy(&host), host.steer.busy()), (0, 0));
+            assert_eq!((busy(&host), host.steer.pending_calls()), (0, 0));
         }
     }
 }
@@ -125,7 +125,7 @@
     let call = host.calls;
     let actions = host.on(Event::Cancelled { call });
     assert_eq!(cancelled(&actions), [first, second]);
-    assert_eq!((busy(&host), host.steer.busy()), (0, 0));
+    assert_eq!((busy(&host), host.steer.pending_calls()), (0, 0));
 }
 
 // The read crashes its target while it runs on a second one, beside others. It is a suspect now:
--- a/src/soak/callers.rs
+++ b/src/soak/callers.rs
@@ -12,7 +12,7 @@
     base::Resend,
     ledger::Key,
     prelude::*,
-    steer::{Answer, Via},
+    routing::{Answer, Via},
 };
 
 const CALLER_TIMEOUT: Duration = Duration::from_millis(2_500);
--- a/src/soak/control.rs
+++ b/src/soak/control.rs
@@ -13,7 +13,7 @@
     manifest::{Offer, SignedManifest},
     membership::Digest,
     prelude::*,
-    steer::Event,
+    routing::Event,
     store::{Expect, Version},
     tenure::{self, Action, ReadResult, WriteResult, ZoneTenure},
 };
--- a/src/soak/fixture.rs
+++ b/src/soak/fixture.rs
@@ -11,7 +11,7 @@
         Weighing, sign,
     },
     prelude::*,
-    steer::SteerLimits,
+    routing::RouterLimits,
     view::HostView,
 };
 
@@ -34,7 +34,7 @@
     SigningKey::from_bytes(&[7; 32])
 }
 
-pub(super) fn limits() -> SteerLimits {
+pub(super) fn limits() -> RouterLimits {
     let ledger = LedgerLimits {
         adopted_entries: 400,
         answer_bytes: 4_000,
@@ -42,7 +42,7 @@
         generation_age: Duration::from_secs(4),
         generations: 2,
     };
-    SteerLimits { ledger, queue: 16, ..SteerLimits::default() }
+    RouterLimits { ledger, queue: 16, ..RouterLimits::default() }
 }
 
 /// An address of a caller at home in that region.
--- a/src/soak/host.rs
+++ b/src/soak/host.rs
@@ -14,7 +14,7 @@
     manifest::Store,
     membership::{BaselineNote, Membership, MembershipLimits, Notes},
     prelude::*,
-    steer::{AttemptId, CallId, Steer},
+    routing::{AttemptId, CallId, Router},
     tenure::{TenureKeeper, ZoneHost},
     view::View,
 };
@@ -62,7 +62,7 @@
     /// Whose answer the attempt brought that has just ended.
     pub(super) passing: Option<Intent>,
     pub(super) rng: ChaCha8Rng,
-    pub(super) steer: Steer,
+    pub(super) steer: Router,
     pub(super) stop: Option<Stop>,
     pub(super) store: Store,
 }
@@ -87,7 +87,7 @@
             next_call: 0,
             passing: None,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
-            steer: Steer::new(host_id(host), incarnation, limits()),
+            steer: Router::new(host_id(host), incarnation, limits()),
             stop: None,
             store: Store::open(MEMBER.into(), key().verifying_key()),
         }
--- a/src/soak/message.rs
+++ b/src/soak/message.rs
@@ -6,7 +6,7 @@
     manifest::SignedManifest,
     membership::Digest,
     prelude::*,
-    steer::{Answer, AttemptId, Outcome, Via},
+    routing::{Answer, AttemptId, Outcome, Via},
     tenure,
 };
 
--- a/src/soak/mod.rs
+++ b/src/soak/mod.rs
@@ -1,6 +1,6 @@
 //! Long randomised runs of all decisions together, with every failure that they are made for.
 //!
-//! Hosts run the real machines (`steer`, `membership`, `tenure`, the manifest store) against small
+//! Hosts run the real machines (`routing`, `membership`, `tenure`, the manifest store) against small
 //! fakes of targets, callers and the platform, in virtual time and from one seed: the same seed
 //! gives the same run. A checker that sees everything holds what callers are told against what the
 //! targets ran. This is a run of the decisions at their interfaces, not a simulation of a cluster:
--- a/src/soak/requests.rs
+++ b/src/soak/requests.rs
@@ -22,8 +22,8 @@
     manifest::DrainScope,
     prelude::*,
     quarantine::fingerprint,
+    routing::{Action, Answer, Arrival, AttemptId, CallId, Event, Outcome},
     selection::LoadReport,
-    steer::{Action, Answer, Arrival, AttemptId, CallId, Event, Outcome},
 };
 
 /// Until a retired target must be left alone everywhere.
@@ -62,7 +62,7 @@
         let now = self.now;
         let Some(running) = self.hosts[host].running.as_mut() else { return };
         let local = running.local(now);
-        let actions = running.steer.on(event, local, &mut running.rng);
+        let actions = running.steer.handle(event, local, &mut running.rng);
         self.checker.check(Promise::Invariant, true, String::new);
         for action in actions {
             self.act(host, action);
--- a/src/soak/stop.rs
+++ b/src/soak/stop.rs
@@ -8,7 +8,7 @@
     message::{Item, Place, Process},
     world::World,
 };
-use crate::{ledger::SealedLedger, prelude::*, steer::Event, tenure};
+use crate::{ledger::SealedLedger, prelude::*, routing::Event, tenure};
 
 /// One in so many acknowledgements of a hand-over is lost.
 const LOST_ACKS: u32 = 3;
--- a/src/soak/target.rs
+++ b/src/soak/target.rs
@@ -4,7 +4,7 @@
     fixture::SLOTS,
     message::{Copy, Process},
 };
-use crate::{prelude::*, steer::AttemptId};
+use crate::{prelude::*, routing::AttemptId};
 
 /// One request that runs.
 #[derive(Clone, Debug)]
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -25,8 +25,8 @@
     },
     peer::PeerClient,
     prelude::*,
+    routing::RouterLimits,
     settings::{LogSettings, Secret, Settings},
-    steer::SteerLimits,
     store::{HttpPlatform, Limits, Platform},
 };
 
@@ -130,7 +130,7 @@
         };
         let daemon = Daemon::spawn(DaemonParts {
             clock: Arc::new(BootClock),
-            limits: SteerLimits::default(),
+            limits: RouterLimits::default(),
             link,
             operator_token: Secret::new(OPERATOR_TOKEN),
             peer_key: Secret::new(PEER_KEY),
--- a/src/trace/outcome.rs
+++ b/src/trace/outcome.rs
@@ -5,7 +5,7 @@
 use super::{Input, Output, SteerTrace};
 use crate::{
     prelude::*,
-    steer::{Action, Answer, AttemptId, CallId, Event, Via},
+    routing::{Action, Answer, AttemptId, CallId, Event, Via},
     timeline::EventKind,
 };
 
--- a/src/trace/scenario/script.rs
+++ b/src/trace/scenario/script.rs
@@ -8,9 +8,9 @@
     manifest::Manifest,
     prelude::*,
     quarantine::fingerprint,
+    routing::Outcome as Ending,
+    routing::{Action, Answer, Arrival, AttemptId, CallId, Event, RouterLimits, Via},
     selection::LoadReport,
-    steer::Outcome as Ending,
-    steer::{Action, Answer, Arrival, AttemptId, CallId, Event, SteerLimits, Via},
     trace::{
         Header, Input, Machine, Outcome, Output, Setup, Start, SteerMachine, SteerTrace, Step,
     },
@@ -90,7 +90,7 @@
         let state = Setup {
             host: id.into(),
             incarnation: world::incarnation_of(id),
-            limits: SteerLimits::default(),
+            limits: RouterLimits::default(),
         };
         self.machines.push(SteerMachine::start(seed, &state));
         self.hosts.push(id.into());
--- a/src/trace/scenario/tests.rs
+++ b/src/trace/scenario/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::{
     prelude::*,
-    steer::{Event, Steer, SteerLimits},
+    routing::{Event, Router, RouterLimits},
     trace::{
         Outcome, Setup, SteerMachine, SteerRecorder, Told, read, replay, tests::Shared, untrue,
     },
@@ -61,16 +61,16 @@
     let setup = |host: &str, incarnation| Setup {
         host: host.into(),
         incarnation,
-        limits: SteerLimits::default(),
+        limits: RouterLimits::default(),
     };
     let (stopping, successor) = (setup("a", 1), setup("b", 2));
     let tracks = [recorder.track(1, &stopping), recorder.track(2, &successor)];
-    let mut stopping = Steer::new(stopping.host, stopping.incarnation, stopping.limits);
-    let mut successor = Steer::new(successor.host, successor.incarnation, successor.limits);
+    let mut stopping = Router::new(stopping.host, stopping.incarnation, stopping.limits);
+    let mut successor = Router::new(successor.host, successor.incarnation, successor.limits);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for (millis, event) in [(5, Event::Tick), (9, Event::Leave)] {
         let now = Moment::from_millis(millis);
-        let actions = stopping.on(event.clone(), now, &mut rng);
+        let actions = stopping.handle(event.clone(), now, &mut rng);
         tracks[0].event(now, &event, &actions);
     }
     let now = Moment::from_millis(10);
--- a/src/trace/steer_machine.rs
+++ b/src/trace/steer_machine.rs
@@ -8,7 +8,7 @@
     ledger::SealedLedger,
     manifest::Manifest,
     prelude::*,
-    steer::{Action, Event, Steer, SteerLimits},
+    routing::{Action, Event, Router, RouterLimits},
     view::View,
 };
 
@@ -21,7 +21,7 @@
 pub struct Setup {
     pub host: HostId,
     pub incarnation: Incarnation,
-    pub limits: SteerLimits,
+    pub limits: RouterLimits,
 }
 
 /// Whatever changes the state of the decisions.
@@ -49,12 +49,12 @@
 pub struct SteerMachine {
     manifest: Option<Arc<Manifest>>,
     rng: ChaCha8Rng,
-    steer: Steer,
+    steer: Router,
 }
 
 impl SteerMachine {
     /// The decisions, for what reads them only.
-    pub fn steer(&self) -> &Steer {
+    pub fn steer(&self) -> &Router {
         &self.steer
     }
 
@@ -83,7 +83,7 @@
             Event::Viewed { view } => Event::Viewed { view: self.share_manifest(view) },
             event => event,
         };
-        let actions = self.steer.on(event, now, &mut self.rng);
+        let actions = self.steer.handle(event, now, &mut self.rng);
         actions.into_iter().map(Output::Action).collect()
     }
 }
@@ -97,7 +97,7 @@
         Self {
             manifest: None,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            steer: Steer::new(state.host.clone(), state.incarnation, state.limits.clone()),
+            steer: Router::new(state.host.clone(), state.incarnation, state.limits.clone()),
         }
     }
 
--- a/src/trace/steer_recorder.rs
+++ b/src/trace/steer_recorder.rs
@@ -9,7 +9,7 @@
 use crate::{
     base::Moment,
     ledger::SealedLedger,
-    steer::{Action, Event},
+    routing::{Action, Event},
 };
 
 /// An open recording of one or more hosts. A failed write ends the recording, never a host; what
--- a/tests/fuzz_head.rs
+++ b/tests/fuzz_head.rs
@@ -8,8 +8,8 @@
 use lavenderplank::{
     daemon::{BadHeader, Incoming, headers},
     ingress::BodyHold,
+    routing::{Arrival, Via},
     settings::Secret,
-    steer::{Arrival, Via},
 };
 use proptest::{
     prelude::*,
--- a/tests/fuzz_messages.rs
+++ b/tests/fuzz_messages.rs
@@ -16,7 +16,7 @@
         PartRequest, UndrainOrder,
     },
     quarantine::Mark,
-    steer,
+    routing,
     timeline::{Event, EventKind, EventSink, Filter, Recorder, read_lines},
     trace::{Input, PANICKED, SteerMachine, SteerTrace, read, replay, scenario, untrue},
 };
@@ -125,7 +125,7 @@
     let limits = trace.starts.iter().map(|start| &start.state.limits);
     let times = limits.flat_map(|limits| [limits.hold, limits.ledger.generation_age]);
     let views = trace.steps.iter().filter_map(|step| match &step.event {
-        Input::Event(steer::Event::Viewed { view }) => Some(view),
+        Input::Event(routing::Event::Viewed { view }) => Some(view),
         _ => None,
     });
     times.into_iter().all(|time| time < year)
--- a/tests/support/hosts.rs
+++ b/tests/support/hosts.rs
@@ -15,12 +15,12 @@
         Weighing, accept, sign,
     },
     peer::PeerClient,
+    routing::RouterLimits,
     settings::{LogSettings, Secret, Settings},
     standin::{
         platform::PlatformStandin,
         target::{RunLog, TargetModel, TargetStandin},
     },
-    steer::SteerLimits,
     store::HttpPlatform,
 };
 
@@ -133,7 +133,7 @@
         let upstream = || Arc::new(HttpUpstream::open(limits).unwrap());
         let host = Daemon::spawn(DaemonParts {
             clock: self.clock.clone(),
-            limits: SteerLimits::default(),
+            limits: RouterLimits::default(),
             link: Arc::new(PeerClient::open(key.clone(), MEMBER.into())),
             operator_token: Secret::new(OPERATOR_TOKEN),
             peer_key: key,
