--- a/src/fleet/contacts.rs
+++ b/src/fleet/contacts.rs
@@ -1,20 +1,20 @@
-//! Addresses of hosts that may live and are not heard: how hosts find each other.
+//! Addresses through which hosts discover each other.
 
 use std::collections::BTreeSet;
 
 use crate::prelude::*;
 
-/// Most addresses that are kept.
+/// Maximum number of stored addresses.
 const CONTACTS_MAX: usize = 4_096;
 
-/// Addresses whose zone is not known that are probed at once.
+/// Maximum number of addresses with an unknown zone in one round of probes.
 const UNKNOWN_ZONE_PROBES: usize = 16;
 
-/// Time after which an address is forgotten that nobody tells any more. Hosts are replaced several
-/// times a day, and those that are gone would be probed for ever.
+/// Time after which an address that no host reports any more is removed. Hosts are replaced several
+/// times a day, and the replaced ones would otherwise be probed forever.
 const CONTACT_TTL: Duration = Duration::from_secs(120);
 
-/// Addresses that were told, with their zones as far as these are known.
+/// Gossip addresses reported by other hosts or listed in the store, with their zones if known.
 #[derive(Clone, Debug, Default)]
 pub struct Contacts {
     by_addr: BTreeMap<SocketAddr, Contact>,
@@ -27,14 +27,14 @@
 }
 
 impl Contacts {
-    /// A host of a zone was told.
+    /// Adds or refreshes the address of a host in `zone`.
     pub fn add(&mut self, addr: SocketAddr, zone: ZoneId, now: Moment) {
         if self.by_addr.len() < CONTACTS_MAX || self.by_addr.contains_key(&addr) {
             self.by_addr.insert(addr, Contact { last_reported: now, zone: Some(zone) });
         }
     }
 
-    /// All hosts that the store's records name, in place of what was told before.
+    /// Replaces all addresses by those in the store's host records. Keeps the zones already known.
     pub fn replace(&mut self, addrs: impl Iterator<Item = SocketAddr>, now: Moment) {
         let zone = |addr| self.by_addr.get(&addr).and_then(|contact| contact.zone.clone());
         let contacts = addrs
@@ -43,13 +43,13 @@
         self.by_addr = contacts.collect();
     }
 
-    /// Forgets what was told long ago.
+    /// Removes addresses that were last reported longer than `CONTACT_TTL` ago.
     pub fn remove_expired(&mut self, now: Moment) {
         self.by_addr.retain(|_, contact| now.saturating_sub(contact.last_reported) < CONTACT_TTL);
     }
 
-    /// Whom to probe of those that are not `live`: all of the own zone, one of each zone that has
-    /// no living host, some whose zone is not known. `turn` makes it others each time.
+    /// Selects the addresses to probe among those not in `live`: all of the own zone, one of each
+    /// zone without a live host, and some whose zone is unknown. The choice rotates with `round`.
     pub fn to_probe(
         &self,
         own_zone: &ZoneId,
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! What hosts have in attempt at targets and what their callers ask for.
+//! Request load that hosts report to each other.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -11,51 +11,57 @@
     quota::TeamCounts,
 };
 
-/// Most runs that are told of a zone together: with its other figures they stay in a few packets.
+/// Maximum number of recent objects in a zone's sum. Keeps a zone report within a few packets.
 const RECENT_OBJECTS_MAX: usize = 256;
 
-/// What one host, or all hosts of a zone together, tell of their requests.
+/// Requests of one host, or the sum over all hosts of a zone.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Load {
-    /// Requests that crash targets: fingerprint and crashes seen.
+    /// Requests that crash targets: fingerprint, and number of crashes observed.
     pub crashes: Vec<(u64, u8)>,
-    /// Busy slots that callers ask for, by hash of the service.
+    /// Number of busy slots that the requests of callers require, by hash of the service.
     pub demand: Vec<(NameTag, f32)>,
-    /// Requests in attempt by target.
+    /// Number of requests in flight, by target.
     pub in_flight: Vec<(TargetTag, u16)>,
-    /// Objects that targets were lately asked for.
+    /// Objects that were recently requested from each target.
     pub recent_objects: Vec<(TargetTag, ObjectTag)>,
-    /// Requests that were sent, by service and region, in the last window of shifts and the one
-    /// before.
+    /// Requests sent in the latest traffic-shift window and in the one before, by service and
+    /// region.
     pub sent: Vec<(Way, Counts)>,
-    /// Targets that take longer than they should.
+    /// Targets that respond more slowly than expected.
     pub slow: Vec<(TargetTag, Slowness)>,
     /// Arrived and admitted requests of teams with a limit, by hash of the team.
     pub teams: Vec<(NameTag, TeamCounts)>,
 }
 
 impl Load {
-    /// That of several hosts together.
+    /// Adds up the loads of several hosts.
     pub fn sum<'a>(loads: impl Iterator<Item = &'a Load> + Clone) -> Self {
         let recent_objects: BTreeSet<_> =
             loads.clone().flat_map(|load| &load.recent_objects).copied().collect();
         Self {
-            crashes: summed(loads.clone().flat_map(|load| &load.crashes), u8::saturating_add),
-            demand: summed(loads.clone().flat_map(|load| &load.demand), |a, b| a + b),
-            in_flight: summed(loads.clone().flat_map(|load| &load.in_flight), u16::saturating_add),
+            crashes: sum_by_key(loads.clone().flat_map(|load| &load.crashes), u8::saturating_add),
+            demand: sum_by_key(loads.clone().flat_map(|load| &load.demand), |a, b| a + b),
+            in_flight: sum_by_key(
+                loads.clone().flat_map(|load| &load.in_flight),
+                u16::saturating_add,
+            ),
             recent_objects: recent_objects.into_iter().take(RECENT_OBJECTS_MAX).collect(),
-            sent: summed(loads.clone().flat_map(|load| &load.sent), |a, b| {
+            sent: sum_by_key(loads.clone().flat_map(|load| &load.sent), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
-            slow: summed(loads.clone().flat_map(|load| &load.slow), Slowness::and),
-            teams: summed(loads.flat_map(|load| &load.teams), |a, b| {
+            slow: sum_by_key(loads.clone().flat_map(|load| &load.slow), Slowness::and),
+            teams: sum_by_key(loads.flat_map(|load| &load.teams), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
         }
     }
 }
 
-fn summed<'a, K, N>(pairs: impl Iterator<Item = &'a (K, N)>, add: impl Fn(N, N) -> N) -> Vec<(K, N)>
+fn sum_by_key<'a, K, N>(
+    pairs: impl Iterator<Item = &'a (K, N)>,
+    add: impl Fn(N, N) -> N,
+) -> Vec<(K, N)>
 where
     K: Copy + Eq + Hash + Ord + 'a,
     N: Copy + 'a,
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! One host's picture of all others, and what it sends to whom.
+//! State machine of the gossip protocol on one host.
 
 use std::collections::BTreeSet;
 
@@ -11,52 +11,55 @@
     prelude::*,
 };
 
-/// Slots of reports between two to zones of other regions, which need to know little more than who
-/// lives and what their callers ask for.
-const CROSS_REGION_SLOTS: u64 = 5;
+/// Slots between two reports to zones of other regions. These zones need little more than the live
+/// hosts and the demand of their callers.
+const CROSS_REGION_INTERVAL_SLOTS: u64 = 5;
 
-/// Receivers of a report in a zone of another region: such reports are few, and one that is lost
-/// leaves the whole zone without word.
+/// Receivers of a report in each zone of another region. These reports are infrequent, and the loss
+/// of one with a single receiver would leave the whole zone without an update.
 const CROSS_REGION_RECEIVERS: usize = 2;
 
-/// Receivers of a report that can't wait.
+/// Receivers of an immediate report in each zone.
 const ANNOUNCE_RECEIVERS: usize = 2;
 
-/// Contacts in one heartbeat: enough to find all within a second or two.
+/// Contacts in one heartbeat: enough for a host to discover all others within one or two seconds.
 const HEARTBEAT_CONTACTS: usize = 3;
 
-/// Contacts of each zone but the prober's own in the answer to a probe.
+/// Contacts in the answer to a probe, for each zone other than the prober's.
 const PROBE_REPLY_CONTACTS: usize = 2;
 
-/// Ticks between two probes of those that are not heard.
-const PROBE_TICKS: u64 = 10;
+/// Ticks between two rounds of probes.
+const PROBE_INTERVAL_TICKS: u64 = 10;
 
-/// Ticks in which a new host probes more often, and the number between two probes then.
+/// Ticks after the start in which a host probes more often, and ticks between two rounds meanwhile.
 const STARTUP_TICKS: u64 = 20;
-const STARTUP_PROBE_TICKS: u64 = 2;
+const STARTUP_PROBE_INTERVAL_TICKS: u64 = 2;
 
-/// Least difference of start times for a host to count as started earlier. Covers clock skew between
-/// hosts that are started together.
+/// Least difference of start times for a host to count as started earlier. Covers clock skew
+/// between hosts that are started together.
 const START_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a host is built from.
+/// Identity, addresses and topology of a host.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
+    /// Address of the control listener.
     pub control: SocketAddr,
+    /// Address that receives datagrams of other hosts.
     pub gossip: SocketAddr,
     pub host: HostId,
     pub region: RegionId,
-    /// Gossip addresses to start from; may be out of date.
+    /// Gossip addresses that are probed first; may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Wall clock at the start, in milliseconds.
+    /// Wall-clock time of the start, in milliseconds.
     pub start_ms: u64,
     pub zone: ZoneId,
     /// Region of each availability zone.
     pub zones: BTreeMap<ZoneId, RegionId>,
 }
 
-/// What a host tells of itself, as it is now.
+/// Current state of this host that it reports to other hosts; see also `HostInfo`.
 #[derive(Clone, Debug, Default)]
 pub struct OwnState {
     /// When the store last confirmed to this host that its declaration is the latest.
@@ -64,6 +67,7 @@
     pub leaving: bool,
     pub load: Load,
     pub reaches_store: bool,
+    /// Versions of the store's state that this host has.
     pub stamp: Stamp,
     pub strained: bool,
 }
@@ -89,38 +93,41 @@
     }
 }
 
-/// One message, and where it goes.
+/// A message to send, and its receivers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
     pub message: Message,
     pub to: Vec<SocketAddr>,
 }
 
-/// What a message from outside led to.
+/// Result of processing a message.
 #[derive(Debug, Default)]
 pub struct Received {
-    /// Hosts that did not count as living before.
+    /// Hosts that have become live.
     pub new_hosts: Vec<(HostId, ZoneId)>,
+    /// Messages to send in response.
     pub send: Vec<Outgoing>,
 }
 
-/// The picture.
+/// What one host knows about all entry hosts.
 #[derive(Debug)]
 pub struct Fleet {
     contacts: Contacts,
+    /// Schedule of the reports to zones of other regions.
     cross_region: Rotation,
+    /// Schedule of the reports to other zones of the region.
     same_region: Rotation,
     own: OwnState,
     config: FleetConfig,
     peers: Peers,
     reports: Reports,
     ticks: u64,
-    /// Rises with each message that tells of this host.
+    /// Increases with each heartbeat and report.
     sequence: u64,
 }
 
 impl Fleet {
-    /// A host that has heard nobody.
+    /// Creates the state of a host that has received no messages yet.
     pub fn new(config: FleetConfig) -> Self {
         Self {
             contacts: Contacts::default(),
@@ -135,23 +142,23 @@
         }
     }
 
-    /// Settings were read again.
+    /// Applies reloaded settings.
     pub fn reload(&mut self, seeds: Vec<SocketAddr>, zones: BTreeMap<ZoneId, RegionId>) {
         self.config.seeds = seeds;
         self.config.zones = zones;
     }
 
-    /// Whether the host is too new to know who lives.
+    /// Whether the host started too recently to know all live hosts.
     pub fn is_new(&self) -> bool {
         self.ticks <= STARTUP_TICKS
     }
 
-    /// The host's place among the living ones of its zone, in the order of their names.
+    /// Position of this host among the live hosts of its zone, ordered by name.
     pub fn rank_in_zone(&self, now: Moment) -> usize {
         self.zone_peers(now).filter(|peer| peer.info.host < self.config.host).count()
     }
 
-    /// Hosts that live, in the order of their names.
+    /// Other live hosts, ordered by name.
     pub fn live(&self, now: Moment) -> impl Iterator<Item = &Peer> + Clone {
         self.peers.live(now)
     }
@@ -165,26 +172,26 @@
         live.clone().count() < live.filter(started_earlier).count() * 2
     }
 
-    /// Number of hosts that are live, or silent without having left and possibly partitioned, including
-    /// this one.
+    /// Number of hosts that are live, or silent without having left and possibly partitioned,
+    /// including this one.
     pub fn known_hosts(&self, now: Moment) -> usize {
         let silent = self.peers.silent(now).filter(|peer| !peer.info.leaving);
         self.peers.live(now).count() + silent.count() + 1
     }
 
-    /// Hosts that fell silent since the last call.
+    /// Returns the hosts that have become silent since the last call, and removes expired contacts.
     pub fn detect_lost(&mut self, now: Moment) -> Vec<Peer> {
         self.contacts.remove_expired(now);
         self.peers.detect_lost(now)
     }
 
-    /// The store's records of hosts were read.
+    /// Replaces the contacts by the addresses in the store's host records.
     pub fn replace_contacts(&mut self, gossip: impl Iterator<Item = SocketAddr>, now: Moment) {
         self.contacts.replace(gossip, now);
     }
 
-    /// What other hosts have in attempt and are asked for, with their regions: hosts of the own zone
-    /// one by one, other zones together.
+    /// Loads of other hosts, with their regions: one for each host of the own zone, and one sum for
+    /// each other zone.
     pub fn loads(&self, now: Moment) -> impl Iterator<Item = (&RegionId, &Load)> {
         let own = self.zone_peers(now).map(|peer| (&peer.region, &peer.load));
         let other = self.reports.loads(now);
@@ -193,8 +200,8 @@
 
     /// Confirmations of the declaration that other hosts have sent.
     pub fn declared_checks(&self, now: Moment) -> impl Iterator<Item = DeclaredCheck> {
-        let heard = self.peers.live(now).filter_map(|peer| peer.declared_check);
-        heard.chain(self.reports.declared_checks(now))
+        let direct = self.peers.live(now).filter_map(|peer| peer.declared_check);
+        direct.chain(self.reports.declared_checks(now))
     }
 
     fn own_declared_check(&self) -> Option<DeclaredCheck> {
@@ -202,55 +209,55 @@
         Some(DeclaredCheck { at, version: self.own.stamp.declared })
     }
 
-    /// Hosts that are known to know something of the store, with their regions.
+    /// Hosts from which the state of the store can be fetched, with their regions.
     pub fn state_sources(&self, now: Moment) -> impl Iterator<Item = (&RegionId, StateSource)> {
-        let heard = self.peers.live(now).filter_map(|peer| {
+        let direct = self.peers.live(now).filter_map(|peer| {
             let stamp = peer.stamp?;
             Some((&peer.region, StateSource { control: peer.info.control, stamp }))
         });
-        let told = self.reports.state_sources(now);
-        heard.chain(told.map(|(zone, source)| (self.region_of(zone), source.clone())))
+        let reported = self.reports.state_sources(now);
+        direct.chain(reported.map(|(zone, source)| (self.region_of(zone), source.clone())))
     }
 
-    /// What is due now: heartbeats to the own zone, its report if this host has a turn, probes.
-    /// `slot` counts tenths of a second by the time of day.
+    /// Returns the messages that are due: heartbeats to the own zone, the zone's report if it is
+    /// this host's turn, and probes. `slot` is the wall-clock time in tenths of a second.
     pub fn tick(&mut self, own: OwnState, slot: u64, now: Moment) -> Vec<Outgoing> {
         self.own = own;
         self.ticks += 1;
         let mut send = vec![self.heartbeat_to_zone(now)];
         let rank = self.rank_in_zone(now);
         let hosts = self.zone_peers(now).count() + 1;
-        let cross_region_slot = slot / CROSS_REGION_SLOTS;
+        let cross_region_slot = slot / CROSS_REGION_INTERVAL_SLOTS;
         let is_same_region_due = self.same_region.is_due(slot, rank, hosts);
         let is_cross_region_due = self.cross_region.is_due(cross_region_slot, rank, hosts);
         let mut to = Vec::new();
         if is_same_region_due {
-            to.extend(self.receivers(true, slot, 1, now));
+            to.extend(self.report_receivers(true, slot, 1, now));
         }
         if is_cross_region_due {
-            to.extend(self.receivers(false, cross_region_slot, CROSS_REGION_RECEIVERS, now));
+            to.extend(self.report_receivers(false, cross_region_slot, CROSS_REGION_RECEIVERS, now));
         }
         send.extend(self.report_to(to, now));
-        send.extend(self.probes(now));
+        send.extend(self.probe(now));
         send.retain(|outgoing| !outgoing.to.is_empty());
         send
     }
 
-    /// What others of the region must know now: this host has learnt something of the store, or is
-    /// leaving.
+    /// Returns the messages that report a change immediately: to the region, and to other regions
+    /// as well if this host is leaving.
     pub fn announce(&mut self, own: OwnState, slot: u64, now: Moment) -> Vec<Outgoing> {
         self.own = own;
         let mut send = vec![self.heartbeat_to_zone(now)];
-        let mut to = self.receivers(true, slot, ANNOUNCE_RECEIVERS, now);
+        let mut to = self.report_receivers(true, slot, ANNOUNCE_RECEIVERS, now);
         if self.own.leaving {
-            to.extend(self.receivers(false, slot, ANNOUNCE_RECEIVERS, now));
+            to.extend(self.report_receivers(false, slot, ANNOUNCE_RECEIVERS, now));
         }
         send.extend(self.report_to(to, now));
         send.retain(|outgoing| !outgoing.to.is_empty());
         send
     }
 
-    /// Takes a message in.
+    /// Processes a message of another host.
     pub fn receive(&mut self, message: Message, now: Moment) -> Received {
         match message {
             Message::Heartbeat(heartbeat) => self.receive_heartbeat(heartbeat, now),
@@ -283,7 +290,7 @@
         self.add_contacts(&report.contacts, now);
         report.contacts.clear();
         if report.zone == self.config.zone {
-            // The answer of a host of the own zone: each of them is heard directly soon.
+            // The answer to a probe of the own zone. Its hosts are probed and then heard directly.
             for (info, _) in report.hosts {
                 self.contacts.add(info.gossip, report.zone.clone(), now);
             }
@@ -319,7 +326,7 @@
         self.config.zones.get(zone).unwrap_or(zone)
     }
 
-    /// Other living hosts of the own zone.
+    /// Other live hosts of the own zone.
     fn zone_peers(&self, now: Moment) -> impl Iterator<Item = &Peer> + Clone {
         self.peers.live(now).filter(|peer| peer.zone == self.config.zone)
     }
@@ -342,9 +349,9 @@
         self.sequence += 1;
         let live = self.peers.live(now);
         let first = self.sequence as usize * HEARTBEAT_CONTACTS % live.clone().count().max(1);
-        let told = live.clone().chain(live).skip(first).take(HEARTBEAT_CONTACTS);
+        let selected = live.clone().chain(live).skip(first).take(HEARTBEAT_CONTACTS);
         Message::Heartbeat(Heartbeat {
-            contacts: told.map(|peer| (peer.info.gossip, peer.zone.clone())).collect(),
+            contacts: selected.map(|peer| (peer.info.gossip, peer.zone.clone())).collect(),
             declared_check: self.own_declared_check().map(|check| check.to_age(now)),
             load: self.own.load.clone(),
             info: self.info(),
@@ -358,7 +365,7 @@
         Outgoing { message: self.heartbeat(now), to }
     }
 
-    /// The own zone's report, as this host sees it.
+    /// Creates the report of the own zone from what this host knows.
     fn report(&self, now: Moment) -> ZoneReport {
         let others = self.zone_peers(now);
         let silent_ms = |peer: &Peer| now.saturating_sub(peer.last_heard).as_millis() as u16;
@@ -380,7 +387,7 @@
         }
     }
 
-    /// For each part of the store's state, the host of the zone that knows most of it.
+    /// For each part of the store's state, the host of the own zone with the latest version of it.
     fn best_state_sources(&self, now: Moment) -> Vec<StateSource> {
         let own = StateSource { control: self.config.control, stamp: self.own.stamp };
         let mut best: Vec<StateSource> = Vec::new();
@@ -404,14 +411,15 @@
         if to.is_empty() {
             return None;
         }
-        // Each report of a host is a later word than its last one.
+        // Receivers ignore a report whose order is not greater than that of the previous one.
         self.sequence += 1;
         Some(Outgoing { message: Message::Zone(self.report(now)), to })
     }
 
-    /// Receivers of the own zone's report in each other zone of the region, or of the other regions.
-    /// A zone of which no host lives is tried where hosts last lived: it may only have been cut off.
-    fn receivers(
+    /// Selects `count` receivers of the own zone's report in each other zone of the region, or in
+    /// each zone of other regions. In a zone without live hosts, silent ones are selected, because
+    /// the zone may only be partitioned.
+    fn report_receivers(
         &self,
         same_region: bool,
         slot: u64,
@@ -435,17 +443,18 @@
         receivers.flatten().collect()
     }
 
-    /// Probes those that may live and are not heard.
-    fn probes(&mut self, now: Moment) -> Option<Outgoing> {
-        let every = if self.is_new() { STARTUP_PROBE_TICKS } else { PROBE_TICKS };
-        if self.ticks % every != 1 {
+    /// Returns the probes that are due, to seeds, contacts and silent hosts of the own zone.
+    fn probe(&mut self, now: Moment) -> Option<Outgoing> {
+        let interval =
+            if self.is_new() { STARTUP_PROBE_INTERVAL_TICKS } else { PROBE_INTERVAL_TICKS };
+        if self.ticks % interval != 1 {
             return None;
         }
         let mut live: BTreeSet<SocketAddr> =
             self.peers.live(now).map(|peer| peer.info.gossip).collect();
         live.insert(self.config.gossip);
         let zones: BTreeSet<&ZoneId> = self.peers.live(now).map(|peer| &peer.zone).collect();
-        let round = (self.ticks / every) as usize;
+        let round = (self.ticks / interval) as usize;
         let mut to = self.contacts.to_probe(&self.config.zone, &live, &zones, round);
         to.extend(self.config.seeds.iter().filter(|seed| !live.contains(*seed)));
         let silent = self.peers.silent(now).filter(|peer| peer.zone == self.config.zone);
@@ -454,8 +463,8 @@
         Some(Outgoing { message: self.heartbeat(now), to })
     }
 
-    /// Whom a host of `zone` may probe beyond the hosts of this zone: all of its own zone, and some
-    /// of each other one.
+    /// Contacts for a probing host of `zone`, other than the hosts of this host's own zone: all
+    /// known live hosts of `zone`, and some of each further zone.
     fn contacts_for(&self, zone: &ZoneId, now: Moment) -> Vec<(SocketAddr, ZoneId)> {
         let mut counts: BTreeMap<&ZoneId, usize> = BTreeMap::new();
         let mut contacts = Vec::new();
--- a/src/fleet/messages.rs
+++ b/src/fleet/messages.rs
@@ -13,29 +13,30 @@
     Zone(ZoneReport),
 }
 
-/// What is told of one host everywhere.
+/// Description of one host that all other hosts receive.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HostInfo {
-    /// Address of its callers' listener.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Address of its control listener.
+    /// Address of the control listener.
     pub control: SocketAddr,
+    /// Address that receives datagrams of other hosts.
     pub gossip: SocketAddr,
     pub host: HostId,
-    /// It takes no new callers.
+    /// The host accepts no new callers because it is stopping.
     pub leaving: bool,
-    /// The store answers it.
+    /// The store answers the requests of this host.
     pub reaches_store: bool,
-    /// Wall clock at its start, in milliseconds: a restarted host has a higher one.
+    /// Wall-clock time of the start, in milliseconds. Increases with each restart.
     pub start_ms: u64,
-    /// It gets too little of its processor, and callers are better off elsewhere.
+    /// The host gets too little processor time, and callers should use other hosts.
     pub strained: bool,
-    /// Rises with each message of one start.
+    /// Increases with each message that the host sends after a start.
     pub sequence: u64,
 }
 
 impl HostInfo {
-    /// Which of two words of one host is the later one.
+    /// Orders messages of one host: the later message has the greater value.
     pub fn order(&self) -> (u64, u64) {
         (self.start_ms, self.sequence)
     }
@@ -48,11 +49,11 @@
     pub version: DeclaredVersion,
 }
 
-/// What a host tells those of its zone, several times a second; to a host of another zone it is a
-/// probe, and answered with that zone's report.
+/// State of one host, sent to the other hosts of its zone several times a second. Sent to a host of
+/// another zone, it is a probe, which that host answers with the report of its own zone.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Hosts that it hears: gossip address and zone.
+    /// Some of the hosts that the sender considers live: gossip address and zone.
     pub contacts: Vec<(SocketAddr, ZoneId)>,
     /// `None` if the store has not confirmed the declaration to this host.
     pub declared_check: Option<DeclaredCheckAge>,
@@ -62,31 +63,33 @@
     pub zone: ZoneId,
 }
 
-/// What the hosts of a zone tell other zones, by one of them.
+/// State of all hosts of a zone, sent to other zones by one of its hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ZoneReport {
-    /// The host that sent it.
+    /// The host of the zone that created the report.
     pub sender: HostId,
-    /// For a host that probed: whom else to probe.
+    /// In the answer to a probe, further hosts to probe: gossip address and zone.
     pub contacts: Vec<(SocketAddr, ZoneId)>,
-    /// The latest confirmation among its hosts.
+    /// The latest confirmation that any host of the zone received.
     pub declared_check: Option<DeclaredCheckAge>,
-    /// Its living hosts, and for how many milliseconds each had been silent.
+    /// Live hosts of the zone, each with the number of milliseconds since its last heartbeat.
     pub hosts: Vec<(HostInfo, u16)>,
-    /// For each part of the store's state, the host that knows most of it.
+    /// For each part of the store's state, the host of the zone with the latest version of it.
     pub state_sources: Vec<StateSource>,
-    /// That of all its hosts together.
+    /// Sum of the loads of all hosts of the zone.
     pub load: Load,
-    /// It came from a host of the receiver's own zone, and goes no further.
+    /// Forwarded by a host of the receiver's own zone; the receiver does not forward it again.
     pub is_forwarded: bool,
-    /// Start and turn of the host that sent it.
+    /// `HostInfo::order` of the sender.
     pub order: (u64, u64),
     pub zone: ZoneId,
 }
 
-/// A host, and what it knows of the store.
+/// A host from which the state of the store can be fetched.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StateSource {
+    /// Address of the control listener.
     pub control: SocketAddr,
+    /// Versions of the state that the host has.
     pub stamp: Stamp,
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,12 +1,14 @@
-//! Which entry hosts live, what they run, and what they know: decisions only, no sockets or clocks.
+//! Gossip between entry hosts: which hosts are live, their load, and the versions of the store's
+//! state that they have. Contains the protocol logic only, without sockets or clocks.
 //!
-//! Hosts of a zone send each other heartbeats. What a zone knows of itself goes to other zones as
-//! one report: its hosts take turns at sending it, to one host of each other zone of the region
-//! and, less often, to two of each zone beyond. Whoever gets a report from outside passes it on to
-//! its own zone. No host has a role in this, so that the loss of any of them costs a turn.
+//! Hosts of a zone send each other heartbeats. The state of a zone is sent to other zones as a
+//! single report. The hosts of the zone take turns sending it: to one host of each other zone of
+//! the region and, less often, to two hosts of each zone in other regions. A host that receives a
+//! report of another zone forwards it to its own zone. No host has a special role, so the loss of a
+//! host delays one report at most.
 //!
-//! Load pattern: hundreds of hosts, each of which would else send to each other one several times a
-//! second; most of the traffic between zones and regions would be heartbeats.
+//! Load pattern: hundreds of hosts. If each host sent heartbeats to every other one several times a
+//! second, most of the traffic between zones and regions would be heartbeats.
 
 mod contacts;
 mod load;
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -1,25 +1,26 @@
-//! Other hosts, as they were last heard or heard of.
+//! Last known state of the other hosts, received from them directly or through other hosts.
 
 use super::{DeclaredCheck, Heartbeat, HostInfo, Load};
 use crate::{entry::Stamp, prelude::*};
 
-/// A host that is silent longer than this is taken for lost. Reports between regions come every half
-/// second, so that two of them may go missing.
+/// A host that is silent for this time is considered lost. Reports between regions are sent every
+/// half second, so up to two consecutive ones may be lost.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_700);
 
-/// A silent host's address is probed this long, so that it is found again after a partition.
+/// Time for which a silent host is kept as a receiver of probes and reports, so that it is found
+/// again after a partition.
 const PEER_TTL: Duration = Duration::from_secs(120);
 
-/// A host as it was last heard.
+/// Last known state of one host.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Taken from its heartbeat; `None` if it is known only through other hosts.
     pub declared_check: Option<DeclaredCheck>,
-    /// When it last spoke, as far as this host was told.
+    /// When the host last sent a message, as far as this host knows.
     pub last_heard: Moment,
-    /// It was told to be lost.
+    /// Whether `Peers::detect_lost` has reported the host since it was last live.
     pub is_lost: bool,
-    /// Taken from its heartbeat; `None` if it is known only through other hosts.
+    /// Taken from its heartbeat; empty if it is known only through other hosts.
     pub load: Load,
     pub info: HostInfo,
     pub region: RegionId,
@@ -29,20 +30,20 @@
 }
 
 impl Peer {
-    /// Whether it counts as living.
+    /// Whether the host has been heard within `SILENCE_TIMEOUT`.
     pub fn is_live(&self, now: Moment) -> bool {
         now.saturating_sub(self.last_heard) < SILENCE_TIMEOUT
     }
 }
 
-/// All hosts that were heard.
+/// All other known hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<HostId, Peer>,
 }
 
 impl Peers {
-    /// Takes a heartbeat in; true when it comes from a host that did not count as living.
+    /// Records a heartbeat. Returns whether its sender was not live before.
     pub fn record_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -55,21 +56,21 @@
         if known.is_some_and(|known| is_outdated(&info, known, now)) {
             return false;
         }
-        let new = known.is_none_or(|known| !known.is_live(now));
+        let is_new = known.is_none_or(|known| !known.is_live(now));
         let stamp = Some(stamp);
         let host = info.host.clone();
         let is_lost = false;
         let peer =
             Peer { declared_check, last_heard: now, is_lost, load, info, region, stamp, zone };
         self.peers.insert(host, peer);
-        new
+        is_new
     }
 
-    /// Takes another host's word of a host that spoke at `heard`; true when that one did not count
-    /// as living.
+    /// Records a host that another host last heard at `last_heard`. Returns whether it becomes
+    /// live.
     ///
-    /// Only ever prolongs a life: a host that was cut off from its zone, and tells of itself alone,
-    /// must not take the others out of look-ups.
+    /// Never makes a live host lost earlier: a host that is partitioned from its zone and reports
+    /// only itself must not remove the other hosts of the zone from look-ups.
     pub fn record_indirect(
         &mut self,
         info: HostInfo,
@@ -89,9 +90,9 @@
                 stamp: None,
                 zone: zone.clone(),
             };
-            let new = peer.is_live(now);
+            let is_new = peer.is_live(now);
             self.peers.insert(peer.info.host.clone(), peer);
-            return new;
+            return is_new;
         };
         if info.order() < known.info.order() && known.is_live(now) {
             return false;
@@ -101,23 +102,23 @@
         known.info = info;
         known.region = region.clone();
         known.zone = zone.clone();
-        let new = !was_live && known.is_live(now);
-        known.is_lost &= !new;
-        new
+        let is_new = !was_live && known.is_live(now);
+        known.is_lost &= !is_new;
+        is_new
     }
 
-    /// Hosts that live, in the order of their names.
+    /// Live hosts, ordered by name.
     pub fn live(&self, now: Moment) -> impl Iterator<Item = &Peer> + Clone {
         self.peers.values().filter(move |peer| peer.is_live(now))
     }
 
-    /// Hosts that have been silent for a while.
+    /// Known hosts that are not live.
     pub fn silent(&self, now: Moment) -> impl Iterator<Item = &Peer> + Clone {
         self.peers.values().filter(move |peer| !peer.is_live(now))
     }
 
-    /// Tells which hosts have fallen silent since the last call, and forgets those that were silent
-    /// for long.
+    /// Returns the hosts that have become silent since the last call, and removes hosts that have
+    /// been silent for `PEER_TTL`.
     pub fn detect_lost(&mut self, now: Moment) -> Vec<Peer> {
         let mut lost = Vec::new();
         for peer in self.peers.values_mut() {
@@ -131,8 +132,9 @@
     }
 }
 
-/// Datagrams overtake each other, and a start before the last has nothing to say. A clock that was
-/// set back would silence the host for good, so after a while any word counts.
+/// Whether a message was overtaken by a later one, or dates from before a restart of its sender.
+/// Messages from a silent host are always accepted: after its clock is set back, all its messages
+/// would otherwise be rejected.
 fn is_outdated(info: &HostInfo, known: &Peer, now: Moment) -> bool {
     info.order() <= known.info.order() && known.is_live(now)
 }
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -1,12 +1,12 @@
-//! What other zones last told of themselves.
+//! Latest reports of other zones.
 
 use super::{DeclaredCheck, Load, SILENCE_TIMEOUT, StateSource, ZoneReport};
 use crate::prelude::*;
 
-/// Time for which a report that covers few hosts of its zone does not replace a fuller one.
+/// Time for which a report that covers few hosts of its zone does not replace a more complete one.
 const PARTIAL_REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// The last reports by zone.
+/// The latest report of each zone.
 #[derive(Debug, Default)]
 pub struct Reports {
     zones: BTreeMap<ZoneId, LastReport>,
@@ -19,12 +19,13 @@
     host_count: usize,
     state_sources: Vec<StateSource>,
     load: Load,
-    /// The last word of each host that sent one.
+    /// Order of the latest report of each sender.
     orders: BTreeMap<HostId, (u64, u64)>,
 }
 
 impl Reports {
-    /// Takes a report in; false if it was known already. Its hosts are left to `Peers`.
+    /// Records a report, except for its hosts, which are recorded in `Peers`. Returns whether it is
+    /// new.
     pub fn record(&mut self, report: &ZoneReport, now: Moment) -> bool {
         let host_count = report.hosts.len();
         let last = self.zones.entry(report.zone.clone()).or_insert_with(|| LastReport {
@@ -37,14 +38,15 @@
         });
         let is_silent = SILENCE_TIMEOUT <= now.saturating_sub(last.received_at);
         let known = last.orders.get(&report.sender);
-        // A host whose clock went back is listened to again after a silence of its zone.
+        // After a silence of the zone any report is accepted, in case the clock of its sender was
+        // set back.
         if known.is_some_and(|known| report.order <= *known && !is_silent) {
             return false;
         }
         last.orders.retain(|host, _| report.hosts.iter().any(|(info, _)| info.host == *host));
         last.orders.insert(report.sender.clone(), report.order);
-        // A host that has just woken, or is cut off from its zone, knows of itself alone: its sums
-        // would make the zone's targets look idle for a moment.
+        // A host that has just resumed after a pause, or is partitioned from its zone, knows only
+        // its own load. Its sums would briefly make targets used by the zone look idle.
         let is_partial = host_count * 2 < last.host_count;
         if is_partial && now.saturating_sub(last.received_at) < PARTIAL_REPORT_DELAY {
             return true;
@@ -58,7 +60,7 @@
         true
     }
 
-    /// The loads of all zones that were heard lately.
+    /// Sums of the loads in each zone with a recent report.
     pub fn loads(&self, now: Moment) -> impl Iterator<Item = (&ZoneId, &Load)> {
         self.fresh(now).map(|(zone, last)| (zone, &last.load))
     }
@@ -68,7 +70,7 @@
         self.fresh(now).filter_map(|(_, last)| last.declared_check)
     }
 
-    /// The hosts of other zones that know most of the store.
+    /// Hosts of other zones with the latest versions of the store's state.
     pub fn state_sources(&self, now: Moment) -> impl Iterator<Item = (&ZoneId, &StateSource)> {
         self.fresh(now).flat_map(|(zone, last)| last.state_sources.iter().map(move |it| (zone, it)))
     }
--- a/src/fleet/rotation.rs
+++ b/src/fleet/rotation.rs
@@ -1,19 +1,21 @@
-//! Whose turn it is to send its zone's report, and to whom.
+//! Determines which host of a zone sends the zone's report, and to which hosts.
 //!
-//! All hosts of a zone agree by the time of day, without asking each other. Where their clocks
-//! differ, a turn comes a little early or late; where one of them was set wrong, its own turns do.
+//! The hosts of a zone derive the sender from the wall clock, without coordination. Clock skew
+//! makes a report slightly early or late; a wrong clock on one host affects only that host's
+//! reports.
 
-/// The turns of one kind of report.
+/// Schedule of one kind of report on this host.
 #[derive(Debug, Default)]
 pub struct Rotation {
-    last: Option<u64>,
+    last_slot: Option<u64>,
 }
 
 impl Rotation {
-    /// Whether a host at `place` of `hosts` has a turn between the last call and `slot`.
+    /// Whether the host with the given rank among `hosts` must send a report for any slot after
+    /// that of the previous call, up to `slot`.
     pub fn is_due(&mut self, slot: u64, rank: usize, hosts: usize) -> bool {
         let (rank, hosts) = (rank as u64, hosts.max(1) as u64);
-        let last = self.last.replace(slot);
+        let last = self.last_slot.replace(slot);
         let Some(last) = last.filter(|last| *last <= slot) else {
             return slot % hosts == rank;
         };
@@ -23,7 +25,7 @@
         (last + 1..=slot).any(|slot| slot % hosts == rank)
     }
 
-    /// The receivers of a slot: `count` of `all`, another one each time.
+    /// Selects `count` receivers of `all` for a slot. The selection rotates from slot to slot.
     pub fn receivers<T: Copy>(slot: u64, all: &[T], count: usize) -> Vec<T> {
         let first = slot.wrapping_mul(count as u64);
         let at = |step: usize| first.wrapping_add(step as u64) as usize % all.len();
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the picture of the fleet, over a network in memory.
+//! Tests of the gossip between hosts, over an in-memory network.
 
 mod convergence;
 mod network;
--- a/src/fleet/tests/convergence.rs
+++ b/src/fleet/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! A whole fleet: starts, losses, cuts, news, and what they cost.
+//! Convergence after starts, losses, partitions and changes, and the traffic of the protocol.
 
 use super::network::{Host, Network, zone};
 use crate::{
@@ -6,25 +6,25 @@
     prelude::*,
 };
 
-/// All hosts start at once and know three addresses. Within two seconds each knows all others and
-/// what they run, although hardly any of them ever spoke to each other.
+/// Guards against hosts that do not discover all others within two seconds, and their load soon
+/// after, when all start at once with three seeds. Most hosts never exchange messages directly.
 #[test]
-fn a_fleet_finds_itself() {
+fn all_hosts_discover_each_other() {
     for hosts in [1, 2, 20] {
         let mut network = Network::new(hosts);
         network.run(20);
-        assert_eq!(network.known(), (9 * hosts - 1, 9 * hosts - 1), "{hosts} a zone");
+        assert_eq!(network.live_counts(), (9 * hosts - 1, 9 * hosts - 1), "{hosts} hosts per zone");
         network.run(10);
         let all = 9 * hosts as u32 - 1;
-        assert_eq!(network.in_flight(0), all, "each host's requests count once");
+        assert_eq!(network.in_flight(0), all, "the requests of each host count once");
         assert_eq!(network.in_flight(9 * hosts - 1), all);
     }
 }
 
-/// Half of all hosts die, among them all seeds and most hosts of a zone. The others take them for
-/// lost in time, keep each other, and go on hearing what they run.
+/// Guards against surviving hosts that lose each other or their loads, or keep lost hosts live,
+/// when half of all hosts fail, among them all seeds and most hosts of one zone.
 #[test]
-fn half_of_a_fleet_dies() {
+fn survivors_converge_after_half_of_all_hosts_fail() {
     let mut network = Network::new(10);
     network.run(40);
     for at in (0..90).filter(|at| at % 2 == 0 || at % 9 == 4) {
@@ -32,43 +32,45 @@
     }
     let left = network.hosts.iter().filter(|host| host.is_up).count();
     network.run(25);
-    assert_eq!(network.known(), (left - 1, left - 1));
+    assert_eq!(network.live_counts(), (left - 1, left - 1));
     network.run(10);
     assert_eq!(network.in_flight(1), left as u32 - 1);
 }
 
-/// A host starts anew while the fleet runs. It knows all, and is known to all, within a second.
+/// Guards against a new host that takes more than a second to discover all others, or to be
+/// discovered.
 #[test]
-fn a_new_host_is_known_soon() {
+fn a_new_host_is_discovered_within_a_second() {
     let mut network = Network::new(10);
     network.run(40);
     network.start(90, 5);
     network.run(10);
-    assert_eq!(network.known(), (90, 90));
+    assert_eq!(network.live_counts(), (90, 90));
 }
 
-/// All hosts are killed and start again at once, under other names: nobody is left to ask.
+/// Guards against hosts that do not discover each other after all of them are killed and start
+/// again at once, so that no running host can be asked for contacts.
 #[test]
-fn a_herd_returns() {
+fn all_hosts_discover_each_other_after_a_restart_of_all() {
     let mut network = Network::new(10);
     network.run(40);
     network.hosts.iter_mut().for_each(|host| host.is_up = false);
     let before = network.hosts.len();
     for at in 0..90 {
-        // The seeds' addresses are those of before.
+        // The addresses of the seeds stay the same.
         let taken = network.hosts.iter().position(|host| *host.name == *format!("h-{at:03}"));
-        network.hosts.remove(taken.expect("it was started"));
+        network.hosts.remove(taken.expect("a host with this name was started"));
         network.start(at, at % 9);
     }
     assert_eq!(network.hosts.len(), before);
     network.run(20);
-    assert_eq!(network.known(), (89, 89));
+    assert_eq!(network.live_counts(), (89, 89));
 }
 
-/// Hosts are replaced for good under new addresses, again and again. Nobody goes on probing those
-/// that are gone: an hour later each host sends what it sent before.
+/// Guards against replaced hosts whose addresses are probed forever, so that the number of messages
+/// grows with each replacement.
 #[test]
-fn hosts_that_are_gone_are_not_probed_for_ever() {
+fn replaced_hosts_are_not_probed_forever() {
     let mut network = Network::new(2);
     network.run(40);
     let sent = |network: &mut Network| {
@@ -84,60 +86,60 @@
         network.start(at, (0..9).find(|it| zone(*it) == gone.zone).expect("a zone"));
         network.run(20);
     }
-    assert!(before < sent(&mut network), "they are probed at first");
+    assert!(before < sent(&mut network), "replaced hosts are probed at first");
     network.run(1_300);
     assert_eq!(sent(&mut network), before);
 }
 
-/// Zones lose each other, one way only. The side that hears nothing takes the other for lost, the
-/// other goes on hearing it; both know all again soon after the cut.
+/// Guards against a one-way partition between two zones that affects the direction still connected,
+/// or that leaves hosts lost after it ends.
 #[test]
-fn a_one_way_cut_heals() {
+fn a_one_way_partition_heals() {
     let mut network = Network::new(4);
     network.run(40);
-    network.cut.insert((zone(0), zone(1)));
+    network.partitions.insert((zone(0), zone(1)));
     network.run(30);
-    let sees = |network: &Network, of: usize, other: usize| {
+    let live_in_zone = |network: &Network, of: usize, other: usize| {
         let hosts = network.hosts.iter().filter(|host| host.zone == zone(of));
-        let known = |zone: &ZoneId, it: &crate::fleet::Peer| it.zone == *zone;
+        let is_in = |zone: &ZoneId, peer: &crate::fleet::Peer| peer.zone == *zone;
         let counts: Vec<usize> = hosts
             .map(|host| {
                 let live = host.fleet.live(network.now);
-                live.filter(|peer| known(&zone(other), peer)).count()
+                live.filter(|peer| is_in(&zone(other), peer)).count()
             })
             .collect();
         counts
     };
-    assert_eq!(sees(&network, 1, 0), [0; 4]);
-    assert_eq!(sees(&network, 0, 1), [4; 4]);
-    network.cut.clear();
+    assert_eq!(live_in_zone(&network, 1, 0), [0; 4]);
+    assert_eq!(live_in_zone(&network, 0, 1), [4; 4]);
+    network.partitions.clear();
     network.run(20);
-    assert_eq!(network.known(), (35, 35));
+    assert_eq!(network.live_counts(), (35, 35));
 }
 
-/// A region is cut off for longer than hosts wait for each other. Each side goes on by itself, and
-/// they find each other again without the seeds or the store.
+/// Guards against regions that do not discover each other again after a partition that lasts much
+/// longer than `SILENCE_TIMEOUT`. Neither the seeds nor the store are needed for this.
 #[test]
-fn a_region_that_was_cut_off_is_found_again() {
+fn a_partitioned_region_is_discovered_again() {
     let mut network = Network::new(4);
     network.run(40);
     for inside in 0..3 {
         for outside in 3..9 {
-            network.cut.insert((zone(inside), zone(outside)));
-            network.cut.insert((zone(outside), zone(inside)));
+            network.partitions.insert((zone(inside), zone(outside)));
+            network.partitions.insert((zone(outside), zone(inside)));
         }
     }
     network.run(100);
-    assert_eq!(network.known(), (11, 23));
-    network.cut.clear();
+    assert_eq!(network.live_counts(), (11, 23));
+    network.partitions.clear();
     network.run(20);
-    assert_eq!(network.known(), (35, 35));
+    assert_eq!(network.live_counts(), (35, 35));
 }
 
-/// One host of a region learns of a new declaration. All of its region hear at once who knows it,
-/// not with the next reports.
+/// Guards against a region that learns only with the next periodic reports which of its hosts has a
+/// new declaration.
 #[test]
-fn news_is_told_at_once() {
+fn a_new_declaration_is_announced_immediately() {
     let mut network = Network::new(6);
     network.run(40);
     let revisions = Revisions { declared: 9, ..Revisions::default() };
@@ -147,8 +149,8 @@
     assert_eq!(region.len(), 18);
     for host in &region[1..] {
         let mut sources = host.fleet.state_sources(network.now);
-        let told = sources.any(|(_, it)| it.stamp == stamp && it.control == region[0].gossip);
-        assert!(told, "{}", host.name);
+        let is_known = sources.any(|(_, it)| it.stamp == stamp && it.control == region[0].gossip);
+        assert!(is_known, "{}", host.name);
     }
     network.run(15);
     for host in network.hosts.iter().filter(|host| !host.zone.starts_with("r0")) {
@@ -157,9 +159,10 @@
     }
 }
 
-/// A host leaves as planned: hosts everywhere take it out of their look-ups at once.
+/// Guards against a planned stop that some hosts learn late, so that their look-ups still return
+/// the leaving host.
 #[test]
-fn a_leave_is_told_everywhere() {
+fn a_planned_stop_is_announced_to_all_regions() {
     let mut network = Network::new(6);
     network.run(40);
     network.hosts[0].own.leaving = true;
@@ -171,16 +174,16 @@
     assert!(network.hosts[1..].iter().all(leaving));
 }
 
-/// Twice the hosts send each other about four times as much where each sends to each. Between
-/// zones and between regions it must not grow faster than the hosts.
+/// Guards against traffic between zones and regions that grows faster than the number of hosts. If
+/// each host sent messages to every other one, twice the hosts would cause four times the traffic.
 #[test]
-fn bytes_between_zones_grow_with_the_hosts_alone() {
+fn cross_zone_traffic_grows_linearly_with_the_hosts() {
     let cost = |hosts: usize| {
         let mut network = Network::new(hosts);
         network.run(60);
-        (network.between_zones, network.between_regions) = (0, 0);
+        (network.cross_zone_bytes, network.cross_region_bytes) = (0, 0);
         network.run(50);
-        (network.between_zones as f64, network.between_regions as f64)
+        (network.cross_zone_bytes as f64, network.cross_region_bytes as f64)
     };
     let (few, many) = (cost(8), cost(16));
     assert!(many.0 < 2.2 * few.0, "{few:?} {many:?}");
--- a/src/fleet/tests/network.rs
+++ b/src/fleet/tests/network.rs
@@ -1,4 +1,4 @@
-//! Hosts of several zones over a network in memory; each tick is a tenth of a second.
+//! In-memory network between hosts of several zones.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +9,10 @@
     prelude::*,
 };
 
-/// Length of a tick.
+/// Duration of a tick.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// One host.
+/// A simulated host.
 pub struct Host {
     pub fleet: Fleet,
     pub gossip: SocketAddr,
@@ -22,33 +22,34 @@
     pub zone: ZoneId,
 }
 
-/// Hosts, and what is on its way between them.
+/// Simulated hosts, and the messages between them.
 pub struct Network {
     pub hosts: Vec<Host>,
-    /// Zones between which nothing passes, one way.
-    pub cut: BTreeSet<(ZoneId, ZoneId)>,
-    /// Bytes that were sent from zone to zone in one region, and from region to region.
-    pub between_zones: usize,
-    pub between_regions: usize,
-    /// Messages in flight, with the zone that they come from.
-    flying: Vec<(ZoneId, Outgoing)>,
+    /// Zone pairs whose messages from the first to the second zone are lost.
+    pub partitions: BTreeSet<(ZoneId, ZoneId)>,
+    /// Bytes sent between zones of the same region, and between regions.
+    pub cross_zone_bytes: usize,
+    pub cross_region_bytes: usize,
+    /// Messages in transit, with the zone of the sender.
+    in_transit: Vec<(ZoneId, Outgoing)>,
     pub now: Moment,
     pub seeds: Vec<SocketAddr>,
-    /// Messages that were sent.
+    /// Number of messages sent.
     pub sent: usize,
     zones: BTreeMap<ZoneId, RegionId>,
 }
 
 impl Network {
-    /// Three regions of three zones with that many hosts each; one host of each region is a seed.
+    /// Creates three regions of three zones with `hosts` hosts each. One host of each region is a
+    /// seed.
     pub fn new(hosts: usize) -> Self {
         let zone = |at: usize| (zone(at), RegionId::from(format!("r{}", at / 3)));
         let mut network = Self {
             hosts: Vec::new(),
-            cut: BTreeSet::new(),
-            between_zones: 0,
-            between_regions: 0,
-            flying: Vec::new(),
+            partitions: BTreeSet::new(),
+            cross_zone_bytes: 0,
+            cross_region_bytes: 0,
+            in_transit: Vec::new(),
             now: Duration::from_secs(100),
             seeds: vec![addr(10_000), addr(10_003), addr(10_006)],
             sent: 0,
@@ -60,7 +61,7 @@
         network
     }
 
-    /// Starts the host with that number, in that zone.
+    /// Starts a host with the given index in the given zone.
     pub fn start(&mut self, at: usize, in_zone: usize) {
         let name: HostId = format!("h-{at:03}").into();
         let (zone, gossip) = (zone(in_zone), addr(10_000 + at as u16));
@@ -80,7 +81,7 @@
         self.hosts.push(Host { fleet, gossip, is_up: true, name, own, zone });
     }
 
-    /// Lets a tick pass: all that is sent arrives within it.
+    /// Advances the time by one tick. All messages sent in a tick are delivered in it.
     pub fn tick(&mut self) {
         self.now += TICK;
         let slot = (self.now.as_millis() / TICK.as_millis()) as u64;
@@ -99,7 +100,7 @@
         (0..ticks).for_each(|_| self.tick());
     }
 
-    /// One host tells news.
+    /// Lets one host announce a stamp.
     pub fn announce(&mut self, at: usize, stamp: Stamp) {
         let host = &mut self.hosts[at];
         host.own.stamp = stamp;
@@ -110,20 +111,21 @@
 
     fn send(&mut self, at: usize, all: Vec<Outgoing>) {
         let zone = self.hosts[at].zone.clone();
-        self.flying.extend(all.into_iter().map(|outgoing| (zone.clone(), outgoing)));
+        self.in_transit.extend(all.into_iter().map(|outgoing| (zone.clone(), outgoing)));
     }
 
     fn deliver(&mut self) {
-        while let Some((from, Outgoing { message, to })) = self.flying.pop() {
-            let size = postcard::to_allocvec(&message).expect("it has a form").len();
+        while let Some((from, Outgoing { message, to })) = self.in_transit.pop() {
+            let size = postcard::to_allocvec(&message).expect("a message can be encoded").len();
             for addr in to {
                 self.sent += 1;
                 let Some(at) = self.hosts.iter().position(|host| host.gossip == addr) else {
                     continue;
                 };
-                self.count(&from, at, size);
-                let is_cut = self.cut.contains(&(from.clone(), self.hosts[at].zone.clone()));
-                if self.hosts[at].is_up && !is_cut {
+                self.count_bytes(&from, at, size);
+                let is_partitioned =
+                    self.partitions.contains(&(from.clone(), self.hosts[at].zone.clone()));
+                if self.hosts[at].is_up && !is_partitioned {
                     self.receive(at, message.clone());
                 }
             }
@@ -135,24 +137,24 @@
         self.send(at, received.send);
     }
 
-    fn count(&mut self, from: &ZoneId, to: usize, size: usize) {
+    fn count_bytes(&mut self, from: &ZoneId, to: usize, size: usize) {
         let to = &self.hosts[to].zone;
         if self.zones[from] != self.zones[to] {
-            self.between_regions += size;
+            self.cross_region_bytes += size;
         } else if from != to {
-            self.between_zones += size;
+            self.cross_zone_bytes += size;
         }
     }
 
-    /// Hosts that each host that is up takes for living, itself not counted: least and most.
-    pub fn known(&self) -> (usize, usize) {
-        let known = |host: &Host| host.fleet.live(self.now).count();
-        let known: Vec<usize> = self.hosts.iter().filter(|host| host.is_up).map(known).collect();
-        let least = known.iter().min().copied().unwrap_or_default();
-        (least, known.iter().max().copied().unwrap_or_default())
+    /// Lowest and highest number of other hosts that a running host considers live.
+    pub fn live_counts(&self) -> (usize, usize) {
+        let count = |host: &Host| host.fleet.live(self.now).count();
+        let counts: Vec<usize> = self.hosts.iter().filter(|host| host.is_up).map(count).collect();
+        let lowest = counts.iter().min().copied().unwrap_or_default();
+        (lowest, counts.iter().max().copied().unwrap_or_default())
     }
 
-    /// Requests at the one target that all hosts use, as a host sees those of all others.
+    /// Requests of all other hosts in flight at the only target, according to the given host.
     pub fn in_flight(&self, at: usize) -> u32 {
         let loads = self.hosts[at].fleet.loads(self.now);
         loads.flat_map(|(_, load)| &load.in_flight).map(|(_, count)| u32::from(*count)).sum()
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Who lives.
+//! Liveness of hosts.
 
 use super::{addr, heartbeat, info, secs};
 use crate::{
@@ -6,9 +6,10 @@
     prelude::*,
 };
 
-/// A silent host is taken for lost within two seconds, and lives again with its next word.
+/// Guards against a silent host that is live for more than two seconds, or stays lost after its
+/// next heartbeat.
 #[test]
-fn silence_is_loss() {
+fn a_silent_host_is_lost_until_it_is_heard_again() {
     let mut peers = Peers::default();
     assert!(peers.record_heartbeat(heartbeat("h", 1, 1), "north".into(), secs(1.0)));
     assert!(!peers.record_heartbeat(heartbeat("h", 1, 2), "north".into(), secs(1.5)));
@@ -18,9 +19,9 @@
     assert_eq!(peers.live(secs(4.0)).count(), 1);
 }
 
-/// A lost host is told once, and again only after it was heard.
+/// Guards against a lost host that is reported more than once before it is heard again.
 #[test]
-fn a_loss_is_told_once() {
+fn a_lost_host_is_reported_once() {
     let mut peers = Peers::default();
     peers.record_heartbeat(heartbeat("h", 1, 1), "north".into(), secs(1.0));
     assert!(peers.detect_lost(secs(2.0)).is_empty());
@@ -31,9 +32,10 @@
     assert_eq!(peers.detect_lost(secs(7.0)).len(), 1);
 }
 
-/// A datagram that was overtaken, or comes from the start before the last, says nothing.
+/// Guards against datagrams that arrive late, or date from before a restart, and replace newer
+/// state.
 #[test]
-fn old_words_do_not_count() {
+fn outdated_heartbeats_are_ignored() {
     let leaving = |start_ms, sequence| Heartbeat {
         info: HostInfo { leaving: true, ..info("h", start_ms, sequence) },
         ..heartbeat("h", start_ms, sequence)
@@ -45,33 +47,34 @@
     assert!(peers.live(secs(1.3)).all(|peer| !peer.info.leaving));
 }
 
-/// A host starts again after its wall clock was set back: by its start it would be older than
-/// before. After a silence its words count all the same.
+/// Guards against a host that is ignored for good after it restarts with its wall clock set back,
+/// so that its start time is lower than before.
 #[test]
-fn a_host_whose_clock_went_back_is_heard_again() {
+fn a_host_is_heard_again_after_its_clock_is_set_back() {
     let mut peers = Peers::default();
     peers.record_heartbeat(heartbeat("h", 9_000, 5), "north".into(), secs(1.0));
     peers.record_heartbeat(heartbeat("h", 4_000, 1), "north".into(), secs(3.0));
     assert_eq!(peers.live(secs(3.0)).map(|peer| peer.info.start_ms).collect::<Vec<_>>(), [4_000]);
 }
 
-/// A host of another zone is told of by two reports that cross. The one that saw it later counts,
-/// and the other one does not end its life sooner; when nobody hears it any more it is lost.
+/// Guards against a host of another zone that is lost early because an older report arrives after a
+/// newer one, or that stays live because reports repeat state from before its silence.
 #[test]
-fn the_latest_word_of_a_host_counts() {
+fn the_latest_time_at_which_a_host_was_heard_counts() {
     let (zone, region) = (ZoneId::from("north-b"), RegionId::from("north"));
     let mut peers = Peers::default();
     assert!(peers.record_indirect(info("h", 1, 7), &zone, &region, secs(1.9), secs(2.0)));
     assert!(!peers.record_indirect(info("h", 1, 6), &zone, &region, secs(1.2), secs(2.1)));
     assert_eq!(peers.live(secs(3.5)).count(), 1);
     assert!(!peers.record_indirect(info("h", 1, 7), &zone, &region, secs(1.9), secs(3.5)));
-    assert_eq!(peers.live(secs(3.7)).count(), 0, "told again, but silent since");
+    assert_eq!(peers.live(secs(3.7)).count(), 0, "reported again, but silent since");
     assert!(peers.record_indirect(info("h", 1, 9), &zone, &region, secs(3.8), secs(3.9)));
 }
 
-/// A datagram is read back as it was written, and damaged ones are refused or read, never a panic.
+/// Guards against a datagram that is decoded differently from how it was encoded, and against a
+/// panic while a damaged one is decoded.
 #[test]
-fn datagrams_survive_the_way_and_damage() {
+fn datagrams_round_trip_and_damage_causes_no_panic() {
     let mut sent = heartbeat("h", 1, 2);
     sent.load.in_flight = vec![(7, 3)];
     sent.load.recent_objects = vec![(7, 11)];
--- a/src/fleet/tests/reports.rs
+++ b/src/fleet/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What zones tell of themselves.
+//! Zone reports, and the rotation of their senders and receivers.
 
 use super::{info, secs};
 use crate::{
@@ -25,33 +25,37 @@
     reports.loads(now).flat_map(|(_, load)| &load.in_flight).map(|(_, count)| *count).next()
 }
 
-/// A report comes twice, by two hosts of the own zone: it counts, and is passed on, once.
+/// Guards against a report that is recorded and forwarded twice because two hosts of the own zone
+/// deliver it.
 #[test]
-fn a_report_counts_once() {
+fn a_report_is_recorded_once() {
     let mut reports = Reports::default();
     assert!(reports.record(&report("h-1", 3, 4, 9), secs(1.0)));
     assert!(!reports.record(&report("h-1", 3, 4, 9), secs(1.0)));
     assert!(!reports.record(&report("h-1", 2, 4, 1), secs(1.1)));
-    assert!(reports.record(&report("h-2", 1, 4, 5), secs(1.2)), "another host counts for itself");
+    assert!(
+        reports.record(&report("h-2", 1, 4, 5), secs(1.2)),
+        "each sender has an order of its own"
+    );
     assert_eq!(in_flight(&reports, secs(1.2)), Some(5));
-    assert_eq!(in_flight(&reports, secs(3.0)), None, "a zone that is silent tells nothing");
+    assert_eq!(in_flight(&reports, secs(3.0)), None, "the report of a silent zone has expired");
 }
 
-/// A host that was frozen wakes and tells of itself alone. Its sums would make all targets that its
-/// zone keeps busy look idle, and they would be sent more than they hold.
+/// Guards against overloaded targets: a host that resumes after a pause reports only its own load,
+/// and its report would make all targets used by its zone look idle.
 #[test]
-fn a_host_alone_does_not_speak_for_its_zone() {
+fn a_partial_report_does_not_replace_a_complete_one_at_once() {
     let mut reports = Reports::default();
     reports.record(&report("h-1", 3, 6, 9), secs(1.0));
     assert!(reports.record(&report("h-2", 1, 1, 0), secs(1.1)));
     assert_eq!(in_flight(&reports, secs(1.1)), Some(9));
     reports.record(&report("h-2", 2, 1, 0), secs(2.1));
-    assert_eq!(in_flight(&reports, secs(2.1)), Some(0), "the others may really be gone");
+    assert_eq!(in_flight(&reports, secs(2.1)), Some(0), "the other hosts may be down");
 }
 
-/// Loads of several hosts add up by target and by service, and each run is told once.
+/// Guards against sums that count a host twice or miss one, and against duplicate recent objects.
 #[test]
-fn loads_add_up() {
+fn loads_add_up_by_key() {
     let one = Load {
         crashes: vec![(1, 2)],
         demand: vec![(5, 0.5)],
@@ -73,9 +77,10 @@
     );
 }
 
-/// Each host of a zone has one turn in a round, also where its ticks come late or its clock jumps.
+/// Guards against a host that sends no report, or several at once, after a late tick or a clock
+/// change.
 #[test]
-fn turns_go_round() {
+fn hosts_of_a_zone_take_turns() {
     let mut hosts: Vec<Rotation> = (0..5).map(|_| Rotation::default()).collect();
     let mut turns = |slot: u64| -> Vec<usize> {
         let due = hosts.iter_mut().enumerate();
@@ -84,14 +89,18 @@
     assert_eq!(turns(10), [0]);
     assert_eq!(turns(11), [1]);
     assert!(turns(11).is_empty());
-    assert_eq!(turns(13), [2, 3], "a late tick takes the turn that it passed");
-    assert_eq!(turns(90), [0, 1, 2, 3, 4], "a long one takes one turn, not many");
-    assert_eq!(turns(40), [0], "and a clock that was set back goes on from there");
+    assert_eq!(turns(13), [2, 3], "a late tick sends the report of a skipped slot");
+    assert_eq!(
+        turns(90),
+        [0, 1, 2, 3, 4],
+        "a tick that is late by several rounds sends one report"
+    );
+    assert_eq!(turns(40), [0], "turns continue after the clock is set back");
 }
 
-/// Receivers change with each turn, so that one that is gone costs a report, not all.
+/// Guards against a lost host that is the receiver of all reports to its zone.
 #[test]
-fn receivers_take_turns() {
+fn receivers_rotate() {
     let all = ["a", "b", "c"];
     assert_eq!(Rotation::receivers(4, &all, 1), ["b"]);
     assert_eq!(Rotation::receivers(5, &all, 1), ["c"]);
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -1,9 +1,9 @@
 //! One token bucket per team, replicated on every host.
 //!
-//! A host takes tokens from its copy for the requests that it admits itself, and for those that other
-//! hosts admit at the rate that they last reported. Copies differ by the reports still in transit.
-//! When the arrival rate exceeds the limit, requests are admitted with a probability that leaves room
-//! for admissions that other hosts have not reported yet.
+//! A host takes tokens from its copy for the requests that it admits itself, and for those that
+//! other hosts admit at the rate that they last reported. Copies differ by the reports still in
+//! transit. When the arrival rate exceeds the limit, requests are admitted with a probability that
+//! leaves room for admissions that other hosts have not reported yet.
 
 use std::collections::HashMap;
 
@@ -13,8 +13,8 @@
 };
 use crate::{entry::TeamLimit, placement::NameTag, prelude::*};
 
-/// Twice the time for which admissions by other hosts stay unreported, in seconds. The factor of two
-/// damps oscillation: copies that correct the full difference at once would overshoot.
+/// Twice the time for which admissions by other hosts stay unreported, in seconds. The factor of
+/// two damps oscillation: copies that correct the full difference at once would overshoot.
 const UNREPORTED_SECS: f64 = 1.4;
 
 /// Capacity beyond the burst, as seconds of the rate and as requests. The guaranteed bound allows a
@@ -28,7 +28,8 @@
 /// Time within which all hosts have reported a surge that reaches every host.
 const SURGE_REPORT_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Highest fraction of the capacity at which the admitted rate balances the limit.
+/// Highest bucket level at which the admitted rate may balance the limit, as a fraction of the
+/// capacity.
 const MAX_BALANCE_FRACTION: f64 = 0.8;
 
 /// Largest debt of a bucket, in seconds of the rate.
@@ -43,11 +44,12 @@
 /// below one keeps hosts without reports of each other from all admitting a request at once.
 const CAPACITY_MIN: f64 = 0.75;
 
-/// Fraction of the capacity with which a host starts that joins running hosts.
+/// Level to which a host fills its buckets when it joins running hosts, as a fraction of the
+/// capacity.
 const JOIN_FRACTION: f64 = 0.5;
 
-/// Fraction of the limit from which a team counts as at its limit, so that the copies on other hosts
-/// are empty.
+/// Fraction of the limit at which a team is considered to be at its limit, so that the copies on
+/// other hosts are empty.
 const AT_LIMIT_FRACTION: f64 = 0.9;
 
 /// The bucket copies of one host.
@@ -64,6 +66,7 @@
 struct Bucket {
     /// When the local arrivals began to imply a rate higher than the reported one.
     surge_since: Option<Moment>,
+    /// Number of available tokens; negative while the bucket is in debt.
     level: f64,
     limit: TeamLimit,
     /// Time up to which refill and reported admissions are included in `level`.
@@ -137,8 +140,8 @@
     fn admission_probability(&mut self, inputs: Inputs, now: Moment) -> f64 {
         let own = f64::from(self.window.counts(now).0);
         let reported_rate = rate(inputs.peer_counts.0) + own / REPORT_WINDOW.as_secs_f64();
-        // Assumes that every live host receives at least the lower confidence bound of the local rate,
-        // so that a surge takes effect before other hosts report it.
+        // Assumes that every live host receives at least the lower confidence bound of the local
+        // rate, so that a surge takes effect before other hosts report it.
         let own_rate_min =
             (own - SURGE_DEVIATIONS * own.sqrt()).max(0.0) / REPORT_WINDOW.as_secs_f64();
         let surge_rate = own_rate_min * inputs.live_hosts as f64;
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,11 +1,11 @@
 //! Admission of team requests, so that all hosts together stay within the limit of each team.
 //!
-//! Time, random draws and the reports of other hosts are passed in as values. A host decides without
-//! asking another one. Each host reports how many requests of a team recently arrived and were
-//! admitted; the error of a decision is bounded by what other hosts have not reported yet.
+//! Time, random draws and the reports of other hosts are passed in as values. A host decides
+//! without asking another one. Each host reports how many requests of a team recently arrived and
+//! were admitted; the error of a decision is bounded by what other hosts have not reported yet.
 //!
-//! Load pattern: one team sends many times its limit to all hosts at once, while many other teams send
-//! a few requests per second, each to a different host.
+//! Load pattern: one team sends many times its limit to all hosts at once, while many other teams
+//! send a few requests per second, each to a different host.
 
 mod bucket;
 #[cfg(test)]
--- a/src/quota/tests/model.rs
+++ b/src/quota/tests/model.rs
@@ -47,7 +47,8 @@
     /// Half of the hosts are killed at 12 s and restart without state 2 s later.
     Killed,
     None,
-    /// From 12 s on, one region and the others receive no reports from each other; all keep running.
+    /// From 12 s on, one region and the others receive no reports from each other; all keep
+    /// running.
     Partitioned,
     /// All hosts are killed at 12 s and restart immediately.
     Restarted,
@@ -76,7 +77,7 @@
 
 struct Host {
     quota: Box<dyn Quota>,
-    /// Time of the start, from which its state dates.
+    /// Time of the last start. The host has no state from before.
     started: Moment,
 }
 
@@ -140,8 +141,8 @@
             }
             let verdict = hosts[at].quota.admit(TEAM, rng.random(), now);
             let is_within_limit = !is_overload || scenario.load_factor <= 1.0;
-            // Excludes the startup of all hosts, and the time after an overload while buckets may be in
-            // debt.
+            // Excludes the startup of all hosts, and the time after an overload while buckets may
+            // be in debt.
             let counts = is_within_limit && 2.0 < secs && !(18.0..24.0).contains(&secs);
             eligible += u32::from(counts);
             match verdict {
@@ -264,8 +265,8 @@
     }
 }
 
-/// Guards against isolated hosts that reject nearly all requests of a team with a low limit, because
-/// their share of the capacity is below one request.
+/// Guards against isolated hosts that reject nearly all requests of a team with a low limit,
+/// because their share of the capacity is below one request.
 #[test]
 fn few_requests_below_the_limit_are_rejected_with_isolated_hosts() {
     for seed in 0..2 {
@@ -279,10 +280,10 @@
     }
 }
 
-/// Guards against a change that invalidates the choice of the strategy; prints the table of
-/// docs/design/shifted-work.md.
+/// Guards against a change that invalidates the choice of the shared bucket. Prints the results of
+/// each strategy as rows of the table in docs/design/shifted-work.md.
 #[test]
-#[expect(clippy::print_stdout, reason = "the table")]
+#[expect(clippy::print_stdout, reason = "prints the result table")]
 fn strategies_compared() {
     let mut worst: BTreeMap<&str, Outcome> = BTreeMap::new();
     for (name, strategy) in STRATEGIES {
--- a/src/quota/tests/share.rs
+++ b/src/quota/tests/share.rs
@@ -1,8 +1,8 @@
 //! A separate token bucket per host, with a share of the team's limit.
 //!
-//! Delayed reports cannot cause the limit to be exceeded as long as the shares add up to it. Capacity
-//! that a host does not use is unavailable to the others, which causes rejections for a team whose few
-//! requests are spread over many hosts.
+//! Delayed reports cannot cause the limit to be exceeded as long as the shares add up to it.
+//! Capacity that a host does not use is unavailable to the others, which causes rejections for a
+//! team whose few requests are spread over many hosts.
 
 use std::collections::HashMap;
 
--- a/src/quota/window.rs
+++ b/src/quota/window.rs
@@ -47,7 +47,7 @@
         if self.buckets.back().is_none_or(|(last, _)| *last < index) {
             self.buckets.push_back((index, (0, 0)));
         }
-        &mut self.buckets.back_mut().expect("one was just pushed").1
+        &mut self.buckets.back_mut().expect("the bucket of this time exists").1
     }
 }
 
