--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -9,10 +9,12 @@
 
 use super::{
     CallerNote, KnownTarget, ReplyNote, Team, TrafficState,
-    answer::{Answer, AnswerBody, Relay, RelayEnd, strip},
-    bodies::HeldBody,
+    body_memory::BodyReservation,
+    response::{
+        CallerResponse, ResponseBody, StreamCompletion, StreamingBody, remove_hop_by_hop_headers,
+    },
     traffic_state::InFlight,
-    upstream::{Line, SendError, connect, keep_alive},
+    upstream::{SendError, TargetConnection, connect, keep_alive_timeout},
 };
 use crate::{
     base::with_cause,
@@ -21,16 +23,16 @@
     prelude::*,
 };
 
-/// Largest answer that is held whole before its head goes out: it can then be asked for again
+/// Largest response that is held whole before its head goes out: it can then be asked for again
 /// elsewhere if it breaks off. Larger ones are passed on as they arrive.
-const WHOLE_BYTES: u64 = 64 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// How an attempt ended.
 pub enum AttemptOutcome {
-    /// The target's answer, whole or on its way.
-    Answer(Answer),
+    /// The target's response, whole or on its way.
+    Response(CallerResponse),
     /// The target's own failure, whole; another target may do better.
-    Poor(Answer),
+    TargetError(CallerResponse),
     /// It has not run there and never will.
     NotRun(ErrorKind),
     /// It may have run.
@@ -41,7 +43,7 @@
 pub struct OutboundRequest {
     pub body: Bytes,
     /// Its memory; free again when the last attempt has ended.
-    pub _held: HeldBody,
+    pub _body_reservation: BodyReservation,
     pub deadline: Moment,
     pub fingerprint: u64,
     pub head: Parts,
@@ -52,73 +54,76 @@
     pub team: Option<Arc<Team>>,
 }
 
-/// Sends the request to a target and takes its answer in.
+/// Sends the request to a target and takes its response in.
 pub async fn send_attempt(
     state: Rc<TrafficState>,
     request: Rc<OutboundRequest>,
     target: Arc<KnownTarget>,
-    running: InFlight,
+    in_flight: InFlight,
 ) -> AttemptOutcome {
     let mut guard = AttemptGuard {
         state: state.clone(),
         request: request.clone(),
         target: target.clone(),
-        forecast: running.forecast,
-        started: running.started,
-        connect: None,
-        done: false,
+        forecast: in_flight.forecast,
+        started: in_flight.started,
+        connect_time: None,
+        is_recorded: false,
         first_byte: None,
     };
-    let mut line = match line(&state, &target).await {
-        Ok(line) => line,
-        Err(error) => return guard.unsent(&error),
+    let mut connection = match acquire_connection(&state, &target).await {
+        Ok(connection) => connection,
+        Err(error) => return guard.not_sent(&error),
     };
-    guard.connect = (!line.reused).then(|| guard.took());
-    if let Some(took) = guard.connect {
-        state.connected(&target, took);
+    guard.connect_time = (!connection.reused).then(|| guard.elapsed());
+    if let Some(took) = guard.connect_time {
+        state.record_connect(&target, took);
     }
-    let mut sent = line.send(order(&state, &request, &target)).await;
+    let mut sent = connection.send(build_request(&state, &request, &target)).await;
     if let Err(SendError::NotSent(reason)) = &sent
-        && line.reused
+        && connection.reused
     {
         // The target closed an idle connection; no byte was written, so a new one may serve.
         log::debug!("{}: idle connection was closed: {reason}", target.entry.id);
-        line = match connect(target.entry.addr).await {
-            Ok(line) => line,
-            Err(error) => return guard.unsent(&error),
+        connection = match connect(target.entry.addr).await {
+            Ok(connection) => connection,
+            Err(error) => return guard.not_sent(&error),
         };
-        sent = line.send(order(&state, &request, &target)).await;
+        sent = connection.send(build_request(&state, &request, &target)).await;
     }
-    let answer = match sent {
-        Ok(answer) => answer,
+    let response = match sent {
+        Ok(response) => response,
         Err(SendError::Lost(reason)) => return guard.lost(&reason),
-        Err(error) => return guard.unsent(&error),
+        Err(error) => return guard.not_sent(&error),
     };
-    guard.first_byte = Some(guard.took());
-    let note = state.protocol.reply(answer.status(), answer.headers());
+    guard.first_byte = Some(guard.elapsed());
+    let note = state.protocol.reply(response.status(), response.headers());
     if note.not_run || note.other_target {
-        return guard.refused(&note, answer, line).await;
+        return guard.refused(&note, response, connection).await;
     }
-    let strange = note.attempt != request.note.attempt;
-    if strange || (answer.status().is_success() && !note.signed) {
-        // An answer to an earlier request, or one that no target gave. Whatever comes on this
+    let is_mismatched = note.attempt != request.note.attempt;
+    if is_mismatched || (response.status().is_success() && !note.signed) {
+        // A response to an earlier request, or one that no target gave. Whatever comes on this
         // connection next can't be told from it, so the connection is closed.
-        return guard.lost("the answer is another request's");
+        return guard.lost("the response is another request's");
     }
-    guard.take(note, answer, line, running).await
+    guard.receive_response(note, response, connection, in_flight).await
 }
 
 /// An idle connection, or a new one.
-async fn line(state: &TrafficState, target: &KnownTarget) -> super::upstream::Result<Line> {
+async fn acquire_connection(
+    state: &TrafficState,
+    target: &KnownTarget,
+) -> super::upstream::Result<TargetConnection> {
     let idle = state.pool.borrow_mut().take(target, state.clock.now());
     match idle {
-        Some(line) => Ok(line),
+        Some(connection) => Ok(connection),
         None => connect(target.entry.addr).await,
     }
 }
 
 /// The request as the target gets it.
-fn order(
+fn build_request(
     state: &TrafficState,
     request: &OutboundRequest,
     target: &KnownTarget,
@@ -128,7 +133,7 @@
     *req.uri_mut() = request.head.uri.clone();
     let headers = req.headers_mut();
     *headers = request.head.headers.clone();
-    strip(headers);
+    remove_hop_by_hop_headers(headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     let left = request.deadline.saturating_sub(state.clock.now());
@@ -142,9 +147,9 @@
     forecast: Forecast,
     state: Rc<TrafficState>,
     /// Time to a new connection.
-    connect: Option<Duration>,
-    done: bool,
-    /// Time to the head of the answer.
+    connect_time: Option<Duration>,
+    is_recorded: bool,
+    /// Time to the head of the response.
     first_byte: Option<Duration>,
     request: Rc<OutboundRequest>,
     started: Moment,
@@ -153,9 +158,9 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if !self.done {
-            let took = self.took();
-            self.ended(
+        if !self.is_recorded {
+            let took = self.elapsed();
+            self.record_end(
                 Ended::Cancelled(took),
                 AttemptEnd::Cancelled,
                 "nobody waits for it any more",
@@ -166,42 +171,42 @@
 
 impl AttemptGuard {
     /// The time without that for a new connection.
-    fn answered(&self) -> Ended {
-        Ended::Answered(self.took().saturating_sub(self.connect.unwrap_or_default()))
+    fn answered_end(&self) -> Ended {
+        Ended::Answered(self.elapsed().saturating_sub(self.connect_time.unwrap_or_default()))
     }
 
-    fn took(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         self.state.clock.now().saturating_sub(self.started)
     }
 
-    fn ended(&mut self, ended: Ended, end: AttemptEnd, detail: &str) {
-        self.done = true;
+    fn record_end(&mut self, ended: Ended, end: AttemptEnd, detail: &str) {
+        self.is_recorded = true;
         let left = self.request.deadline.saturating_sub(self.state.clock.now());
         let event = Event::AttemptEnded {
-            connect_ms: self.connect.map(|took| took.as_millis() as u64),
+            connect_ms: self.connect_time.map(|took| took.as_millis() as u64),
             left_ms: left.as_millis() as u64,
             end,
             first_byte_ms: self.first_byte.map(|took| took.as_millis() as u64),
             detail: detail.into(),
             service: self.request.service.clone(),
             target: self.target.entry.id.clone(),
-            took_ms: self.took().as_millis() as u64,
+            took_ms: self.elapsed().as_millis() as u64,
         };
         self.state.record(&self.request.key, event);
-        self.state.ended(&self.target, &self.request.service, &self.forecast, ended);
+        self.state.record_attempt_end(&self.target, &self.request.service, &self.forecast, ended);
     }
 
-    fn unsent(&mut self, error: &SendError) -> AttemptOutcome {
+    fn not_sent(&mut self, error: &SendError) -> AttemptOutcome {
         let ended = match error {
             SendError::Unreachable(_) => Ended::Unreachable,
             _ => Ended::Failed,
         };
-        self.ended(ended, AttemptEnd::Unreachable, &error.to_string());
+        self.record_end(ended, AttemptEnd::Unreachable, &error.to_string());
         AttemptOutcome::NotRun(ErrorKind::ConnectFailed)
     }
 
     fn lost(&mut self, reason: &str) -> AttemptOutcome {
-        self.ended(Ended::Failed, AttemptEnd::Lost, reason);
+        self.record_end(Ended::Failed, AttemptEnd::Lost, reason);
         self.state.check_for_crash(&self.target, &self.request.service);
         AttemptOutcome::Lost(ErrorKind::DispatchLost)
     }
@@ -209,69 +214,72 @@
     async fn refused(
         &mut self,
         note: &ReplyNote,
-        answer: Response<Incoming>,
-        line: Line,
+        response: Response<Incoming>,
+        connection: TargetConnection,
     ) -> AttemptOutcome {
         if note.other_target {
             // The address has a new owner: the entry is out of date.
-            self.ended(Ended::Unreachable, AttemptEnd::WrongTarget, "another target is there");
+            self.record_end(Ended::Unreachable, AttemptEnd::WrongTarget, "another target is there");
             return AttemptOutcome::NotRun(ErrorKind::NoTarget);
         }
-        self.ended(Ended::Full, AttemptEnd::Shed, answer.status().as_str());
-        let keep = keep_alive(answer.headers());
-        if answer.into_body().collect().await.is_ok() {
+        self.record_end(Ended::Full, AttemptEnd::Shed, response.status().as_str());
+        let keep_alive = keep_alive_timeout(response.headers());
+        if response.into_body().collect().await.is_ok() {
             let now = self.state.clock.now();
-            self.state.pool.borrow_mut().put(&self.target, line, keep, now);
+            self.state.pool.borrow_mut().put(&self.target, connection, keep_alive, now);
         }
         AttemptOutcome::NotRun(ErrorKind::Shed)
     }
 
-    async fn take(
+    async fn receive_response(
         &mut self,
         note: ReplyNote,
-        answer: Response<Incoming>,
-        line: Line,
-        running: InFlight,
+        response: Response<Incoming>,
+        connection: TargetConnection,
+        in_flight: InFlight,
     ) -> AttemptOutcome {
-        let status = answer.status();
-        let (mut head, body) = answer.into_parts();
-        let keep = keep_alive(&head.headers);
-        strip(&mut head.headers);
+        let status = response.status();
+        let (mut head, body) = response.into_parts();
+        let keep_alive = keep_alive_timeout(&head.headers);
+        remove_hop_by_hop_headers(&mut head.headers);
         let size = http_body::Body::size_hint(&body).exact();
-        if size.is_none_or(|size| WHOLE_BYTES < size) && status.is_success() {
-            self.ended(self.answered(), AttemptEnd::Answered, status.as_str());
-            let end = RelayEnd {
+        if size.is_none_or(|size| MAX_BUFFERED_BYTES < size) && status.is_success() {
+            self.record_end(self.answered_end(), AttemptEnd::Answered, status.as_str());
+            let end = StreamCompletion {
                 state: self.state.clone(),
-                keep,
-                line,
+                keep_alive,
+                connection,
                 key: self.request.key.clone(),
-                running,
+                in_flight,
                 service: self.request.service.clone(),
                 target: self.target.clone(),
             };
-            let relay = Relay { body, ended: Some(Box::new(end)) };
-            return AttemptOutcome::Answer(Response::from_parts(head, AnswerBody::Stream(relay)));
+            let body = StreamingBody { body, completion: Some(Box::new(end)) };
+            return AttemptOutcome::Response(Response::from_parts(
+                head,
+                ResponseBody::Stream(body),
+            ));
         }
         let whole = match body.collect().await {
             Ok(whole) => whole.to_bytes(),
             Err(error) => {
-                return self.lost(&format!("the answer broke off: {}", with_cause(&error)));
+                return self.lost(&format!("the response broke off: {}", with_cause(&error)));
             }
         };
         let now = self.state.clock.now();
-        self.state.pool.borrow_mut().put(&self.target, line, keep, now);
-        let answered = self.answered();
-        let answer = Response::from_parts(head, AnswerBody::Whole(Full::new(whole)));
+        self.state.pool.borrow_mut().put(&self.target, connection, keep_alive, now);
+        let answered = self.answered_end();
+        let response = Response::from_parts(head, ResponseBody::Whole(Full::new(whole)));
         if status.is_server_error() {
-            self.ended(Ended::Failed, AttemptEnd::Failed, status.as_str());
+            self.record_end(Ended::Failed, AttemptEnd::Failed, status.as_str());
             return if note.signed {
-                AttemptOutcome::Poor(answer)
+                AttemptOutcome::TargetError(response)
             } else {
                 AttemptOutcome::Lost(ErrorKind::AnswerBroken)
             };
         }
-        self.ended(answered, AttemptEnd::Answered, status.as_str());
-        self.state.cleared(self.request.fingerprint);
-        AttemptOutcome::Answer(answer)
+        self.record_end(answered, AttemptEnd::Answered, status.as_str());
+        self.state.clear_crash_suspect(self.request.fingerprint);
+        AttemptOutcome::Response(response)
     }
 }
--- a/src/entry/bodies.rs
+++ b/src/entry/body_memory.rs
@@ -8,43 +8,43 @@
 
 /// Most bytes of bodies that are held at once: an eighth of the smallest host's 160 MB, beside some
 /// 12 MB that the process takes up in a busy day.
-const HELD_MOST: usize = 20 * 1024 * 1024;
+const MAX_TOTAL_BYTES: usize = 20 * 1024 * 1024;
 
 /// Bytes that are held now.
 #[derive(Clone, Debug, Default)]
 pub struct BodyMemory {
-    held: Rc<Cell<usize>>,
+    used: Rc<Cell<usize>>,
 }
 
 /// Bytes of one body; dropped, they are free again.
 #[derive(Debug)]
-pub struct HeldBody {
+pub struct BodyReservation {
     bytes: usize,
-    held: Rc<Cell<usize>>,
+    used: Rc<Cell<usize>>,
 }
 
 impl BodyMemory {
     /// For one body, of which nothing has arrived yet: what is declared may be far more than comes.
-    pub fn hold(&self) -> HeldBody {
-        HeldBody { bytes: 0, held: self.held.clone() }
+    pub fn start_reservation(&self) -> BodyReservation {
+        BodyReservation { bytes: 0, used: self.used.clone() }
     }
 }
 
-impl HeldBody {
+impl BodyReservation {
     /// More of the body has arrived; false where there is no room for it.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let sum = self.held.get().saturating_add(bytes);
-        if HELD_MOST < sum {
+        let total = self.used.get().saturating_add(bytes);
+        if MAX_TOTAL_BYTES < total {
             return false;
         }
-        self.held.set(sum);
+        self.used.set(total);
         self.bytes += bytes;
         true
     }
 }
 
-impl Drop for HeldBody {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.held.set(self.held.get() - self.bytes);
+        self.used.set(self.used.get() - self.bytes);
     }
 }
--- a/src/entry/caller_io.rs
+++ b/src/entry/caller_io.rs
@@ -12,7 +12,7 @@
     task::{Context, Poll, Waker, ready},
 };
 
-use super::pipeline::Scanner;
+use super::pipelining::PipelineScanner;
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use tokio::{
@@ -46,7 +46,7 @@
     /// Reads that brought something.
     read: u64,
     reader: Option<Waker>,
-    scanner: Scanner,
+    scanner: PipelineScanner,
     stream: TcpStream,
 }
 
@@ -58,7 +58,7 @@
             ended: false,
             read: 0,
             reader: None,
-            scanner: Scanner::default(),
+            scanner: PipelineScanner::default(),
             stream,
         };
         let shared = Rc::new(RefCell::new(shared));
@@ -73,10 +73,10 @@
     }
 
     /// Requests that have arrived.
-    pub fn with_scanner<T>(&self, f: impl FnOnce(&mut Scanner) -> T) -> T {
+    pub fn with_scanner<T>(&self, f: impl FnOnce(&mut PipelineScanner) -> T) -> T {
         match &self.shared {
             Some(shared) => f(&mut shared.borrow_mut().scanner),
-            None => f(&mut Scanner::default()),
+            None => f(&mut PipelineScanner::default()),
         }
     }
 
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -22,7 +22,7 @@
 use super::{
     EntrySettings, KnownState, LiveHost, Part, Protocol, View, ViewCell,
     questions::Questions,
-    records::Records,
+    stale_records::StaleRecordTracker,
     sync::{AnswerCache, PeerClient, RawObjects},
     watchers::WatcherElection,
 };
@@ -94,7 +94,7 @@
     parts: ControlParts,
     questions: Questions,
     raw: RawObjects,
-    records: Records,
+    records: StaleRecordTracker,
     list_hosts_at: Moment,
     /// When the store's word last came, by itself or another host.
     told_at: Moment,
@@ -130,7 +130,7 @@
             lost_parts: BTreeMap::new(),
             questions: Questions::new(parts.settings.listen.control),
             raw: BTreeMap::new(),
-            records: Records::default(),
+            records: StaleRecordTracker::default(),
             list_hosts_at: now + LIST_HOSTS_FIRST,
             told_at: now,
             election: WatcherElection::new(now),
--- a/src/entry/control/messages.rs
+++ b/src/entry/control/messages.rs
@@ -3,7 +3,7 @@
 use crate::{
     entry::{
         EntrySettings, Part, Revisions,
-        records::HostRecord,
+        stale_records::HostRecord,
         sync::{self, ReceivedState},
     },
     prelude::*,
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -6,7 +6,7 @@
 
 use super::{EntryControl, HEARTBEAT, HostsListed, Registered, StateAnswer, wall_ms};
 use crate::{
-    entry::{Protocol, questions::QuestionEnd, records::HostRecord},
+    entry::{Protocol, questions::QuestionEnd, stale_records::HostRecord},
     event_log::Event,
     fleet::{Load, Outgoing, OwnState},
     prelude::*,
@@ -150,7 +150,7 @@
             self.register_at.get_or_insert(now);
         }
         let heard = self.fleet.live(now).map(|peer| peer.note.gossip).collect();
-        for record in self.records.stale(records, &heard, own, now) {
+        for record in self.records.find_stale(records, &heard, own, now) {
             let store = self.parts.store.clone();
             tokio::spawn(async move {
                 let expect = Expect::Version(record.version);
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -21,7 +21,10 @@
 use super::{
     EntryControl, EntrySettings, Listen, Protocol, TrafficState, ViewCell,
     control::{ControlParts, Datagram, HEARTBEAT, Leave, Reload, StateQuery, Tick},
-    serve::{accept, callers, look_up, ready, small, status},
+    listeners::{
+        accept, lookup_response, readiness_response, serve_caller, serve_platform_connection,
+        status_response,
+    },
     strain::Strain,
     sync::{ANSWERS_MOST, PeerClient, QUERY_TIMEOUT, STATE_PATH, since},
     traffic_state::BoundsCell,
@@ -232,9 +235,12 @@
         async move {
             let answer = async |req| match &permit {
                 Some(_) => state(&control, req).await,
-                None => status(StatusCode::SERVICE_UNAVAILABLE),
+                None => status_response(StatusCode::SERVICE_UNAVAILABLE),
             };
-            if tokio::time::timeout(QUERY_TIMEOUT, small(stream, answer)).await.is_err() {
+            if tokio::time::timeout(QUERY_TIMEOUT, serve_platform_connection(stream, answer))
+                .await
+                .is_err()
+            {
                 log::debug!("a query of another host timed out");
             }
         }
@@ -244,7 +250,7 @@
 
 async fn state(control: &Address<EntryControl>, req: Request<Incoming>) -> Response<Full<Bytes>> {
     if req.uri().path() != STATE_PATH {
-        return status(StatusCode::NOT_FOUND);
+        return status_response(StatusCode::NOT_FOUND);
     }
     let told = control.send(StateQuery(since(req.uri().query()))).await;
     let told = told.map_err(|error| error.to_string());
@@ -252,7 +258,7 @@
         Ok(packed) => Response::new(Full::new(packed)),
         Err(error) => {
             log::error!("this host's state can't be told: {error}");
-            status(StatusCode::INTERNAL_SERVER_ERROR)
+            status_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
@@ -265,7 +271,9 @@
 ) {
     accept(listener, |stream| {
         let (metrics, events) = (metrics.clone(), events.clone());
-        async move { small(stream, async |req| scrape(&req, &metrics, &*events)).await }
+        async move {
+            serve_platform_connection(stream, async |req| scrape(&req, &metrics, &*events)).await
+        }
     })
     .await;
 }
@@ -276,7 +284,7 @@
     events: &dyn EventSink,
 ) -> Response<Full<Bytes>> {
     if req.uri().path() != METRICS_PATH {
-        return status(StatusCode::NOT_FOUND);
+        return status_response(StatusCode::NOT_FOUND);
     }
     match metrics.text(events.dropped()) {
         Ok(text) => {
@@ -287,7 +295,7 @@
         }
         Err(error) => {
             log::error!("the metrics can't be written: {error}");
-            status(StatusCode::INTERNAL_SERVER_ERROR)
+            status_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
@@ -324,7 +332,7 @@
         let for_callers = TcpListener::from_std(self.listeners.callers)?;
         let for_ready = TcpListener::from_std(self.listeners.ready)?;
         let for_lookups = TcpListener::from_std(self.listeners.lookups)?;
-        let state = TrafficState::open(
+        let state = TrafficState::new(
             self.settings.clone(),
             self.bounds,
             self.clock,
@@ -335,17 +343,22 @@
         let leaving = self.leaving.clone();
         let at = state.clone();
         tokio::task::spawn_local(accept(for_callers, move |stream| {
-            callers(at.clone(), stream, leaving.clone())
+            serve_caller(at.clone(), stream, leaving.clone())
         }));
         let at = state.clone();
         tokio::task::spawn_local(accept(for_ready, move |stream| {
             let state = at.clone();
-            async move { small(stream, async |req| ready(&state, &req)).await }
+            async move {
+                serve_platform_connection(stream, async |req| readiness_response(&state, &req))
+                    .await
+            }
         }));
         let at = state.clone();
         tokio::task::spawn_local(accept(for_lookups, move |stream| {
             let state = at.clone();
-            async move { small(stream, async |req| look_up(&state, &req)).await }
+            async move {
+                serve_platform_connection(stream, async |req| lookup_response(&state, &req)).await
+            }
         }));
         tokio::task::spawn_local(tick(state.clone(), self.load, self.metrics));
         tokio::task::spawn_local(watch_strain(state.clone(), self.strained));
@@ -383,17 +396,17 @@
 /// Waits until nothing is being served, or the process is about to be killed.
 async fn leave(state: &TrafficState) {
     let since = state.clock.now();
-    state.leaving.set(Some(since));
+    state.shutdown_started_at.set(Some(since));
     let grace_ms = state.bounds().grace.as_millis() as u64;
-    state.events.record(None, Event::Stopping { grace_ms, open: state.open.get() });
+    state.events.record(None, Event::Stopping { grace_ms, open: state.open_connections.get() });
     let last = since + state.bounds().grace.saturating_sub(LEAVE_MARGIN);
     loop {
         tokio::time::sleep(TICK).await;
         let now = state.clock.now();
-        let idle = state.open.get() == 0 && LEAVE_LEAST <= now.saturating_sub(since);
+        let idle = state.open_connections.get() == 0 && LEAVE_LEAST <= now.saturating_sub(since);
         if idle || last <= now {
             let took_ms = now.saturating_sub(since).as_millis() as u64;
-            let open = state.open.get();
+            let open = state.open_connections.get();
             return state.events.record(None, Event::Stopped { open, took_ms });
         }
     }
--- a/src/entry/serve.rs
+++ b/src/entry/listeners.rs
@@ -15,10 +15,11 @@
 
 use super::{
     CallerNote, TrafficState,
-    answer::Answer,
     caller_io::{CallerIo, Disconnect},
-    exchange, lookup,
-    pipeline::{self, Scanner, Seen},
+    lookup,
+    pipelining::{self, PipelineScanner, ScannedRequest},
+    request_handler,
+    response::CallerResponse,
 };
 use crate::prelude::*;
 
@@ -26,20 +27,20 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Idle time of callers' connections before any was declared.
-const IDLE_ASSUMED: Duration = Duration::from_secs(60);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Longer than declared by this much: a caller that uses a connection to the last moment is served.
 const IDLE_SLACK: Duration = Duration::from_secs(5);
 
 /// Buffer of one connection: above the largest head that is declared.
-const BUFFER: usize = 32 * 1024;
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
 /// Time that a caller keeps the answer to a look-up, before the platform's own bound.
 const LOOKUP_TTL: Duration = Duration::from_secs(2);
 
 /// Time after the signal to stop in which idle connections are kept: callers hear of the leaving by
 /// the next answer or look-up, and a connection closed under a request costs them a retry.
-const CLOSE_AFTER: Duration = Duration::from_millis(1_500);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Accepts connections until the listener is dropped.
 pub async fn accept<F>(listener: TcpListener, mut serve: impl FnMut(TcpStream) -> F)
@@ -60,7 +61,7 @@
 }
 
 /// Serves one caller's connection.
-pub async fn callers(
+pub async fn serve_caller(
     state: Rc<TrafficState>,
     stream: TcpStream,
     mut leaving: watch::Receiver<bool>,
@@ -69,26 +70,26 @@
         log::debug!("caller's connection: {error}");
         return;
     }
-    let _open = Open::new(&state);
+    let _open_connection = OpenConnection::new(&state);
     let (io, disconnect) = CallerIo::new(stream);
     let idle = state.view().and_then(|view| view.declared.clone());
-    let idle = idle.map_or(IDLE_ASSUMED, |declared| declared.idle + IDLE_SLACK);
-    let started = RefCell::default();
-    let caller = Rc::new(Caller { state: state.clone(), disconnect, started });
-    let service = service_fn(|req| one(caller.clone(), req));
+    let idle = idle.map_or(DEFAULT_IDLE_TIMEOUT, |declared| declared.idle + IDLE_SLACK);
+    let early_requests = RefCell::default();
+    let caller = Rc::new(CallerConnection { state: state.clone(), disconnect, early_requests });
+    let service = service_fn(|req| handle(caller.clone(), req));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
-        .max_buf_size(BUFFER)
+        .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
-    let left = async {
+    let closing = async {
         let _ = leaving.wait_for(|leaving| *leaving).await;
-        tokio::time::sleep(CLOSE_AFTER).await;
+        tokio::time::sleep(IDLE_CLOSE_DELAY).await;
     };
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = left => {
+        () = closing => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -101,74 +102,82 @@
 /// The caller has left: there is nobody to answer.
 #[derive(Debug, thiserror::Error)]
 #[error("the caller has left")]
-struct Gone;
+struct CallerLeft;
 
-async fn one(caller: Rc<Caller>, req: Request<Incoming>) -> Result<Answer, Gone> {
+async fn handle(
+    caller: Rc<CallerConnection>,
+    req: Request<Incoming>,
+) -> Result<CallerResponse, CallerLeft> {
     let state = &caller.state;
-    let mut answer = caller.answer(req).await.ok_or(Gone)?;
-    if state.leaving.get().is_some() {
-        answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    let mut response = caller.respond(req).await.ok_or(CallerLeft)?;
+    if state.shutdown_started_at.get().is_some() {
+        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// One caller's connection.
-struct Caller {
+struct CallerConnection {
     state: Rc<TrafficState>,
     disconnect: Disconnect,
     /// Requests that were started before their turn, in their order.
-    started: RefCell<VecDeque<Started>>,
+    early_requests: RefCell<VecDeque<EarlyRequest>>,
 }
 
 /// A request whose turn has not come; ends when dropped, since then the caller has left.
-struct Started {
+struct EarlyRequest {
     /// What it must be when its turn comes.
     note: CallerNote,
-    task: JoinHandle<Option<Answer>>,
+    task: JoinHandle<Option<CallerResponse>>,
     uri: Uri,
 }
 
-impl Drop for Started {
+impl Drop for EarlyRequest {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Caller {
-    async fn answer(&self, req: Request<Incoming>) -> Option<Answer> {
-        self.disconnect.with_scanner(Scanner::turn);
-        let started = self.started.borrow_mut().pop_front();
+impl CallerConnection {
+    async fn respond(&self, req: Request<Incoming>) -> Option<CallerResponse> {
+        self.disconnect.with_scanner(PipelineScanner::take_next);
+        let early_request = self.early_requests.borrow_mut().pop_front();
         let note = self.state.protocol.caller(req.headers());
-        let own = async {
-            match started {
-                Some(mut started) if started.uri == *req.uri() && started.note == note => {
+        let response = async {
+            match early_request {
+                Some(mut early) if early.uri == *req.uri() && early.note == note => {
                     tokio::select! {
-                        answer = &mut started.task => answer.ok().flatten(),
+                        response = &mut early.task => response.ok().flatten(),
                         () = self.disconnect.gone() => None,
                     }
                 }
                 other => {
                     if other.is_some() {
                         log::warn!("requests started ahead are out of order; they are served anew");
-                        self.disconnect.with_scanner(Scanner::lose);
-                        self.started.borrow_mut().clear();
+                        self.disconnect.with_scanner(PipelineScanner::disable);
+                        self.early_requests.borrow_mut().clear();
                     }
-                    let req = req.map(exchange::Body::Incoming);
-                    exchange::serve(self.state.clone(), self.disconnect.clone(), req).await
+                    let req = req.map(request_handler::RequestBody::Incoming);
+                    request_handler::handle_request(
+                        self.state.clone(),
+                        self.disconnect.clone(),
+                        req,
+                    )
+                    .await
                 }
             }
         };
         tokio::select! {
             biased;
-            answer = own => answer,
-            () = self.look_ahead() => None,
+            response = response => response,
+            () = self.start_pipelined_requests() => None,
         }
     }
 
     /// Starts what arrives, as long as it may be.
-    async fn look_ahead(&self) {
+    async fn start_pipelined_requests(&self) {
         loop {
-            self.start_waiting();
+            self.start_waiting_requests();
             self.disconnect.more().await;
             if self.disconnect.is_gone() {
                 // Who serves the request notices too, and ends.
@@ -177,62 +186,69 @@
         }
     }
 
-    fn start_waiting(&self) {
-        let mut started = self.started.borrow_mut();
-        let skip = started.len();
+    fn start_waiting_requests(&self) {
+        let mut early_requests = self.early_requests.borrow_mut();
+        let skip = early_requests.len();
         let heads = self.disconnect.with_scanner(|scanner| {
             let heads = scanner.waiting().skip(skip).map(|seen| match seen {
-                Seen::Ready(head) => Some(head.clone()),
-                Seen::Plain => None,
+                ScannedRequest::Startable(head) => Some(head.clone()),
+                ScannedRequest::InTurn => None,
             });
             heads.collect::<Vec<_>>()
         });
         for head in heads {
             // What may not be started holds up those behind it.
-            let Some(head) = head.as_deref().and_then(pipeline::read) else { return };
+            let Some(head) = head.as_deref().and_then(pipelining::parse_head) else { return };
             let (head, ()) = head.into_parts();
-            if !exchange::may_start_ahead(&self.state, &head) {
+            if !request_handler::may_start_early(&self.state, &head) {
                 return;
             }
             let note = self.state.protocol.caller(&head.headers);
             let uri = head.uri.clone();
-            let req = Request::from_parts(head, exchange::Body::None);
-            // If the caller leaves, `Started` is dropped and ends the task.
-            let serve = exchange::serve(self.state.clone(), Disconnect::assumed(), req);
-            started.push_back(Started { note, task: tokio::task::spawn_local(serve), uri });
+            let req = Request::from_parts(head, request_handler::RequestBody::None);
+            // If the caller leaves, `EarlyRequest` is dropped and ends the task.
+            let serve =
+                request_handler::handle_request(self.state.clone(), Disconnect::assumed(), req);
+            early_requests.push_back(EarlyRequest {
+                note,
+                task: tokio::task::spawn_local(serve),
+                uri,
+            });
         }
     }
 }
 
 /// Counts an open connection, so that a planned stop waits until all have their answers.
-struct Open(Rc<TrafficState>);
+struct OpenConnection(Rc<TrafficState>);
 
-impl Open {
+impl OpenConnection {
     fn new(state: &Rc<TrafficState>) -> Self {
-        state.open.set(state.open.get() + 1);
+        state.open_connections.set(state.open_connections.get() + 1);
         Self(state.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_connections.set(self.0.open_connections.get() - 1);
     }
 }
 
 /// Serves a connection of the platform's own: readiness, or a look-up.
-pub async fn small<F>(stream: TcpStream, answer: impl Fn(Request<Incoming>) -> F)
-where
+pub async fn serve_platform_connection<F>(
+    stream: TcpStream,
+    handler: impl Fn(Request<Incoming>) -> F,
+) where
     F: Future<Output = Response<Full<Bytes>>>,
 {
     let service = service_fn(|req| {
-        let answer = answer(req);
-        async { Ok::<_, Infallible>(answer.await) }
+        let response = handler(req);
+        async { Ok::<_, Infallible>(response.await) }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE_ASSUMED)
-        .max_buf_size(BUFFER)
+        .header_read_timeout(DEFAULT_IDLE_TIMEOUT)
+        .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = served.await {
         log::debug!("connection: {error}");
@@ -240,35 +256,35 @@
 }
 
 /// The answer to a question for readiness.
-pub fn ready(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+pub fn readiness_response(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     if !state.protocol.asks_ready(req.uri()) {
-        return status(StatusCode::NOT_FOUND);
+        return status_response(StatusCode::NOT_FOUND);
     }
     let knows = state.view().is_some_and(|view| view.declared.is_some());
-    let ready = knows && state.leaving.get().is_none();
-    status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    let ready = knows && state.shutdown_started_at.get().is_none();
+    status_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
 /// The answer to a look-up.
-pub fn look_up(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+pub fn lookup_response(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     let Some(place) = state.protocol.lookup(req.uri()) else {
-        return status(StatusCode::NOT_FOUND);
+        return status_response(StatusCode::NOT_FOUND);
     };
-    let Some(view) = state.view() else { return status(StatusCode::SERVICE_UNAVAILABLE) };
+    let Some(view) = state.view() else { return status_response(StatusCode::SERVICE_UNAVAILABLE) };
     let found = lookup::addresses(&view.hosts, &place);
     if found.is_empty() {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return status_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let ttl = LOOKUP_TTL.min(state.bounds().lookup_ttl);
-    let mut answer = Response::new(Full::new(state.protocol.found(&found, ttl)));
+    let mut response = Response::new(Full::new(state.protocol.found(&found, ttl)));
     let json = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(header::CONTENT_TYPE, json);
+    response
 }
 
 /// An answer that is a status only.
-pub fn status(status: StatusCode) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = status;
-    answer
+pub fn status_response(status: StatusCode) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = status;
+    response
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -6,28 +6,28 @@
 //! nor do I/O; the rest of the slice carries them out.
 
 mod access;
-mod answer;
 mod attempt;
-mod bodies;
+mod body_memory;
 mod caller_io;
 mod control;
 mod crash_suspects;
 mod declared;
-mod exchange;
 mod host;
 mod known_state;
+mod listeners;
 mod lookup;
 mod part;
-mod pipeline;
+mod pipelining;
 mod place;
 mod protocol;
 mod questions;
-mod records;
+mod request_handler;
 mod request_log;
-mod serve;
+mod response;
 mod service_state;
 mod settings;
 mod settings_file;
+mod stale_records;
 mod strain;
 mod sync;
 mod target;
@@ -54,6 +54,6 @@
     target::{KnownTarget, TargetEntry},
     team::{CallerKey, KeyDigest, Team, TeamError, TeamLimit, Teams},
     traffic_state::{BoundsCell, TrafficState},
-    upstream::Pool,
+    upstream::ConnectionPool,
     view::{LiveHost, View, ViewCell},
 };
--- a/src/entry/pipeline.rs
+++ b/src/entry/pipelining.rs
@@ -11,86 +11,86 @@
 use http::{HeaderName, HeaderValue, Method, Request, Uri, header};
 
 /// Most headers of a request that is looked at ahead.
-const HEADERS_MOST: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// Largest head that is looked at ahead, in bytes.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// Most requests that are seen ahead; a caller that sends more waits for the first ones.
-const SEEN_MOST: usize = 8;
+const MAX_WAITING_REQUESTS: usize = 8;
 
 /// A request as it was seen arriving.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum ScannedRequest {
     /// It has no body and may be started ahead.
-    Ready(Bytes),
+    Startable(Bytes),
     /// It is served when its turn comes.
-    Plain,
+    InTurn,
 }
 
 /// Finds the heads of requests in the bytes of one connection.
 #[derive(Debug, Default)]
-pub struct Scanner {
+pub struct PipelineScanner {
     /// What comes can't be told apart any more.
-    is_lost: bool,
-    seen: VecDeque<Seen>,
+    is_disabled: bool,
+    waiting: VecDeque<ScannedRequest>,
     /// Bytes of a body that are still to come.
-    skip: usize,
-    tail: BytesMut,
+    body_bytes_left: usize,
+    buffer: BytesMut,
 }
 
-impl Scanner {
+impl PipelineScanner {
     /// Takes in the next bytes.
     pub fn feed(&mut self, mut bytes: &[u8]) {
-        if self.is_lost {
+        if self.is_disabled {
             return;
         }
-        let body = self.skip.min(bytes.len());
-        self.skip -= body;
+        let body = self.body_bytes_left.min(bytes.len());
+        self.body_bytes_left -= body;
         bytes.advance(body);
-        self.tail.extend_from_slice(bytes);
-        while !self.tail.is_empty() && self.next() {}
-        if HEAD_MOST < self.tail.len() || SEEN_MOST < self.seen.len() {
-            self.lose();
+        self.buffer.extend_from_slice(bytes);
+        while !self.buffer.is_empty() && self.scan_one() {}
+        if MAX_HEAD_BYTES < self.buffer.len() || MAX_WAITING_REQUESTS < self.waiting.len() {
+            self.disable();
         }
     }
 
     /// The request whose turn it is; `None` if it was not seen.
-    pub fn turn(&mut self) -> Option<Seen> {
-        self.seen.pop_front()
+    pub fn take_next(&mut self) -> Option<ScannedRequest> {
+        self.waiting.pop_front()
     }
 
     /// Requests that were seen and whose turn has not come.
-    pub fn waiting(&self) -> impl Iterator<Item = &Seen> {
-        self.seen.iter()
+    pub fn waiting(&self) -> impl Iterator<Item = &ScannedRequest> {
+        self.waiting.iter()
     }
 
     /// Stops looking: from here on requests are served in their turn.
-    pub fn lose(&mut self) {
-        self.is_lost = true;
-        self.seen.clear();
-        self.tail = BytesMut::new();
+    pub fn disable(&mut self) {
+        self.is_disabled = true;
+        self.waiting.clear();
+        self.buffer = BytesMut::new();
     }
 
     /// Takes one head off the tail; false when it is not whole yet.
-    fn next(&mut self) -> bool {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    fn scan_one(&mut self) -> bool {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut req = httparse::Request::new(&mut headers);
-        let size = match req.parse(&self.tail) {
+        let size = match req.parse(&self.buffer) {
             Ok(httparse::Status::Complete(size)) => size,
             Ok(httparse::Status::Partial) => return false,
             Err(_) => {
                 // The library answers it in its turn, and closes the connection.
-                self.lose();
+                self.disable();
                 return false;
             }
         };
         let find = |name: HeaderName| {
             req.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name.as_str()))
         };
-        let odd = [header::TRANSFER_ENCODING, header::UPGRADE, header::EXPECT];
-        if odd.into_iter().any(|name| find(name).is_some()) {
-            self.lose();
+        let unsupported = [header::TRANSFER_ENCODING, header::UPGRADE, header::EXPECT];
+        if unsupported.into_iter().any(|name| find(name).is_some()) {
+            self.disable();
             return false;
         }
         let length = find(header::CONTENT_LENGTH);
@@ -100,28 +100,32 @@
             Some(text) => match text.ok().and_then(|text| text.trim().parse().ok()) {
                 Some(length) => length,
                 None => {
-                    self.lose();
+                    self.disable();
                     return false;
                 }
             },
         };
-        let is_plain = req.method != Some("GET") || 0 < length;
-        let head = self.tail.split_to(size).freeze();
-        let body = length.min(self.tail.len());
-        self.tail.advance(body);
-        self.skip = length - body;
-        self.seen.push_back(if is_plain { Seen::Plain } else { Seen::Ready(head) });
-        if self.tail.is_empty() {
+        let must_wait = req.method != Some("GET") || 0 < length;
+        let head = self.buffer.split_to(size).freeze();
+        let body = length.min(self.buffer.len());
+        self.buffer.advance(body);
+        self.body_bytes_left = length - body;
+        self.waiting.push_back(if must_wait {
+            ScannedRequest::InTurn
+        } else {
+            ScannedRequest::Startable(head)
+        });
+        if self.buffer.is_empty() {
             // An idle connection keeps no buffer.
-            self.tail = BytesMut::new();
+            self.buffer = BytesMut::new();
         }
         true
     }
 }
 
 /// Reads a head that was seen; `None` if it is none.
-pub fn read(head: &[u8]) -> Option<Request<()>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+pub fn parse_head(head: &[u8]) -> Option<Request<()>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     parsed.parse(head).ok()?;
     let mut req = Request::new(());
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -10,14 +10,14 @@
 };
 
 /// Usual slots of a cold target, as a part of a warm one's.
-const COLD_SLOTS: f64 = 0.3;
+const COLD_SLOT_FRACTION: f64 = 0.3;
 
 /// How many targets are looked at.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Search {
     All,
     /// A shortlist, and all where that has none to send to.
-    Few,
+    Shortlist,
 }
 
 /// What a request is, as far as placement goes.
@@ -28,13 +28,13 @@
     pub route: Arc<Route>,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
-    pub tried: Vec<u32>,
+    pub tried_targets: Vec<u32>,
 }
 
 impl PlacementRequest {
     /// Whether it may go to the target, and has not been there yet.
     fn allows(&self, target: &KnownTarget) -> bool {
-        self.allows_region(&target.region) && !self.tried.contains(&target.tag)
+        self.allows_region(&target.region) && !self.tried_targets.contains(&target.tag)
     }
 
     fn allows_region(&self, region: &RegionId) -> bool {
@@ -44,7 +44,7 @@
 
     /// Regions with a target that it may go to.
     fn open_regions(&self, index: &TargetIndex) -> Vec<RegionId> {
-        let open = index.open_regions(&self.tried);
+        let open = index.open_regions(&self.tried_targets);
         open.filter(|region| self.allows_region(region)).cloned().collect()
     }
 }
@@ -79,7 +79,7 @@
 
 impl Placement {
     /// There is no target at all.
-    fn none(region: &RegionId) -> Self {
+    fn no_targets(region: &RegionId) -> Self {
         Self {
             candidates: 0,
             choice: Choice::Nothing,
@@ -105,101 +105,106 @@
 impl TrafficState {
     /// Chooses a target: among the few that are likely to be the best, and among all before it
     /// refuses.
-    pub fn place(&self, view: &View, wanted: &PlacementRequest) -> Placement {
-        self.place_by(Search::Few, view, wanted)
+    pub fn place(&self, view: &View, request: &PlacementRequest) -> Placement {
+        self.place_with_search(Search::Shortlist, view, request)
     }
 
     /// Chooses a target by one way of looking.
-    pub fn place_by(&self, search: Search, view: &View, wanted: &PlacementRequest) -> Placement {
+    pub fn place_with_search(
+        &self,
+        search: Search,
+        view: &View,
+        request: &PlacementRequest,
+    ) -> Placement {
         let home = &self.settings.region;
-        let Some(targets) = view.targets.get(&wanted.service) else {
-            return Placement::none(home);
+        let Some(targets) = view.targets.get(&request.service) else {
+            return Placement::no_targets(home);
         };
         let mut services = self.services.borrow_mut();
-        let state = services.entry(wanted.service.clone()).or_default();
-        state.index.follow(targets);
-        let seed = wanted.object.unwrap_or_else(rand::random);
-        let open = wanted.open_regions(&state.index);
-        let Some(region) = self.region(view, state, wanted, seed, &open) else {
-            return Placement::none(home);
+        let state = services.entry(request.service.clone()).or_default();
+        state.target_index.follow(targets);
+        let seed = request.object.unwrap_or_else(rand::random);
+        let open = request.open_regions(&state.target_index);
+        let Some(region) = self.pick_region(view, state, request, seed, &open) else {
+            return Placement::no_targets(home);
         };
-        let held = self.held.borrow();
-        if search == Search::Few {
+        let held = self.held_objects.borrow();
+        if search == Search::Shortlist {
             let near = [region.clone()];
-            let shortlist = state.index.shortlist(&Wanted {
-                holders: wanted.object.map_or(&[], |object| held.holders(object)),
-                object: wanted.object,
+            let shortlist = state.target_index.shortlist(&Wanted {
+                holders: request.object.map_or(&[], |object| held.holders(object)),
+                object: request.object,
                 regions: if may_spill(state) { &open } else { &near },
                 spread: rand::random(),
             });
-            let few = shortlist.into_iter().map(|at| &targets[at]);
-            let few = self.candidates(view, wanted, few, &held);
-            let placement = self.weigh(&few, state, wanted, seed, &region);
+            let shortlisted = shortlist.into_iter().map(|at| &targets[at]);
+            let shortlisted = self.candidates(view, request, shortlisted, &held);
+            let placement = self.choose_among(&shortlisted, state, request, seed, &region);
             if placement.target.is_some() {
                 return placement;
             }
         }
-        let all = self.candidates(view, wanted, targets.iter(), &held);
-        self.weigh(&all, state, wanted, seed, &region)
+        let all = self.candidates(view, request, targets.iter(), &held);
+        self.choose_among(&all, state, request, seed, &region)
     }
 
     /// The region that the request should run in.
-    fn region(
+    fn pick_region(
         &self,
         view: &View,
         state: &mut ServiceState,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         seed: ObjectTag,
         open: &[RegionId],
     ) -> Option<RegionId> {
         let home = &self.settings.region;
         if state.shares.is_none() {
             let now = self.clock.now();
-            let targets = state.index.targets();
-            let loads = region_loads(view, targets, &wanted.service, state.demand, home, now);
-            let sent = self.region_sent.borrow().parts(name_tag(&wanted.service));
-            let begun = Shares::begin(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
-            state.shares = Some(begun);
+            let targets = state.target_index.targets();
+            let loads = region_loads(view, targets, &request.service, state.demand, home, now);
+            let sent = self.region_sent.borrow().parts(name_tag(&request.service));
+            let shares = Shares::begin(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
+            state.shares = Some(shares);
         }
         let shares = state.shares.as_ref()?;
-        region(shares, seed, open, home, &self.held_regions.borrow())
+        region_for_seed(shares, seed, open, home, &self.regions_at_shift_limit.borrow())
     }
 
     fn candidates<'a>(
         &self,
         view: &View,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         targets: impl Iterator<Item = &'a Arc<KnownTarget>>,
         held: &HeldObjects,
     ) -> Vec<Candidate<'a>> {
         let now = self.clock.now();
         let services = view.declared.as_ref().map(|declared| &declared.services);
-        let rules = services.and_then(|services| services.get(&wanted.service));
+        let rules = services.and_then(|services| services.get(&request.service));
         let rate = rules.map_or(1.0, |rules| rules.cold_rate);
-        let allowed = targets.filter(|target| wanted.allows(target));
+        let allowed = targets.filter(|target| request.allows(target));
         let candidate = |target: &'a Arc<KnownTarget>| {
-            let depth = wanted.object.and_then(|object| held.depth(target.tag, object));
+            let depth = request.object.and_then(|object| held.depth(target.tag, object));
             self.candidate(view, target, rate, depth, now)
         };
         allowed.map(candidate).collect()
     }
 
     /// Chooses among the candidates, and tells what decided it.
-    fn weigh(
+    fn choose_among(
         &self,
         candidates: &[Candidate<'_>],
         state: &mut ServiceState,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         seed: ObjectTag,
         region: &RegionId,
     ) -> Placement {
         let query = PlacementQuery {
             home: &self.settings.region,
             learnt: state.learnt,
-            left: wanted.deadline.saturating_sub(self.clock.now()),
+            left: request.deadline.saturating_sub(self.clock.now()),
             may_spill: may_spill(state),
-            object: wanted.object,
-            objective: wanted.route.objective,
+            object: request.object,
+            objective: request.route.objective,
             region,
             tuning: self.tuning,
             zone: &self.settings.zone,
@@ -209,7 +214,7 @@
             Choice::Send(offer) => {
                 state.learnt.work.sent(offer.work);
                 let candidate = &candidates[offer.at];
-                (Some(candidate), forecast(offer, candidate, wanted.object))
+                (Some(candidate), forecast(offer, candidate, request.object))
             }
             _ => (None, Forecast::default()),
         };
@@ -220,7 +225,7 @@
             _ => None,
         };
         if chosen.is_some_and(|chosen| chosen.target.region != *region) {
-            state.spill -= 1.0;
+            state.spill_credit -= 1.0;
         }
         Placement {
             candidates: candidates.len(),
@@ -250,11 +255,11 @@
         let condition = conditions.get(&target.tag);
         let own = condition.map_or(0, |condition| condition.in_flight);
         let elsewhere = view.elsewhere.get(&target.tag).copied().unwrap_or_default();
-        let told = view.slow.get(&target.tag).copied().filter(|_| self.tuning.told_slow);
+        let reported = view.slow.get(&target.tag).copied().filter(|_| self.tuning.told_slow);
         let cold = target.is_cold(now);
         let cold_shut = cold
             && (!is_sender(target, &self.settings.host, &view.hosts)
-                || !self.cold.borrow_mut().may_send(target, cold_rate, now));
+                || !self.cold_rates.borrow_mut().may_send(target, cold_rate, now));
         let shut = condition.is_some_and(|condition| {
             condition.is_paused(now)
                 || condition.is_full(now)
@@ -265,31 +270,33 @@
             depth,
             load: f64::from(own + elsewhere),
             shut: shut || cold_shut,
-            stretch: condition.unwrap_or(&Condition::default()).stretch_told(told, now),
+            stretch: condition.unwrap_or(&Condition::default()).stretch_told(reported, now),
             target,
-            trip: self.trips.borrow().to(&target.region, &self.settings.region),
+            trip: self.round_trips.borrow().to(&target.region, &self.settings.region),
         }
     }
 }
 
 /// Whether a request may leave the region that the shares name.
 fn may_spill(state: &ServiceState) -> bool {
-    1.0 <= state.spill
+    1.0 <= state.spill_credit
 }
 
 /// The region that the shares name for an object, the home region if nothing more may be moved
 /// there, or else the one with the largest share of those that are open.
-fn region(
+fn region_for_seed(
     shares: &Shares,
     seed: ObjectTag,
     open: &[RegionId],
     home: &RegionId,
-    held: &[NameTag],
+    at_shift_limit: &[NameTag],
 ) -> Option<RegionId> {
     let named = shares.pick(f64::from(seed) / f64::from(ObjectTag::MAX));
-    let named = named.map(|region| match held.contains(&name_tag(region)) && open.contains(home) {
-        true => home,
-        false => region,
+    let named = named.map(|region| {
+        match at_shift_limit.contains(&name_tag(region)) && open.contains(home) {
+            true => home,
+            false => region,
+        }
     });
     if let Some(region) = named.filter(|region| open.contains(region)) {
         return Some(region.clone());
@@ -324,13 +331,13 @@
         slots.entry(&host.region).or_default();
     }
     for target in targets {
-        let part = if target.is_cold(now) { COLD_SLOTS } else { 1.0 };
-        *slots.entry(&target.region).or_default() += f64::from(target.entry.slots) * part;
+        let fraction = if target.is_cold(now) { COLD_SLOT_FRACTION } else { 1.0 };
+        *slots.entry(&target.region).or_default() += f64::from(target.entry.slots) * fraction;
     }
     let tag = name_tag(service);
     let demand = |region: &RegionId| {
-        let told = view.demand.get(&(region.clone(), tag)).copied().unwrap_or_default();
-        let sum = if region == home { told + own_demand } else { told };
+        let reported = view.demand.get(&(region.clone(), tag)).copied().unwrap_or_default();
+        let sum = if region == home { reported + own_demand } else { reported };
         (0.0 < sum).then_some(sum)
     };
     slots
--- a/src/entry/exchange.rs
+++ b/src/entry/request_handler.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the answer.
+//! One request of a caller, from its head to the response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,12 +16,12 @@
 
 use super::{
     Access, CallerKey, Declared, Repeat, Route, TrafficState, View,
-    answer::{Answer, own},
     attempt::{AttemptOutcome, OutboundRequest, send_attempt},
-    bodies::HeldBody,
+    body_memory::BodyReservation,
     caller_io::Disconnect,
     place::PlacementRequest,
-    request_log::{Outcome, RequestLog},
+    request_log::{RequestLog, RequestOutcome},
+    response::{CallerResponse, host_response},
     traffic_state::Admission,
 };
 use crate::{
@@ -32,103 +32,105 @@
 };
 
 /// Time kept for the ways there and back, 8 ms each, for a new connection and for timers that fire
-/// late: the caller has its answer when its time is over.
-const ANSWER_MARGIN: Duration = Duration::from_millis(60);
+/// late: the caller has its response when its time is over.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(60);
 
 /// A second target is asked when the first takes this many times the usual time.
-const HEDGE_AFTER: f64 = 4.0;
+const HEDGE_DELAY_FACTOR: f64 = 4.0;
 
 /// Shortest time before a second target is asked.
-const HEDGE_LEAST: Duration = Duration::from_millis(350);
+const HEDGE_DELAY_MIN: Duration = Duration::from_millis(350);
 
 /// Least and longest time that a refused caller is asked to stay away. The longest is what callers
 /// of the shortest deadlines still honour.
-const COME_BACK_LEAST: Duration = Duration::from_millis(80);
-const COME_BACK_MOST: Duration = Duration::from_millis(700);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(80);
+const RETRY_AFTER_MAX: Duration = Duration::from_millis(700);
 
 /// Time after the signal to stop in which new requests are still served, as a part of the time to
 /// the process' end: what is sent then can still be answered.
-const LEAVING_SERVES: f64 = 0.4;
+const SHUTDOWN_ACCEPT_FRACTION: f64 = 0.4;
 
 /// Time that a refused caller stays away where nothing tells when there is room.
-const COME_BACK_USUAL: Duration = Duration::from_millis(250);
+const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(250);
 
 /// Targets that may turn out to be unreachable before a request is refused.
-const UNREACHED_MOST: u32 = 3;
+const MAX_UNREACHABLE_TARGETS: u32 = 3;
 
 type Attempt = Pin<Box<dyn Future<Output = (TargetId, AttemptOutcome)>>>;
 type Attempts = FuturesUnordered<Attempt>;
 
 /// A request that may be on its way in.
-pub enum Body {
+pub enum RequestBody {
     Incoming(Incoming),
     None,
 }
 
 /// Serves one request. `None` when the caller has left.
-pub async fn serve(
+pub async fn handle_request(
     state: Rc<TrafficState>,
     disconnect: Disconnect,
-    req: Request<Body>,
-) -> Option<Answer> {
-    let since = state.clock.now();
+    req: Request<RequestBody>,
+) -> Option<CallerResponse> {
+    let accepted_at = state.clock.now();
     let (mut head, body) = req.into_parts();
     let note = state.protocol.caller(&head.headers);
-    let key = state.key(note.attempt.as_ref());
+    let key = state.new_request_key(note.attempt.as_ref());
     let version = Cell::new(0);
     let team_name: RefCell<Option<TeamId>> = RefCell::default();
-    let refuse = |kind: ErrorKind, come_back: Option<Duration>| {
-        let answer = own(&state, &note, kind, come_back);
+    let refuse = |kind: ErrorKind, retry_after: Option<Duration>| {
+        let response = host_response(&state, &note, kind, retry_after);
         let event = Event::Refused {
             declaration: version.get(),
             error: kind,
-            retry_after_ms: come_back.map(|span| span.as_millis() as u64),
-            status: answer.status().as_u16(),
+            retry_after_ms: retry_after.map(|span| span.as_millis() as u64),
+            status: response.status().as_u16(),
             team: team_name.borrow().clone(),
-            took_ms: state.clock.now().saturating_sub(since).as_millis() as u64,
+            took_ms: state.clock.now().saturating_sub(accepted_at).as_millis() as u64,
         };
         state.record(&key, event);
-        Some(answer)
+        Some(response)
     };
     let Some(view) = state.view() else { return refuse(ErrorKind::NoManifest, None) };
     let Some(declared) = view.declared.clone() else { return refuse(ErrorKind::NoManifest, None) };
     version.set(declared.version);
-    let Some(route) = route(&declared, &head) else {
+    let Some(route) = find_route(&declared, &head) else {
         return refuse(ErrorKind::ServiceUnknown, None);
     };
-    let authorize = |view: &View| match access(&state, view, &route, &note.key) {
+    let authorize = |view: &View| match check_access(&state, view, &route, &note.key) {
         Access::Granted(team) => Ok(team),
         Access::Unchecked => Err(ErrorKind::ApiKeyUnchecked),
         Access::Unknown => Err(ErrorKind::ApiKeyUnknown),
     };
     if let Err(kind) = authorize(&view) {
-        return refuse(kind, Some(COME_BACK_USUAL));
+        return refuse(kind, Some(RETRY_AFTER_DEFAULT));
     }
-    if leaves_too_soon(&state) {
-        return refuse(ErrorKind::HostLeaving, Some(COME_BACK_LEAST));
+    if stops_before_response(&state) {
+        return refuse(ErrorKind::HostLeaving, Some(RETRY_AFTER_MIN));
     }
     let body = tokio::select! {
-        body = read(&state, &declared, body) => body,
+        body = read_body(&state, &declared, body) => body,
         () = disconnect.gone() => return None,
     };
-    let (body, held) = match body {
+    let (body, reservation) = match body {
         Ok(read) => read,
-        Err(kind @ ErrorKind::HostBusy) => return refuse(kind, Some(COME_BACK_USUAL)),
+        Err(kind @ ErrorKind::HostBusy) => return refuse(kind, Some(RETRY_AFTER_DEFAULT)),
         Err(kind) => return refuse(kind, None),
     };
     // The key may have been revoked while the body was being read.
     let view = state.view().unwrap_or(view);
     let team = match authorize(&view) {
         Ok(team) => team,
-        Err(kind) => return refuse(kind, Some(COME_BACK_USUAL)),
+        Err(kind) => return refuse(kind, Some(RETRY_AFTER_DEFAULT)),
     };
     *team_name.borrow_mut() = team.as_ref().map(|team| team.name.clone());
     let admission = match team.as_ref().map(|team| state.admit(&view, team)).transpose() {
         Ok(admission) => admission,
         Err(retry_after) => return refuse(ErrorKind::QuotaExceeded, Some(retry_after)),
     };
-    let Some(service) = state.service(&route) else { return refuse(ErrorKind::NoTarget, None) };
-    state.arrived(&service);
+    let Some(service) = state.pick_service(&route) else {
+        return refuse(ErrorKind::NoTarget, None);
+    };
+    state.count_arrival(&service);
     let fingerprint = fingerprint(&head, &body);
     if is_crash_suspect(&state, &view, fingerprint) {
         return refuse(ErrorKind::Quarantined, None);
@@ -136,50 +138,51 @@
     if let Some(path) = head.uri.path_and_query() {
         head.uri = http::Uri::from(path.clone());
     }
-    let wait = note.time_left.unwrap_or(route.timeout).min(route.timeout);
-    let deadline = since + wait.saturating_sub(ANSWER_MARGIN);
+    let timeout = note.time_left.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = accepted_at + timeout.saturating_sub(RESPONSE_MARGIN);
     let taken = Event::Taken {
         body_bytes: body.len(),
         declaration: declared.version,
         fingerprint,
         idempotent: route.repeat == Repeat::Idempotent,
-        left_ms: wait.as_millis() as u64,
+        left_ms: timeout.as_millis() as u64,
         route: route.key.clone(),
         service: service.clone(),
         team: team_name.borrow().clone(),
     };
     state.record(&key, taken);
-    let log = RequestLog::new(state.clone(), key, service.clone(), route.objective, since);
+    let log = RequestLog::new(state.clone(), key, service.clone(), route.objective, accepted_at);
     let key = log.key().clone();
     let request = OutboundRequest {
         body,
         deadline,
         fingerprint,
         head,
-        _held: held,
+        _body_reservation: reservation,
         key,
         note,
         service,
         team,
     };
-    let call = Call { admission, log, state, request: Rc::new(request), route, tried: Vec::new() };
+    let call =
+        Call { admission, log, state, request: Rc::new(request), route, tried_targets: Vec::new() };
     call.run(disconnect).await
 }
 
 /// Whether a request may be started before its turn.
-pub fn may_start_ahead(state: &TrafficState, head: &Parts) -> bool {
+pub fn may_start_early(state: &TrafficState, head: &Parts) -> bool {
     let declared = state.view().and_then(|view| view.declared.clone());
-    let route = declared.and_then(|declared| route(&declared, head));
+    let route = declared.and_then(|declared| find_route(&declared, head));
     route.is_some_and(|route| route.repeat == Repeat::Idempotent)
 }
 
-fn access(state: &TrafficState, view: &View, route: &Route, key: &CallerKey) -> Access {
+fn check_access(state: &TrafficState, view: &View, route: &Route, key: &CallerKey) -> Access {
     let Some(declared) = &view.declared else { return Access::Unchecked };
     let age = view.declared_checked_at.map(|at| state.clock.now().saturating_sub(at));
     Access::check(declared, route, key, age, &state.bounds())
 }
 
-fn route(declared: &Declared, head: &Parts) -> Option<Arc<Route>> {
+fn find_route(declared: &Declared, head: &Parts) -> Option<Arc<Route>> {
     declared.route(host_of(head)?, head.uri.path()).cloned()
 }
 
@@ -190,7 +193,7 @@
     state: Rc<TrafficState>,
     request: Rc<OutboundRequest>,
     route: Arc<Route>,
-    tried: Vec<u32>,
+    tried_targets: Vec<u32>,
 }
 
 /// What has come of the attempts so far.
@@ -199,109 +202,124 @@
     /// An attempt may have run.
     maybe_ran: bool,
     /// A target's own failure, to be passed on if nothing better comes.
-    poor: Option<Answer>,
+    target_error: Option<CallerResponse>,
     room_in: Option<Duration>,
     /// Attempts that reached a target, or may have.
     sent: u32,
-    /// The target whose answer is passed on.
+    /// The target whose response is passed on.
     target: Option<TargetId>,
-    unreached: u32,
-    why: Option<ErrorKind>,
+    unreachable_targets: u32,
+    error: Option<ErrorKind>,
 }
 
 impl Call {
-    async fn run(mut self, disconnect: Disconnect) -> Option<Answer> {
+    async fn run(mut self, disconnect: Disconnect) -> Option<CallerResponse> {
         let mut attempts = Attempts::new();
         let mut progress = CallProgress::default();
         let mut may_hedge = self.route.repeat == Repeat::Idempotent;
-        let usual = self.state.work(&self.request.service);
-        let hedge_after = usual.mul_f64(HEDGE_AFTER).max(HEDGE_LEAST);
+        let mean_work = self.state.mean_work(&self.request.service);
+        let hedge_after = mean_work.mul_f64(HEDGE_DELAY_FACTOR).max(HEDGE_DELAY_MIN);
         let mut hedge_at = self.state.clock.now() + hedge_after;
         loop {
             if attempts.is_empty() {
-                let reason =
-                    if progress.is_new() { AttemptReason::First } else { AttemptReason::Retry };
-                match self.launch(&mut progress, reason) {
+                let reason = if progress.is_first_attempt() {
+                    AttemptReason::First
+                } else {
+                    AttemptReason::Retry
+                };
+                match self.launch_attempt(&mut progress, reason) {
                     Some(attempt) => attempts.push(attempt),
-                    None => return Some(self.give_up(progress)),
+                    None => return Some(self.final_response(progress)),
                 }
             }
             let now = self.state.clock.now();
-            let wake =
+            let wake_at =
                 if may_hedge { hedge_at.min(self.request.deadline) } else { self.request.deadline };
             tokio::select! {
                 biased;
                 Some((target, outcome)) = attempts.next() => {
-                    if let Some(answer) = progress.record(&target, outcome) {
-                        let outcome = Outcome::of_target(target, progress.sent);
-                        return Some(self.log.answered(answer, outcome));
+                    if let Some(response) = progress.record(&target, outcome) {
+                        let outcome = RequestOutcome::from_target(target, progress.sent);
+                        return Some(self.log.record_answered(response, outcome));
                     }
                     // What may have run once may not be sent again.
                     if progress.maybe_ran && self.route.repeat == Repeat::Once {
-                        return Some(self.give_up(progress));
+                        return Some(self.final_response(progress));
                     }
                 }
                 () = disconnect.gone() => return None,
-                () = tokio::time::sleep(wake.saturating_sub(now)) => {
+                () = tokio::time::sleep(wake_at.saturating_sub(now)) => {
                     if self.request.deadline <= self.state.clock.now() {
                         progress.maybe_ran = true;
-                        progress.why = Some(ErrorKind::DispatchTimeout);
-                        return Some(self.give_up(progress));
+                        progress.error = Some(ErrorKind::DispatchTimeout);
+                        return Some(self.final_response(progress));
                     }
                     may_hedge = false;
                     hedge_at = self.request.deadline;
-                    attempts.extend(self.launch(&mut progress, AttemptReason::Hedge));
+                    attempts.extend(self.launch_attempt(&mut progress, AttemptReason::Hedge));
                 }
             }
         }
     }
 
     /// Starts one more attempt, if the route, the retry budget and the targets allow it.
-    fn launch(&mut self, progress: &mut CallProgress, reason: AttemptReason) -> Option<Attempt> {
+    fn launch_attempt(
+        &mut self,
+        progress: &mut CallProgress,
+        reason: AttemptReason,
+    ) -> Option<Attempt> {
         if self.route.attempts.max(1) <= progress.sent {
-            return self.denied(progress, "attempts of the route");
+            return self.deny_retry(progress, "attempts of the route");
         }
-        if UNREACHED_MOST <= progress.unreached {
-            return self.denied(progress, "unreachable targets");
+        if MAX_UNREACHABLE_TARGETS <= progress.unreachable_targets {
+            return self.deny_retry(progress, "unreachable targets");
         }
         let view = self.state.view()?;
         if let Some(kind) = self.access_error(&view) {
-            progress.why.get_or_insert(kind);
+            progress.error.get_or_insert(kind);
             return None;
         }
-        let wanted = PlacementRequest {
+        let request = PlacementRequest {
             deadline: self.request.deadline,
             object: self.object(),
             route: self.route.clone(),
             service: self.request.service.clone(),
             team: self.request.team.clone(),
-            tried: self.tried.clone(),
+            tried_targets: self.tried_targets.clone(),
         };
-        let placement = self.state.place(&view, &wanted);
+        let placement = self.state.place(&view, &request);
         let Some(target) = placement.target.clone() else {
-            let (why, room_in) = match placement.choice {
+            let (error, room_in) = match placement.choice {
                 Choice::Busy { room_in, .. } => (ErrorKind::NoSlots, room_in),
                 _ => (ErrorKind::NoTarget, None),
             };
             progress.room_in = room_in;
-            progress.why.get_or_insert(why);
-            self.log.not_placed(&view, &placement, why, room_in);
+            progress.error.get_or_insert(error);
+            self.log.record_not_placed(&view, &placement, error, room_in);
             return None;
         };
         if 0 < progress.sent && !self.state.take_retry(&view, &self.request.service) {
-            return self.denied(progress, "retry budget");
+            return self.deny_retry(progress, "retry budget");
         }
         progress.sent += 1;
-        self.log.sent(&view, &placement, &target, self.request.deadline, progress.sent, reason);
-        self.tried.push(target.tag);
-        let running = self.state.start(&target, self.request.fingerprint, placement.forecast);
+        self.log.record_sent(
+            &view,
+            &placement,
+            &target,
+            self.request.deadline,
+            progress.sent,
+            reason,
+        );
+        self.tried_targets.push(target.tag);
+        let in_flight =
+            self.state.start_attempt(&target, self.request.fingerprint, placement.forecast);
         if let Some(admission) = &self.admission {
             admission.attempt_started(progress.maybe_ran);
         }
         let (state, request) = (self.state.clone(), self.request.clone());
         Some(Box::pin(async move {
             let id = target.entry.id.clone();
-            (id, send_attempt(state, request, target, running).await)
+            (id, send_attempt(state, request, target, in_flight).await)
         }))
     }
 
@@ -309,7 +327,7 @@
     /// was revoked.
     fn access_error(&self, view: &View) -> Option<ErrorKind> {
         self.request.team.as_ref()?;
-        match access(&self.state, view, &self.route, &self.request.note.key) {
+        match check_access(&self.state, view, &self.route, &self.request.note.key) {
             Access::Granted(_) => None,
             Access::Unchecked => Some(ErrorKind::ApiKeyUnchecked),
             Access::Unknown => Some(ErrorKind::ApiKeyUnknown),
@@ -317,8 +335,8 @@
     }
 
     /// A further attempt is not allowed by a limit.
-    fn denied(&self, progress: &CallProgress, limit: &str) -> Option<Attempt> {
-        self.log.retry_denied(limit, progress.sent);
+    fn deny_retry(&self, progress: &CallProgress, limit: &str) -> Option<Attempt> {
+        self.log.record_retry_denied(limit, progress.sent);
         None
     }
 
@@ -328,54 +346,57 @@
         Some(xxh3_64(object.as_bytes()) as ObjectTag)
     }
 
-    fn give_up(&self, mut progress: CallProgress) -> Answer {
-        if let Some(poor) = progress.poor.take() {
+    fn final_response(&self, mut progress: CallProgress) -> CallerResponse {
+        if let Some(target_error) = progress.target_error.take() {
             let outcome = match progress.target.take() {
-                Some(target) => Outcome::of_target(target, progress.sent),
-                None => Outcome::own(ErrorKind::AnswerBroken, progress.sent, None),
+                Some(target) => RequestOutcome::from_target(target, progress.sent),
+                None => RequestOutcome::from_host(ErrorKind::AnswerBroken, progress.sent, None),
             };
-            return self.log.answered(poor, outcome);
+            return self.log.record_answered(target_error, outcome);
         }
-        let why = progress.why.unwrap_or(ErrorKind::NoSlots);
-        let why = match why.row().ran {
+        let error = progress.error.unwrap_or(ErrorKind::NoSlots);
+        let error = match error.row().ran {
             Ran::No if progress.maybe_ran => ErrorKind::DispatchLost,
-            _ => why,
+            _ => error,
         };
-        if let (Some(admission), Ran::No) = (&self.admission, why.row().ran) {
+        if let (Some(admission), Ran::No) = (&self.admission, error.row().ran) {
             admission.mark_not_run();
         }
-        let spread = 0.75 + rand::random::<f64>() / 2.0;
-        let come_back = progress.room_in.unwrap_or(COME_BACK_USUAL).mul_f64(spread);
-        let come_back = come_back.clamp(COME_BACK_LEAST, COME_BACK_MOST);
-        let answer = own(&self.state, &self.request.note, why, Some(come_back));
-        self.log.answered(answer, Outcome::own(why, progress.sent, Some(come_back)))
+        let jitter = 0.75 + rand::random::<f64>() / 2.0;
+        let retry_after = progress.room_in.unwrap_or(RETRY_AFTER_DEFAULT).mul_f64(jitter);
+        let retry_after = retry_after.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
+        let response = host_response(&self.state, &self.request.note, error, Some(retry_after));
+        self.log.record_answered(
+            response,
+            RequestOutcome::from_host(error, progress.sent, Some(retry_after)),
+        )
     }
 }
 
 impl CallProgress {
     /// Nothing was tried yet.
-    fn is_new(&self) -> bool {
-        self.sent == 0 && self.unreached == 0
+    fn is_first_attempt(&self) -> bool {
+        self.sent == 0 && self.unreachable_targets == 0
     }
 
-    /// Takes an attempt's end in; the answer, if it is one for the caller.
-    fn record(&mut self, target: &TargetId, outcome: AttemptOutcome) -> Option<Answer> {
+    /// Takes an attempt's end in; the response, if it is one for the caller.
+    fn record(&mut self, target: &TargetId, outcome: AttemptOutcome) -> Option<CallerResponse> {
         match outcome {
-            AttemptOutcome::Answer(answer) => return Some(answer),
-            AttemptOutcome::Poor(answer) => {
+            AttemptOutcome::Response(response) => return Some(response),
+            AttemptOutcome::TargetError(response) => {
                 self.maybe_ran = true;
-                self.poor = Some(answer);
+                self.target_error = Some(response);
                 self.target = Some(target.clone());
             }
             AttemptOutcome::NotRun(ErrorKind::ConnectFailed) => {
                 self.sent -= 1;
-                self.unreached += 1;
-                self.why = Some(ErrorKind::ConnectFailed);
+                self.unreachable_targets += 1;
+                self.error = Some(ErrorKind::ConnectFailed);
             }
-            AttemptOutcome::NotRun(kind) => self.why = Some(kind),
+            AttemptOutcome::NotRun(kind) => self.error = Some(kind),
             AttemptOutcome::Lost(kind) => {
                 self.maybe_ran = true;
-                self.why = Some(kind);
+                self.error = Some(kind);
             }
         }
         None
@@ -384,32 +405,32 @@
 
 /// The host that a request names.
 fn host_of(head: &Parts) -> Option<&str> {
-    let named = head.headers.get(header::HOST).and_then(|value| value.to_str().ok());
-    named.or_else(|| head.uri.host())
+    let host = head.headers.get(header::HOST).and_then(|value| value.to_str().ok());
+    host.or_else(|| head.uri.host())
 }
 
 /// The whole body, within the declared bound and that of all bodies together.
-async fn read(
+async fn read_body(
     state: &TrafficState,
     declared: &Declared,
-    body: Body,
-) -> Result<(Bytes, HeldBody), ErrorKind> {
-    let mut held = state.bodies.hold();
-    let Body::Incoming(mut body) = body else { return Ok((Bytes::new(), held)) };
-    let mut whole = BytesMut::new();
+    body: RequestBody,
+) -> Result<(Bytes, BodyReservation), ErrorKind> {
+    let mut reservation = state.body_memory.start_reservation();
+    let RequestBody::Incoming(mut body) = body else { return Ok((Bytes::new(), reservation)) };
+    let mut bytes_read = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| ErrorKind::BadRequest)?;
         // Trailers concern one connection only.
         let Ok(bytes) = frame.into_data() else { continue };
-        if declared.body_bytes < whole.len() + bytes.len() {
+        if declared.body_bytes < bytes_read.len() + bytes.len() {
             return Err(ErrorKind::BodyTooLarge);
         }
-        if !held.grow(bytes.len()) {
+        if !reservation.grow(bytes.len()) {
             return Err(ErrorKind::HostBusy);
         }
-        whole.extend_from_slice(&bytes);
+        bytes_read.extend_from_slice(&bytes);
     }
-    Ok((whole.freeze(), held))
+    Ok((bytes_read.freeze(), reservation))
 }
 
 fn fingerprint(head: &Parts, body: &[u8]) -> u64 {
@@ -423,8 +444,11 @@
     !state.crash_suspects.borrow().may_run(fingerprint, elsewhere)
 }
 
-/// Whether the process ends before an answer could be expected.
-fn leaves_too_soon(state: &TrafficState) -> bool {
-    let serves = state.bounds().grace.mul_f64(LEAVING_SERVES);
-    state.leaving.get().is_some_and(|since| since + serves <= state.clock.now())
+/// Whether the process ends before a response could be expected.
+fn stops_before_response(state: &TrafficState) -> bool {
+    let serves = state.bounds().grace.mul_f64(SHUTDOWN_ACCEPT_FRACTION);
+    state
+        .shutdown_started_at
+        .get()
+        .is_some_and(|stopping_since| stopping_since + serves <= state.clock.now())
 }
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, rc::Rc};
 
-use super::{KnownTarget, TrafficState, View, answer::Answer, place::Placement};
+use super::{KnownTarget, TrafficState, View, place::Placement, response::CallerResponse};
 use crate::{
     base::Ran,
     event_log::{AttemptReason, End, Event, RequestKey},
@@ -10,9 +10,9 @@
     prelude::*,
 };
 
-/// How a request ended, beside the answer itself.
-pub struct Outcome {
-    /// The host's own reason; `None` where the target's answer is passed on.
+/// How a request ended, beside the response itself.
+pub struct RequestOutcome {
+    /// The host's own reason; `None` where the target's response is passed on.
     error: Option<ErrorKind>,
     ran: Ran,
     retry_after: Option<Duration>,
@@ -20,14 +20,14 @@
     target: Option<TargetId>,
 }
 
-impl Outcome {
-    /// A target's answer is passed on.
-    pub fn of_target(target: TargetId, sent: u32) -> Self {
+impl RequestOutcome {
+    /// A target's response is passed on.
+    pub fn from_target(target: TargetId, sent: u32) -> Self {
         Self { error: None, ran: Ran::Yes, retry_after: None, sent, target: Some(target) }
     }
 
     /// The host answers itself.
-    pub fn own(error: ErrorKind, sent: u32, retry_after: Option<Duration>) -> Self {
+    pub fn from_host(error: ErrorKind, sent: u32, retry_after: Option<Duration>) -> Self {
         let ran = error.row().ran;
         let retry_after = retry_after.filter(|_| ran == Ran::No);
         Self { error: Some(error), ran, retry_after, sent, target: None }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Tells of one request; dropped before an answer, it tells that the caller has left.
+/// Tells of one request; dropped before an response, it tells that the caller has left.
 pub struct RequestLog {
     state: Rc<TrafficState>,
     ended: Cell<bool>,
@@ -52,20 +52,20 @@
     objective: Duration,
     sent: Cell<u32>,
     service: ServiceId,
-    since: Moment,
+    accepted_at: Moment,
 }
 
 impl RequestLog {
-    /// The log of a request that was accepted at `since`.
+    /// The log of a request that was accepted at `accepted_at`.
     pub fn new(
         state: Rc<TrafficState>,
         key: RequestKey,
         service: ServiceId,
         objective: Duration,
-        since: Moment,
+        accepted_at: Moment,
     ) -> Self {
         let (ended, sent) = (Cell::new(false), Cell::new(0));
-        Self { state, ended, key, objective, sent, service, since }
+        Self { state, ended, key, objective, sent, service, accepted_at }
     }
 
     /// Names the request.
@@ -74,7 +74,7 @@
     }
 
     /// It goes to a target.
-    pub fn sent(
+    pub fn record_sent(
         &self,
         view: &View,
         placement: &Placement,
@@ -92,7 +92,7 @@
         let event = Event::Sent {
             attempt,
             cold: target.is_cold(now),
-            declaration: version(view),
+            declaration: declaration_version(view),
             expected_ms: millis(expected),
             knows_percent: (placement.forecast.knows * 100.0).round() as u8,
             left_ms: millis(deadline.saturating_sub(now)),
@@ -109,7 +109,7 @@
     }
 
     /// No target can take it.
-    pub fn not_placed(
+    pub fn record_not_placed(
         &self,
         view: &View,
         placement: &Placement,
@@ -120,7 +120,7 @@
             candidates: placement.candidates,
             cold: placement.cold,
             crowded: placement.crowded.as_ref().map(|(target, _)| target.clone()),
-            declaration: version(view),
+            declaration: declaration_version(view),
             error,
             expected_ms: placement.crowded.as_ref().map(|(_, expected)| millis(*expected)),
             free_elsewhere: placement.free_elsewhere,
@@ -136,16 +136,20 @@
     }
 
     /// A further attempt is not allowed by `limit`.
-    pub fn retry_denied(&self, limit: &str, sent: u32) {
+    pub fn record_retry_denied(&self, limit: &str, sent: u32) {
         let event = Event::RetryDenied { limit: limit.into(), sent, service: self.service.clone() };
         self.state.record(&self.key, event);
     }
 
-    /// Its answer goes out.
-    pub fn answered(&self, answer: Answer, outcome: Outcome) -> Answer {
+    /// Its response goes out.
+    pub fn record_answered(
+        &self,
+        response: CallerResponse,
+        outcome: RequestOutcome,
+    ) -> CallerResponse {
         self.ended.set(true);
-        let took = self.took();
-        let status = answer.status();
+        let took = self.elapsed();
+        let status = response.status();
         let event = Event::Answered {
             end: outcome.end(status.is_success(), self.objective < took),
             error: outcome.error,
@@ -159,11 +163,11 @@
             took_ms: millis(took),
         };
         self.state.record(&self.key, event);
-        answer
+        response
     }
 
-    fn took(&self) -> Duration {
-        self.state.clock.now().saturating_sub(self.since)
+    fn elapsed(&self) -> Duration {
+        self.state.clock.now().saturating_sub(self.accepted_at)
     }
 }
 
@@ -175,7 +179,7 @@
         let event = Event::CallerLeft {
             sent: self.sent.get(),
             service: self.service.clone(),
-            took_ms: millis(self.took()),
+            took_ms: millis(self.elapsed()),
         };
         self.state.record(&self.key, event);
     }
@@ -185,6 +189,6 @@
     span.as_millis() as u64
 }
 
-fn version(view: &View) -> u64 {
+fn declaration_version(view: &View) -> u64 {
     view.declared.as_ref().map_or(0, |declared| declared.version)
 }
--- a/src/entry/answer.rs
+++ b/src/entry/response.rs
@@ -12,7 +12,9 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 
-use super::{CallerNote, KnownTarget, TrafficState, traffic_state::InFlight, upstream::Line};
+use super::{
+    CallerNote, KnownTarget, TrafficState, traffic_state::InFlight, upstream::TargetConnection,
+};
 use crate::{
     base::Ran,
     event_log::{Event, RequestKey},
@@ -21,15 +23,15 @@
 };
 
 /// An answer with either kind of body.
-pub type Answer = Response<AnswerBody>;
+pub type CallerResponse = Response<ResponseBody>;
 
 /// Whole bodies, and those that go on as they arrive.
-pub enum AnswerBody {
+pub enum ResponseBody {
     Whole(Full<Bytes>),
-    Stream(Relay),
+    Stream(StreamingBody),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -38,70 +40,70 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match self.get_mut() {
-            AnswerBody::Whole(body) => {
+            ResponseBody::Whole(body) => {
                 Pin::new(body).poll_frame(cx).map_err(|never| match never {})
             }
-            AnswerBody::Stream(relay) => relay.poll(cx),
+            ResponseBody::Stream(stream) => stream.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(body) => body.is_end_stream(),
-            AnswerBody::Stream(relay) => relay.body.is_end_stream(),
+            ResponseBody::Whole(body) => body.is_end_stream(),
+            ResponseBody::Stream(stream) => stream.body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(body) => body.size_hint(),
-            AnswerBody::Stream(relay) => relay.body.size_hint(),
+            ResponseBody::Whole(body) => body.size_hint(),
+            ResponseBody::Stream(stream) => stream.body.size_hint(),
         }
     }
 }
 
 /// A target's body on its way to the caller. Dropped early, the caller has left: the target's
 /// connection closes and it stops working.
-pub struct Relay {
+pub struct StreamingBody {
     pub body: Incoming,
-    pub ended: Option<Box<RelayEnd>>,
+    pub completion: Option<Box<StreamCompletion>>,
 }
 
 /// What is done when a body ends.
-pub struct RelayEnd {
+pub struct StreamCompletion {
     pub state: Rc<TrafficState>,
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     pub key: RequestKey,
-    pub line: Line,
-    pub running: InFlight,
+    pub connection: TargetConnection,
+    pub in_flight: InFlight,
     pub service: ServiceId,
     pub target: Arc<KnownTarget>,
 }
 
-impl Relay {
+impl StreamingBody {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         match &frame {
             Some(Ok(_)) if !self.body.is_end_stream() => {}
             Some(Err(error)) => {
-                if let Some(end) = self.ended.take() {
+                if let Some(completion) = self.completion.take() {
                     let event = Event::StreamBroken {
                         reason: error.to_string().into(),
-                        service: end.service.clone(),
-                        target: end.target.entry.id.clone(),
+                        service: completion.service.clone(),
+                        target: completion.target.entry.id.clone(),
                     };
-                    end.state.record(&end.key, event);
-                    end.state.ended(
-                        &end.target,
-                        &end.service,
-                        &end.running.forecast,
+                    completion.state.record(&completion.key, event);
+                    completion.state.record_attempt_end(
+                        &completion.target,
+                        &completion.service,
+                        &completion.in_flight.forecast,
                         Ended::Failed,
                     );
                 }
             }
             _ => {
-                if let Some(end) = self.ended.take() {
-                    end.finish();
+                if let Some(completion) = self.completion.take() {
+                    completion.finish();
                 }
             }
         }
@@ -109,23 +111,23 @@
     }
 }
 
-impl RelayEnd {
+impl StreamCompletion {
     /// The answer was whole: its connection serves again.
     pub fn finish(self) {
         let now = self.state.clock.now();
-        self.state.pool.borrow_mut().put(&self.target, self.line, self.keep, now);
-        drop(self.running);
+        self.state.pool.borrow_mut().put(&self.target, self.connection, self.keep_alive, now);
+        drop(self.in_flight);
     }
 }
 
 /// The host's own answer. Its status says whether the request has run: 503 promises that it has not
 /// and never will; 502 and 504 promise nothing.
-pub fn own(
+pub fn host_response(
     state: &TrafficState,
     note: &CallerNote,
     kind: ErrorKind,
-    come_back: Option<Duration>,
-) -> Answer {
+    retry_after: Option<Duration>,
+) -> CallerResponse {
     let row = kind.row();
     let status = match kind {
         ErrorKind::ApiKeyUnknown
@@ -137,29 +139,29 @@
         _ => row.status,
     };
     let body = Bytes::from(format!("{kind}\n"));
-    let mut answer = Response::new(AnswerBody::Whole(Full::new(body)));
-    *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let headers = answer.headers_mut();
+    let mut response = Response::new(ResponseBody::Whole(Full::new(body)));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
+    let headers = response.headers_mut();
     state.protocol.mark_own(headers, note);
-    if let Some(span) = come_back
+    if let Some(span) = retry_after
         && matches!(status, 429 | 503)
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64()))
     {
         headers.insert(header::RETRY_AFTER, value);
     }
-    answer
+    response
 }
 
 /// Removes the headers that concern one connection only.
-pub fn strip(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
-        .filter_map(|word| word.trim().parse().ok())
+        .filter_map(|token| token.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     for name in [
--- a/src/entry/service_state.rs
+++ b/src/entry/service_state.rs
@@ -8,34 +8,34 @@
 };
 
 /// Weight of the newest span in the measured demand.
-const DEMAND_NEWEST: f64 = 0.3;
+const DEMAND_SMOOTHING: f64 = 0.3;
 
 /// Shortest span that demand is measured over, in seconds.
-const SPAN_LEAST: f64 = 0.1;
+const MIN_INTERVAL_S: f64 = 0.1;
 
 /// Part of requests that may leave the region that the shares name: they add to the shift.
-const SPILL_PART: f64 = 0.005;
+const SPILL_CREDIT_PER_REQUEST: f64 = 0.005;
 
 /// Most of these that are saved up.
-const SPILL_MOST: f64 = 2.0;
+const MAX_SPILL_CREDIT: f64 = 2.0;
 
 /// Least move of a region's share that is told: a tenth of a second's usual move is noise.
-const SHARE_REPORTED: f64 = 0.05;
+const MIN_REPORTED_SHARE_CHANGE: f64 = 0.05;
 
 /// Figures of one service.
 #[derive(Debug)]
 pub(super) struct ServiceState {
     arrivals: u32,
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Busy slots that this host's callers ask for.
     pub demand: f64,
-    pub index: TargetIndex,
+    pub target_index: TargetIndex,
     pub learnt: Learnt,
     /// Spans in which demand was measured.
-    spans: u32,
+    measurements: u32,
     pub shares: Option<Shares>,
     /// Requests that may leave the region that the shares name; rises with each request.
-    pub spill: f64,
+    pub spill_credit: f64,
     /// The shares that were last told.
     reported_shares: BTreeMap<RegionId, f64>,
 }
@@ -44,13 +44,13 @@
     fn default() -> Self {
         Self {
             arrivals: 0,
-            budget: RetryBudget::new(),
+            retry_budget: RetryBudget::new(),
             demand: 0.0,
-            index: TargetIndex::default(),
+            target_index: TargetIndex::default(),
             learnt: Learnt::default(),
-            spans: 0,
+            measurements: 0,
             shares: None,
-            spill: 0.0,
+            spill_credit: 0.0,
             reported_shares: BTreeMap::new(),
         }
     }
@@ -58,21 +58,21 @@
 
 impl ServiceState {
     /// Counts a new request.
-    pub fn arrived(&mut self, now: Moment) {
+    pub fn count_arrival(&mut self, now: Moment) {
         self.arrivals += 1;
-        self.spill = (self.spill + SPILL_PART).min(SPILL_MOST);
-        self.budget.noted(now);
+        self.spill_credit = (self.spill_credit + SPILL_CREDIT_PER_REQUEST).min(MAX_SPILL_CREDIT);
+        self.retry_budget.noted(now);
     }
 
     /// Measures demand by the requests since the last call, that long ago. The first spans count in
     /// full: a mean that rises from nothing would draw all shares home while callers are waiting.
-    pub fn measure(&mut self, spent: Duration) {
-        let rate = f64::from(self.arrivals) / spent.as_secs_f64().max(SPAN_LEAST);
+    pub fn measure_demand(&mut self, elapsed: Duration) {
+        let rate = f64::from(self.arrivals) / elapsed.as_secs_f64().max(MIN_INTERVAL_S);
         let demand = rate * self.learnt.work.mean().as_secs_f64();
         self.arrivals = 0;
-        self.spans = self.spans.saturating_add(1);
-        let newest = DEMAND_NEWEST.max(1.0 / f64::from(self.spans));
-        self.demand += (demand - self.demand) * newest;
+        self.measurements = self.measurements.saturating_add(1);
+        let weight = DEMAND_SMOOTHING.max(1.0 / f64::from(self.measurements));
+        self.demand += (demand - self.demand) * weight;
     }
 
     /// Tells the shares where they have moved.
@@ -82,8 +82,8 @@
         let now: BTreeMap<RegionId, f64> =
             shares.parts().map(|(region, part)| (region.clone(), rounded(part))).collect();
         let moved = |(region, part): (&RegionId, &f64)| {
-            let told = self.reported_shares.get(region).copied().unwrap_or_default();
-            SHARE_REPORTED <= (part - told).abs()
+            let reported = self.reported_shares.get(region).copied().unwrap_or_default();
+            MIN_REPORTED_SHARE_CHANGE <= (part - reported).abs()
         };
         if now.iter().any(moved) {
             self.reported_shares = now.clone();
--- a/src/entry/records.rs
+++ b/src/entry/stale_records.rs
@@ -10,7 +10,7 @@
 
 /// Time for which a host may be unheard before its record is removed: longer than any cut, and a
 /// removed host that lives writes its record again.
-const UNHEARD: Duration = Duration::from_secs(600);
+const STALE_AFTER: Duration = Duration::from_secs(600);
 
 /// One host's record.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,14 +22,14 @@
 
 /// Since when listed hosts have not been heard.
 #[derive(Debug, Default)]
-pub struct Records {
-    unheard: BTreeMap<Arc<str>, Moment>,
+pub struct StaleRecordTracker {
+    unheard_since: BTreeMap<Arc<str>, Moment>,
 }
 
-impl Records {
+impl StaleRecordTracker {
     /// Takes a listing in, and tells which records are of hosts that are gone. A host that hears
     /// nobody removes none: it is more likely to be cut off itself.
-    pub fn stale(
+    pub fn find_stale(
         &mut self,
         listed: &[HostRecord],
         heard: &BTreeSet<SocketAddr>,
@@ -40,11 +40,11 @@
             |record: &&HostRecord| record.gossip != own && !heard.contains(&record.gossip);
         let silent: Vec<&HostRecord> = listed.iter().filter(is_silent).collect();
         let keys: BTreeSet<&Arc<str>> = silent.iter().map(|record| &record.key).collect();
-        self.unheard.retain(|key, _| keys.contains(key));
+        self.unheard_since.retain(|key, _| keys.contains(key));
         let mut stale = Vec::new();
         for record in silent {
-            let since = *self.unheard.entry(record.key.clone()).or_insert(now);
-            if !heard.is_empty() && UNHEARD <= now.saturating_sub(since) {
+            let since = *self.unheard_since.entry(record.key.clone()).or_insert(now);
+            if !heard.is_empty() && STALE_AFTER <= now.saturating_sub(since) {
                 stale.push(record.clone());
             }
         }
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of the decisions, without clocks and sockets.
 
 mod access;
-mod bodies;
+mod body_memory;
 mod hosts;
 mod known_state;
-mod pipeline;
+mod pipelining;
 mod propagation;
 mod settings_file;
 mod strain;
--- a/src/entry/tests/access.rs
+++ b/src/entry/tests/access.rs
@@ -128,7 +128,7 @@
 fn an_older_view_does_not_restore_its_limits() {
     let settings = loopback_settings("h", "z", "r", &[("z", "r")], "127.0.0.1:1".parse().unwrap());
     let bounds = Arc::new(ArcSwap::from_pointee(settings.bounds.clone()));
-    let state = TrafficState::open(
+    let state = TrafficState::new(
         Arc::new(settings),
         bounds,
         Arc::new(ManualClock::default()),
--- a/src/entry/tests/bodies.rs
+++ b/src/entry/tests/body_memory.rs
@@ -1,6 +1,6 @@
 //! Memory of request bodies.
 
-use crate::entry::bodies::BodyMemory;
+use crate::entry::body_memory::BodyMemory;
 
 const MIB: usize = 1024 * 1024;
 
@@ -9,12 +9,12 @@
 #[test]
 fn bodies_together_are_bounded() {
     let memory = BodyMemory::default();
-    let mut bodies: Vec<_> = (0..30).map(|_| memory.hold()).collect();
+    let mut bodies: Vec<_> = (0..30).map(|_| memory.start_reservation()).collect();
     let held = bodies.iter_mut().map(|body| body.grow(MIB)).filter(|held| *held).count();
     assert_eq!(held, 20);
     assert!(!bodies[0].grow(1) && !bodies[29].grow(usize::MAX));
     bodies.remove(0);
     assert!(bodies[28].grow(MIB) && !bodies[28].grow(1));
     drop(bodies);
-    assert!(memory.hold().grow(20 * MIB));
+    assert!(memory.start_reservation().grow(20 * MIB));
 }
--- a/src/entry/tests/hosts.rs
+++ b/src/entry/tests/hosts.rs
@@ -8,7 +8,7 @@
         LiveHost, LookupPlace, Part, Revisions, Stamp,
         lookup::addresses,
         questions::{QuestionEnd, Questions},
-        records::{HostRecord, Records},
+        stale_records::{HostRecord, StaleRecordTracker},
         sync::{AnswerCache, Difference, RawObjects, ReceivedState, since},
         watchers::WatcherElection,
     },
@@ -28,14 +28,17 @@
         |port| HostRecord { gossip: addr(port), key: format!("hosts/{port}").into(), version: 1 };
     let listed = [record(1), record(2), record(3)];
     let (own, heard) = (addr(1), [addr(2)].into());
-    let mut records = Records::default();
-    assert!(records.stale(&listed, &heard, own, secs(0.0)).is_empty());
-    assert!(records.stale(&listed, &heard, own, secs(599.0)).is_empty());
-    assert!(records.stale(&listed, &Default::default(), own, secs(601.0)).is_empty());
-    assert_eq!(records.stale(&listed, &heard, own, secs(601.0)), [record(3)]);
+    let mut records = StaleRecordTracker::default();
+    assert!(records.find_stale(&listed, &heard, own, secs(0.0)).is_empty());
+    assert!(records.find_stale(&listed, &heard, own, secs(599.0)).is_empty());
+    assert!(records.find_stale(&listed, &Default::default(), own, secs(601.0)).is_empty());
+    assert_eq!(records.find_stale(&listed, &heard, own, secs(601.0)), [record(3)]);
     let all = [addr(2), addr(3)].into();
-    assert!(records.stale(&listed, &all, own, secs(660.0)).is_empty());
-    assert!(records.stale(&listed, &heard, own, secs(720.0)).is_empty(), "it was heard meanwhile");
+    assert!(records.find_stale(&listed, &all, own, secs(660.0)).is_empty());
+    assert!(
+        records.find_stale(&listed, &heard, own, secs(720.0)).is_empty(),
+        "it was heard meanwhile"
+    );
 }
 
 /// Callers are sent to all hosts of their region, and to the others only where that has none.
--- a/src/entry/tests/targets.rs
+++ b/src/entry/tests/targets.rs
@@ -4,7 +4,7 @@
 use crate::{
     admission::RetryBudget,
     base::ManualClock,
-    entry::{CrashSuspects, LiveHost, Repeat, Route, TrafficState, traffic_state::allowance},
+    entry::{CrashSuspects, LiveHost, Repeat, Route, TrafficState, traffic_state::retry_allowance},
     event_log::NoEvents,
     placement::{ColdRates, Condition, Ended, Slowness, is_sender},
     platform::{PlatformProtocol, standin::loopback_settings},
@@ -137,15 +137,15 @@
 #[test]
 fn a_request_that_crashes_targets_is_refused() {
     let mut crash_suspects = CrashSuspects::default();
-    crash_suspects.crashed(7, secs(1.0));
-    crash_suspects.crashed(7, secs(2.0));
+    crash_suspects.record_crash(7, secs(1.0));
+    crash_suspects.record_crash(7, secs(2.0));
     assert!(crash_suspects.may_run(7, 0));
     assert!(!crash_suspects.may_run(7, 1));
-    crash_suspects.crashed(8, secs(2.0));
-    crash_suspects.cleared(8, 2, secs(3.0));
+    crash_suspects.record_crash(8, secs(2.0));
+    crash_suspects.clear(8, 2, secs(3.0));
     assert!(crash_suspects.may_run(8, 2));
-    assert_eq!(crash_suspects.marks(), [(7, 2)]);
-    crash_suspects.crashed(7, secs(3.0));
+    assert_eq!(crash_suspects.reported_crashes(), [(7, 2)]);
+    crash_suspects.record_crash(7, secs(3.0));
     assert!(!crash_suspects.may_run(7, 0));
     crash_suspects.tick(secs(70.0));
     assert!(crash_suspects.may_run(7, 0) && crash_suspects.is_empty());
@@ -156,9 +156,9 @@
 fn crashes_are_remembered_within_a_bound() {
     let mut crash_suspects = CrashSuspects::default();
     for print in 0..2000 {
-        crash_suspects.crashed(print, secs(print as f64 / 1000.0));
+        crash_suspects.record_crash(print, secs(print as f64 / 1000.0));
     }
-    assert_eq!(crash_suspects.marks().len(), 512);
+    assert_eq!(crash_suspects.reported_crashes().len(), 512);
 }
 
 /// Load pattern: every request fails, at every host. Retries of all hosts together stay below the
@@ -175,7 +175,7 @@
         for tick in 0..1000 {
             let now = secs(f64::from(tick) / 100.0);
             for budget in &mut budgets {
-                budget.allow(allowance(&bounds, 12));
+                budget.allow(retry_allowance(&bounds, 12));
                 budget.noted(now);
                 firsts += 1;
                 retries += u32::from(budget.take(now));
@@ -196,7 +196,7 @@
     let view = Arc::new(arc_swap::ArcSwapOption::empty());
     let bounds = Arc::new(arc_swap::ArcSwap::from_pointee(settings.bounds.clone()));
     let (protocol, events) = (Arc::new(PlatformProtocol), Arc::new(NoEvents));
-    let state = TrafficState::open(Arc::new(settings), bounds, clock, protocol, view, events);
+    let state = TrafficState::new(Arc::new(settings), bounds, clock, protocol, view, events);
     let route = |host: &str, weights: [f64; 2]| Route {
         attempts: 1,
         key: format!("{host}/a/").into(),
@@ -213,8 +213,8 @@
     let (even, skew) = (route("x", [50.0, 50.0]), route("y", [90.0, 10.0]));
     let mut counts = [0, 0];
     for _ in 0..200 {
-        counts[0] += usize::from(state.service(&even).as_deref() == Some("s"));
-        counts[1] += usize::from(state.service(&skew).as_deref() == Some("s"));
+        counts[0] += usize::from(state.pick_service(&even).as_deref() == Some("s"));
+        counts[1] += usize::from(state.pick_service(&skew).as_deref() == Some("s"));
     }
     assert!(counts[0].abs_diff(100) <= 1 && counts[1].abs_diff(180) <= 1, "{counts:?}");
 }
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -9,9 +9,9 @@
 use arc_swap::ArcSwap;
 
 use super::{
-    Bounds, CrashSuspects, DeclaredVersion, EntrySettings, KnownTarget, Pool, Protocol, Route,
-    Team, View, ViewCell, bodies::BodyMemory, place::region_loads, service_state::ServiceState,
-    upstream::connect,
+    Bounds, ConnectionPool, CrashSuspects, DeclaredVersion, EntrySettings, KnownTarget, Protocol,
+    Route, Team, View, ViewCell, body_memory::BodyMemory, place::region_loads,
+    service_state::ServiceState, upstream::connect,
 };
 use crate::{
     admission::Allowance,
@@ -27,13 +27,13 @@
 };
 
 /// Time for which a run is told: hosts of other regions hear a heartbeat that often.
-const RUNS_TOLD: Duration = Duration::from_millis(500);
+const RUN_REPORT_PERIOD: Duration = Duration::from_millis(500);
 
 /// Most runs in one heartbeat: with ten bytes each it stays in one packet.
-const RUNS_MOST: usize = 64;
+const MAX_REPORTED_RUNS: usize = 64;
 
 /// A target that takes this many times the usual time, or more, says nothing of how long work takes.
-const STEADY: f64 = 1.5;
+const MAX_LEARNING_STRETCH: f64 = 1.5;
 
 /// The bounds in force; settings that are read again replace them.
 pub type BoundsCell = Arc<ArcSwap<Bounds>>;
@@ -44,47 +44,47 @@
     pub events: Arc<dyn EventSink>,
     pub protocol: Arc<dyn Protocol>,
     pub settings: Arc<EntrySettings>,
-    pub bodies: BodyMemory,
+    pub body_memory: BodyMemory,
     bounds: BoundsCell,
-    pub(super) cold: RefCell<ColdRates>,
+    pub(super) cold_rates: RefCell<ColdRates>,
     pub(super) conditions: RefCell<HashMap<u32, Condition>>,
-    pub(super) held: RefCell<HeldObjects>,
+    pub(super) held_objects: RefCell<HeldObjects>,
     /// Objects that this host lately asked targets for, and when.
     own_runs: RefCell<VecDeque<(Moment, TargetTag, ObjectTag)>>,
     /// The view whose runs were taken in last.
-    heard_runs: Cell<Moment>,
-    sent: RefCell<SentWindow>,
+    peer_runs_applied_at: Cell<Moment>,
+    sent_window: RefCell<SentWindow>,
     /// What all hosts of the region sent, as of the last tick.
     pub(super) region_sent: RefCell<RegionSent>,
     /// Regions to which nothing more may be moved for now.
-    pub(super) held_regions: RefCell<Vec<NameTag>>,
-    pub(super) trips: RefCell<RoundTrips>,
+    pub(super) regions_at_shift_limit: RefCell<Vec<NameTag>>,
+    pub(super) round_trips: RefCell<RoundTrips>,
     pub(super) tuning: Tuning,
-    counted: Cell<Moment>,
+    demand_measured_at: Cell<Moment>,
     /// Targets that are being looked at after a lost answer.
-    looking: RefCell<HashSet<u32>>,
+    crash_checks: RefCell<HashSet<u32>>,
     pub crash_suspects: RefCell<CrashSuspects>,
-    pub pool: RefCell<Pool>,
+    pub pool: RefCell<ConnectionPool>,
     quota: RefCell<Box<dyn Quota>>,
     /// Version of the declaration whose limits are in force, and time of the view last applied.
     quota_version: Cell<DeclaredVersion>,
     quota_view_at: Cell<Moment>,
     /// Fingerprints of requests in attempt, by target.
-    running: RefCell<HashMap<u32, Vec<u64>>>,
+    running_fingerprints: RefCell<HashMap<u32, Vec<u64>>>,
     pub(super) services: RefCell<HashMap<ServiceId, ServiceState>>,
-    splits: RefCell<HashMap<Arc<str>, Vec<f64>>>,
+    split_credits: RefCell<HashMap<Arc<str>, Vec<f64>>>,
     /// Callers' open connections.
-    pub open: Cell<usize>,
+    pub open_connections: Cell<usize>,
     /// Requests since the start.
-    requests: Cell<u64>,
+    request_count: Cell<u64>,
     /// A planned stop has begun, and when.
-    pub leaving: Cell<Option<Moment>>,
+    pub shutdown_started_at: Cell<Option<Moment>>,
     view: ViewCell,
 }
 
 impl TrafficState {
     /// An idle state.
-    pub fn open(
+    pub fn new(
         settings: Arc<EntrySettings>,
         bounds: BoundsCell,
         clock: Arc<dyn Clock>,
@@ -94,35 +94,35 @@
     ) -> Rc<Self> {
         let quota: Box<dyn Quota> = Box::new(SharedBuckets::new(clock.now()));
         Rc::new(Self {
-            bodies: BodyMemory::default(),
+            body_memory: BodyMemory::default(),
             bounds,
             clock,
             events,
-            cold: RefCell::default(),
+            cold_rates: RefCell::default(),
             conditions: RefCell::default(),
-            held: RefCell::default(),
+            held_objects: RefCell::default(),
             own_runs: RefCell::default(),
-            heard_runs: Cell::default(),
-            sent: RefCell::default(),
+            peer_runs_applied_at: Cell::default(),
+            sent_window: RefCell::default(),
             region_sent: RefCell::default(),
-            held_regions: RefCell::default(),
-            trips: RefCell::default(),
+            regions_at_shift_limit: RefCell::default(),
+            round_trips: RefCell::default(),
             tuning: Tuning::default(),
-            counted: Cell::default(),
+            demand_measured_at: Cell::default(),
             protocol,
-            leaving: Cell::default(),
-            looking: RefCell::default(),
-            open: Cell::new(0),
-            requests: Cell::new(0),
+            shutdown_started_at: Cell::default(),
+            crash_checks: RefCell::default(),
+            open_connections: Cell::new(0),
+            request_count: Cell::new(0),
             crash_suspects: RefCell::default(),
             pool: RefCell::default(),
             quota: RefCell::new(quota),
             quota_version: Cell::default(),
             quota_view_at: Cell::default(),
-            running: RefCell::default(),
+            running_fingerprints: RefCell::default(),
             services: RefCell::default(),
             settings,
-            splits: RefCell::default(),
+            split_credits: RefCell::default(),
             view,
         })
     }
@@ -138,9 +138,9 @@
     }
 
     /// Names a new request in the log.
-    pub fn key(&self, attempt: Option<&RequestId>) -> RequestKey {
-        self.requests.set(self.requests.get() + 1);
-        RequestKey { attempt: attempt.cloned(), own: Some(self.requests.get()) }
+    pub fn new_request_key(&self, attempt: Option<&RequestId>) -> RequestKey {
+        self.request_count.set(self.request_count.get() + 1);
+        RequestKey { attempt: attempt.cloned(), own: Some(self.request_count.get()) }
     }
 
     /// Records an event of a request.
@@ -149,28 +149,28 @@
     }
 
     /// The service of a new request: the parts of a split take turns by their weights.
-    pub fn service(&self, route: &Route) -> Option<ServiceId> {
+    pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
         if let [(service, _)] = &*route.split {
             return Some(service.clone());
         }
         let total: f64 = route.split.iter().map(|(_, weight)| weight).sum();
-        let mut splits = self.splits.borrow_mut();
-        let credit = splits.entry(route.key.clone()).or_default();
+        let mut split_credits = self.split_credits.borrow_mut();
+        let credit = split_credits.entry(route.key.clone()).or_default();
         credit.resize(route.split.len(), 0.0);
         for (credit, (_, weight)) in credit.iter_mut().zip(&route.split) {
             *credit += weight / total.max(f64::MIN_POSITIVE);
         }
-        let most = (0..credit.len()).max_by(|a, b| credit[*a].total_cmp(&credit[*b]))?;
-        credit[most] -= 1.0;
-        Some(route.split[most].0.clone())
+        let largest = (0..credit.len()).max_by(|a, b| credit[*a].total_cmp(&credit[*b]))?;
+        credit[largest] -= 1.0;
+        Some(route.split[largest].0.clone())
     }
 
     /// Counts a new request for a service.
-    pub fn arrived(&self, service: &ServiceId) {
+    pub fn count_arrival(&self, service: &ServiceId) {
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
         let state = services.entry(service.clone()).or_default();
-        state.arrived(now);
+        state.count_arrival(now);
     }
 
     /// Takes one further attempt out of a service's budget.
@@ -178,8 +178,8 @@
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
         let state = services.entry(service.clone()).or_default();
-        state.budget.allow(allowance(&self.bounds(), view.hosts.len()));
-        state.budget.take(now)
+        state.retry_budget.allow(retry_allowance(&self.bounds(), view.hosts.len()));
+        state.retry_budget.take(now)
     }
 
     /// Checks a request against the limit of its team. The error is the time to wait before a retry.
@@ -219,7 +219,7 @@
     }
 
     /// Usual time of an answer.
-    pub fn work(&self, service: &ServiceId) -> Duration {
+    pub fn mean_work(&self, service: &ServiceId) -> Duration {
         self.services
             .borrow()
             .get(service)
@@ -227,7 +227,7 @@
     }
 
     /// A request goes to a target; it counts as in attempt until the guard is dropped.
-    pub fn start(
+    pub fn start_attempt(
         self: &Rc<Self>,
         target: &Arc<KnownTarget>,
         fingerprint: u64,
@@ -235,26 +235,26 @@
     ) -> InFlight {
         let now = self.clock.now();
         if let Some(object) = forecast.object {
-            self.held.borrow_mut().touched(target.tag, object);
+            self.held_objects.borrow_mut().touched(target.tag, object);
             self.own_runs.borrow_mut().push_back((now, target.tag, object));
         }
         if target.is_cold(now) {
-            self.cold.borrow_mut().sent(target);
+            self.cold_rates.borrow_mut().sent(target);
         }
         let (service, region) = (name_tag(&target.entry.service), name_tag(&target.region));
-        self.sent.borrow_mut().sent(service, region, now);
+        self.sent_window.borrow_mut().sent(service, region, now);
         self.conditions.borrow_mut().entry(target.tag).or_default().in_flight += 1;
-        self.running.borrow_mut().entry(target.tag).or_default().push(fingerprint);
+        self.running_fingerprints.borrow_mut().entry(target.tag).or_default().push(fingerprint);
         InFlight { state: self.clone(), forecast, fingerprint, started: now, tag: target.tag }
     }
 
     /// A connection to a target came about.
-    pub fn connected(&self, target: &KnownTarget, took: Duration) {
-        self.trips.borrow_mut().connected(&target.region, took);
+    pub fn record_connect(&self, target: &KnownTarget, took: Duration) {
+        self.round_trips.borrow_mut().connected(&target.region, took);
     }
 
     /// An attempt ended.
-    pub fn ended(
+    pub fn record_attempt_end(
         &self,
         target: &KnownTarget,
         service: &ServiceId,
@@ -266,7 +266,7 @@
         let state = services.entry(service.clone()).or_default();
         let mut conditions = self.conditions.borrow_mut();
         let condition = conditions.entry(target.tag).or_default();
-        let is_steady = condition.stretch(now) < STEADY;
+        let may_learn = condition.stretch(now) < MAX_LEARNING_STRETCH;
         let usual = state.learnt.usual(forecast);
         let change = condition.ended(ended, usual, now);
         if let Ended::Answered(took) = ended
@@ -275,47 +275,53 @@
             condition.ran(took, usual, now);
         }
         if let Some(change) = change {
-            self.events.record(None, paused_or_trusted(target, ended, change));
+            self.events.record(None, condition_event(target, ended, change));
         }
         if let Ended::Answered(took) = ended
-            && is_steady
+            && may_learn
         {
             state.learnt.answered(forecast, took, self.tuning.learn_keeps);
         }
         if ended == Ended::Unreachable {
-            self.pool.borrow_mut().forget(target.tag);
+            self.pool.borrow_mut().close_idle(target.tag);
         }
     }
 
     /// A request came to a good end.
-    pub fn cleared(&self, fingerprint: u64) {
+    pub fn clear_crash_suspect(&self, fingerprint: u64) {
         let elsewhere = self.view().and_then(|view| view.crashes.get(&fingerprint).copied());
         let elsewhere = elsewhere.unwrap_or_default();
         if elsewhere == 0 && self.crash_suspects.borrow().is_empty() {
             return;
         }
         let mut suspects = self.crash_suspects.borrow_mut();
-        if 0 < elsewhere || suspects.counts(fingerprint) {
+        if 0 < elsewhere || suspects.has_crashes(fingerprint) {
             self.events.record(None, Event::CrashCleared { fingerprint });
         }
-        suspects.cleared(fingerprint, elsewhere, self.clock.now());
+        suspects.clear(fingerprint, elsewhere, self.clock.now());
     }
 
     /// After a lost answer: whether the target is still there. If not, all that ran there when the
     /// answer was lost may have been what crashed it.
     pub fn check_for_crash(self: &Rc<Self>, target: &Arc<KnownTarget>, service: &ServiceId) {
-        if !self.looking.borrow_mut().insert(target.tag) {
+        if !self.crash_checks.borrow_mut().insert(target.tag) {
             return;
         }
-        let prints = self.running.borrow().get(&target.tag).cloned().unwrap_or_default();
+        let fingerprints =
+            self.running_fingerprints.borrow().get(&target.tag).cloned().unwrap_or_default();
         let (state, target, service) = (self.clone(), target.clone(), service.clone());
         tokio::task::spawn_local(async move {
-            let reached = connect(target.entry.addr).await;
-            state.looking.borrow_mut().remove(&target.tag);
-            if let Err(error) = reached {
+            let connected = connect(target.entry.addr).await;
+            state.crash_checks.borrow_mut().remove(&target.tag);
+            if let Err(error) = connected {
                 log::debug!("{} is gone: {error}", target.entry.id);
-                state.count_crashes(&target, prints);
-                state.ended(&target, &service, &Forecast::default(), Ended::Unreachable);
+                state.count_crashes(&target, fingerprints);
+                state.record_attempt_end(
+                    &target,
+                    &service,
+                    &Forecast::default(),
+                    Ended::Unreachable,
+                );
             }
         });
     }
@@ -324,19 +330,19 @@
     fn count_crashes(&self, target: &KnownTarget, fingerprints: Vec<u64>) {
         let now = self.clock.now();
         for fingerprint in fingerprints {
-            let crashes = self.crash_suspects.borrow_mut().crashed(fingerprint, now);
+            let crashes = self.crash_suspects.borrow_mut().record_crash(fingerprint, now);
             let target = target.entry.id.clone();
             self.events.record(None, Event::CrashCounted { crashes, fingerprint, target });
         }
     }
 
     /// Takes in what other hosts told of the objects that they asked targets for.
-    fn hear_runs(&self, view: &View) {
-        if view.at <= self.heard_runs.get() || !self.tuning.told_runs {
+    fn apply_peer_runs(&self, view: &View) {
+        if view.at <= self.peer_runs_applied_at.get() || !self.tuning.told_runs {
             return;
         }
-        self.heard_runs.set(view.at);
-        let mut held = self.held.borrow_mut();
+        self.peer_runs_applied_at.set(view.at);
+        let mut held = self.held_objects.borrow_mut();
         for (target, object) in &view.runs {
             held.touched(*target, *object);
         }
@@ -346,28 +352,28 @@
     pub fn tick(&self) {
         let now = self.clock.now();
         let Some(view) = self.view() else { return };
-        self.cold.borrow_mut().tick(now);
-        self.hear_runs(&view);
+        self.cold_rates.borrow_mut().tick(now);
+        self.apply_peer_runs(&view);
         self.update_quota(&view);
-        self.own_runs.borrow_mut().retain(|(at, _, _)| now < *at + RUNS_TOLD);
+        self.own_runs.borrow_mut().retain(|(at, _, _)| now < *at + RUN_REPORT_PERIOD);
         self.crash_suspects.borrow_mut().tick(now);
-        self.count_sent(&view, now);
-        let spent = now.saturating_sub(self.counted.get());
-        if spent < Duration::from_millis(500) {
+        self.update_region_sent(&view, now);
+        let elapsed = now.saturating_sub(self.demand_measured_at.get());
+        if elapsed < Duration::from_millis(500) {
             return;
         }
-        self.counted.set(now);
+        self.demand_measured_at.set(now);
         let targets = view.targets.values().flat_map(|targets| targets.iter());
         let known: HashSet<u32> = targets.map(|target| target.tag).collect();
-        self.pool.borrow_mut().tick(now, |tag| known.contains(&tag));
-        self.held.borrow_mut().retain(|tag| known.contains(&tag), now);
+        self.pool.borrow_mut().evict(now, |tag| known.contains(&tag));
+        self.held_objects.borrow_mut().retain(|tag| known.contains(&tag), now);
         self.conditions
             .borrow_mut()
             .retain(|tag, condition| 0 < condition.in_flight || known.contains(tag));
         let max_shift = self.bounds().max_shift;
         let max_shift = max_shift * self.region_sent.borrow().pace(max_shift);
         for (service, state) in self.services.borrow_mut().iter_mut() {
-            state.measure(spent);
+            state.measure_demand(elapsed);
             let Some(targets) = view.targets.get(service) else { continue };
             let home = &self.settings.region;
             let loads = region_loads(&view, targets, service, state.demand, home, now);
@@ -379,17 +385,17 @@
     }
 
     /// Takes in what all hosts of the region sent to each region.
-    fn count_sent(&self, view: &View, now: Moment) {
+    fn update_region_sent(&self, view: &View, now: Moment) {
         let mut sent = view.sent.clone();
-        sent.add(&self.sent.borrow_mut().counts(now));
-        *self.held_regions.borrow_mut() = sent.held(self.bounds().max_shift);
+        sent.add(&self.sent_window.borrow_mut().counts(now));
+        *self.regions_at_shift_limit.borrow_mut() = sent.held(self.bounds().max_shift);
         *self.region_sent.borrow_mut() = sent;
     }
 
     /// The latest runs that are told, each once.
-    fn told_runs(&self) -> Vec<(TargetTag, ObjectTag)> {
+    fn recent_runs(&self) -> Vec<(TargetTag, ObjectTag)> {
         let own = self.own_runs.borrow();
-        let newest = own.iter().rev().take(RUNS_MOST);
+        let newest = own.iter().rev().take(MAX_REPORTED_RUNS);
         let runs: BTreeSet<_> = newest.map(|(_, target, object)| (*target, *object)).collect();
         runs.into_iter().collect()
     }
@@ -399,7 +405,7 @@
         let now = self.clock.now();
         let conditions = self.conditions.borrow();
         TrafficFigures {
-            connections: self.open.get(),
+            connections: self.open_connections.get(),
             in_flight: conditions.values().map(|condition| condition.in_flight).sum(),
             paused: conditions.values().filter(|condition| condition.is_paused(now)).count(),
         }
@@ -415,34 +421,35 @@
         let services = self.services.borrow();
         let demand =
             services.iter().map(|(name, state)| (name_tag(name), state.demand as f32)).collect();
-        let crashes = self.crash_suspects.borrow().marks();
+        let crashes = self.crash_suspects.borrow().reported_crashes();
         let now = self.clock.now();
-        let sent = self.sent.borrow_mut().counts(now);
+        let sent = self.sent_window.borrow_mut().counts(now);
         let view = self.view();
-        let told = |tag| view.as_ref().and_then(|view| view.slow.get(tag).copied());
-        let slow =
-            conditions.iter().filter_map(|(tag, it)| Some((*tag, it.slowness(told(tag), now)?)));
+        let reported = |tag| view.as_ref().and_then(|view| view.slow.get(tag).copied());
+        let slow = conditions
+            .iter()
+            .filter_map(|(tag, it)| Some((*tag, it.slowness(reported(tag), now)?)));
         let slow = slow.collect();
         let teams = self.quota.borrow().report(now);
-        Load { crashes, demand, running, runs: self.told_runs(), sent, slow, teams }
+        Load { crashes, demand, running, runs: self.recent_runs(), sent, slow, teams }
     }
 }
 
 /// Part of the allowed retries that hosts use: the bound holds in any window of its length, and
 /// theirs begin at moments of their own.
-const RETRY_PART: f64 = 0.6;
+const RETRY_BUDGET_FRACTION: f64 = 0.6;
 
 /// A host's part of the retries that all hosts may make together: of the share, since shares add
 /// up; of the slack, what is left of it for each host.
-pub fn allowance(bounds: &Bounds, hosts: usize) -> Allowance {
+pub fn retry_allowance(bounds: &Bounds, hosts: usize) -> Allowance {
     Allowance {
-        floor: bounds.retry_slack * RETRY_PART / hosts.max(1) as f64,
-        share: bounds.retry_ratio * RETRY_PART,
+        floor: bounds.retry_slack * RETRY_BUDGET_FRACTION / hosts.max(1) as f64,
+        share: bounds.retry_ratio * RETRY_BUDGET_FRACTION,
     }
 }
 
 /// The event of a target's pause, or of its end.
-fn paused_or_trusted(target: &KnownTarget, ended: Ended, change: ConditionChange) -> Event {
+fn condition_event(target: &KnownTarget, ended: Ended, change: ConditionChange) -> Event {
     let target = target.entry.id.clone();
     match change {
         ConditionChange::Trusted => Event::TargetTrusted { target },
@@ -500,12 +507,12 @@
         if let Some(condition) = self.state.conditions.borrow_mut().get_mut(&self.tag) {
             condition.in_flight = condition.in_flight.saturating_sub(1);
         }
-        let mut running = self.state.running.borrow_mut();
-        if let Some(prints) = running.get_mut(&self.tag) {
-            if let Some(at) = prints.iter().position(|print| *print == self.fingerprint) {
-                prints.swap_remove(at);
+        let mut running = self.state.running_fingerprints.borrow_mut();
+        if let Some(fingerprints) = running.get_mut(&self.tag) {
+            if let Some(at) = fingerprints.iter().position(|running| *running == self.fingerprint) {
+                fingerprints.swap_remove(at);
             }
-            if prints.is_empty() {
+            if fingerprints.is_empty() {
                 running.remove(&self.tag);
             }
         }
--- a/src/measure/placement.rs
+++ b/src/measure/placement.rs
@@ -60,7 +60,7 @@
             SocketAddr::from(([127, 0, 0, 1], 1)),
         );
         let bounds = Arc::new(ArcSwap::from_pointee(settings.bounds.clone()));
-        let state = TrafficState::open(
+        let state = TrafficState::new(
             Arc::new(settings),
             bounds,
             Arc::new(ManualClock::default()),
@@ -90,7 +90,7 @@
             route: Arc::new(route()),
             service: service(),
             team: None,
-            tried: Vec::new(),
+            tried_targets: Vec::new(),
         }
     }
 
@@ -100,21 +100,21 @@
         let placement = self.state.place(&self.view, &wanted);
         if let Some(target) = &placement.target {
             let forecast = Forecast { object: wanted.object, ..placement.forecast };
-            drop(self.state.start(target, 0, forecast));
+            drop(self.state.start_attempt(target, 0, forecast));
         }
     }
 }
 
 /// Measures both ways of looking.
 pub fn measure(targets: usize, requests: usize) -> [Row; 2] {
-    [(Search::All, "all"), (Search::Few, "few")].map(|(search, name)| {
+    [(Search::All, "all"), (Search::Shortlist, "few")].map(|(search, name)| {
         let mut scene = Scene::new(targets, SEED);
         let mut spans: Histogram<u64> =
             Histogram::new_with_bounds(1, LONGEST_NS, 3).expect("the bounds are allowed");
         for _ in 0..requests {
             let wanted = scene.request();
             let since = Instant::now();
-            let placement = scene.state.place_by(search, &scene.view, &wanted);
+            let placement = scene.state.place_with_search(search, &scene.view, &wanted);
             let took = since.elapsed().as_nanos() as u64;
             std::hint::black_box(placement);
             spans.saturating_record(took);
--- a/src/placement/tests/target_index.rs
+++ b/src/placement/tests/target_index.rs
@@ -19,8 +19,8 @@
         let (mut same, mut sent, mut few_takes, mut all_takes) = (0, 0, 0.0, 0.0);
         for _ in 0..1_000 {
             let wanted = scene.request();
-            let all = scene.state.place_by(Search::All, &scene.view, &wanted);
-            let few = scene.state.place_by(Search::Few, &scene.view, &wanted);
+            let all = scene.state.place_with_search(Search::All, &scene.view, &wanted);
+            let few = scene.state.place_with_search(Search::Shortlist, &scene.view, &wanted);
             assert_eq!(all.target.is_some(), few.target.is_some(), "{targets} targets: {wanted:?}");
             let (Some(best), Some(chosen)) = (&all.target, &few.target) else { continue };
             sent += 1;
