--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -16,7 +16,7 @@
 use crate::{
     base::Ran,
     event_log::{Event, RequestKey},
-    placement::Ended,
+    placement::HealthSignal,
     prelude::*,
 };
 
@@ -95,7 +95,7 @@
                         &end.target,
                         &end.service,
                         &end.running.forecast,
-                        Ended::Failed,
+                        HealthSignal::Failed,
                     );
                 }
             }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -17,7 +17,7 @@
 use crate::{
     base::with_cause,
     event_log::{AttemptEnd, Event, RequestKey},
-    placement::{Ended, Forecast},
+    placement::{Forecast, HealthSignal},
     prelude::*,
 };
 
@@ -156,7 +156,7 @@
         if !self.done {
             let took = self.took();
             self.ended(
-                Ended::Cancelled(took),
+                HealthSignal::Cancelled(took),
                 AttemptEnd::Cancelled,
                 "nobody waits for it any more",
             );
@@ -166,15 +166,15 @@
 
 impl AttemptGuard {
     /// The time without that for a new connection.
-    fn answered(&self) -> Ended {
-        Ended::Answered(self.took().saturating_sub(self.connect.unwrap_or_default()))
+    fn answered(&self) -> HealthSignal {
+        HealthSignal::Answered(self.took().saturating_sub(self.connect.unwrap_or_default()))
     }
 
     fn took(&self) -> Duration {
         self.state.clock.now().saturating_sub(self.started)
     }
 
-    fn ended(&mut self, ended: Ended, end: AttemptEnd, detail: &str) {
+    fn ended(&mut self, ended: HealthSignal, end: AttemptEnd, detail: &str) {
         self.done = true;
         let left = self.request.deadline.saturating_sub(self.state.clock.now());
         let event = Event::AttemptEnded {
@@ -193,15 +193,15 @@
 
     fn unsent(&mut self, error: &SendError) -> AttemptOutcome {
         let ended = match error {
-            SendError::Unreachable(_) => Ended::Unreachable,
-            _ => Ended::Failed,
+            SendError::Unreachable(_) => HealthSignal::Unreachable,
+            _ => HealthSignal::Failed,
         };
         self.ended(ended, AttemptEnd::Unreachable, &error.to_string());
         AttemptOutcome::NotRun(ErrorKind::ConnectFailed)
     }
 
     fn lost(&mut self, reason: &str) -> AttemptOutcome {
-        self.ended(Ended::Failed, AttemptEnd::Lost, reason);
+        self.ended(HealthSignal::Failed, AttemptEnd::Lost, reason);
         self.state.check_for_crash(&self.target, &self.request.service);
         AttemptOutcome::Lost(ErrorKind::DispatchLost)
     }
@@ -214,10 +214,14 @@
     ) -> AttemptOutcome {
         if note.other_target {
             // The address has a new owner: the entry is out of date.
-            self.ended(Ended::Unreachable, AttemptEnd::WrongTarget, "another target is there");
+            self.ended(
+                HealthSignal::Unreachable,
+                AttemptEnd::WrongTarget,
+                "another target is there",
+            );
             return AttemptOutcome::NotRun(ErrorKind::NoTarget);
         }
-        self.ended(Ended::Full, AttemptEnd::Shed, answer.status().as_str());
+        self.ended(HealthSignal::Full, AttemptEnd::Shed, answer.status().as_str());
         let keep = keep_alive(answer.headers());
         if answer.into_body().collect().await.is_ok() {
             let now = self.state.clock.now();
@@ -263,7 +267,7 @@
         let answered = self.answered();
         let answer = Response::from_parts(head, AnswerBody::Whole(Full::new(whole)));
         if status.is_server_error() {
-            self.ended(Ended::Failed, AttemptEnd::Failed, status.as_str());
+            self.ended(HealthSignal::Failed, AttemptEnd::Failed, status.as_str());
             return if note.signed {
                 AttemptOutcome::Poor(answer)
             } else {
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -173,7 +173,7 @@
             view.runs.extend(&load.runs);
             for (tag, slowness) in &load.slow {
                 let sum = view.slow.entry(*tag).or_default();
-                *sum = sum.and(*slowness);
+                *sum = sum.merge(*slowness);
             }
             if *region == settings.region {
                 view.sent.add(&load.sent);
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -280,7 +280,7 @@
         let placement = self.state.place(&view, &wanted);
         let Some(target) = placement.target.clone() else {
             let (why, room_in) = match placement.choice {
-                Choice::Busy { room_in, .. } => (ErrorKind::NoSlots, room_in),
+                Choice::Busy { free_in, .. } => (ErrorKind::NoSlots, free_in),
                 _ => (ErrorKind::NoTarget, None),
             };
             progress.room_in = room_in;
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -3,8 +3,9 @@
 use super::{KnownTarget, Route, Team, TrafficState, View, service_state::ServiceState};
 use crate::{
     placement::{
-        Candidate, Choice, Condition, Forecast, HeldObjects, NameTag, ObjectTag, Offer,
-        PlacementQuery, RegionLoad, Shares, TargetIndex, Wanted, choose, is_sender, name_tag,
+        CachedObjects, Candidate, CandidateEstimate, Choice, Forecast, NameTag, ObjectTag,
+        PlacementQuery, RegionLoad, RegionShares, ShortlistQuery, TargetHealth, TargetIndex,
+        choose, is_cold_sender, name_tag,
     },
     prelude::*,
 };
@@ -44,7 +45,7 @@
 
     /// Regions with a target that it may go to.
     fn open_regions(&self, index: &TargetIndex) -> Vec<RegionId> {
-        let open = index.open_regions(&self.tried);
+        let open = index.untried_regions(&self.tried);
         open.filter(|region| self.allows_region(region)).cloned().collect()
     }
 }
@@ -82,7 +83,7 @@
     fn none(region: &RegionId) -> Self {
         Self {
             candidates: 0,
-            choice: Choice::Nothing,
+            choice: Choice::NoTargets,
             cold: 0,
             crowded: None,
             free_elsewhere: 0,
@@ -99,7 +100,9 @@
 
 fn is_free_elsewhere(candidate: &Candidate<'_>, region: &RegionId) -> bool {
     let target = candidate.target;
-    target.region != *region && !candidate.shut && candidate.load < f64::from(target.entry.slots)
+    target.region != *region
+        && !candidate.unavailable
+        && candidate.load < f64::from(target.entry.slots)
 }
 
 impl TrafficState {
@@ -117,7 +120,7 @@
         };
         let mut services = self.services.borrow_mut();
         let state = services.entry(wanted.service.clone()).or_default();
-        state.index.follow(targets);
+        state.index.update(targets);
         let seed = wanted.object.unwrap_or_else(rand::random);
         let open = wanted.open_regions(&state.index);
         let Some(region) = self.region(view, state, wanted, seed, &open) else {
@@ -126,7 +129,7 @@
         let held = self.held.borrow();
         if search == Search::Few {
             let near = [region.clone()];
-            let shortlist = state.index.shortlist(&Wanted {
+            let shortlist = state.index.shortlist(&ShortlistQuery {
                 holders: wanted.object.map_or(&[], |object| held.holders(object)),
                 object: wanted.object,
                 regions: if may_spill(state) { &open } else { &near },
@@ -157,8 +160,9 @@
             let now = self.clock.now();
             let targets = state.index.targets();
             let loads = region_loads(view, targets, &wanted.service, state.demand, home, now);
-            let sent = self.region_sent.borrow().parts(name_tag(&wanted.service));
-            let begun = Shares::begin(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
+            let sent = self.region_sent.borrow().shares(name_tag(&wanted.service));
+            let begun =
+                RegionShares::resume(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
             state.shares = Some(begun);
         }
         let shares = state.shares.as_ref()?;
@@ -170,7 +174,7 @@
         view: &View,
         wanted: &PlacementRequest,
         targets: impl Iterator<Item = &'a Arc<KnownTarget>>,
-        held: &HeldObjects,
+        held: &CachedObjects,
     ) -> Vec<Candidate<'a>> {
         let now = self.clock.now();
         let services = view.declared.as_ref().map(|declared| &declared.services);
@@ -194,9 +198,9 @@
         region: &RegionId,
     ) -> Placement {
         let query = PlacementQuery {
-            home: &self.settings.region,
-            learnt: state.learnt,
-            left: wanted.deadline.saturating_sub(self.clock.now()),
+            home_region: &self.settings.region,
+            estimates: state.learnt,
+            time_left: wanted.deadline.saturating_sub(self.clock.now()),
             may_spill: may_spill(state),
             object: wanted.object,
             objective: wanted.route.objective,
@@ -207,15 +211,15 @@
         let choice = choose(candidates, &query, seed);
         let (chosen, forecast) = match &choice {
             Choice::Send(offer) => {
-                state.learnt.work.sent(offer.work);
-                let candidate = &candidates[offer.at];
+                state.learnt.work.record_sent(offer.work);
+                let candidate = &candidates[offer.index];
                 (Some(candidate), forecast(offer, candidate, wanted.object))
             }
             _ => (None, Forecast::default()),
         };
         let crowded = match &choice {
-            Choice::Busy { crowded: Some(offer), .. } => {
-                Some((candidates[offer.at].target.entry.id.clone(), offer.expected()))
+            Choice::Busy { best: Some(offer), .. } => {
+                Some((candidates[offer.index].target.entry.id.clone(), offer.expected()))
             }
             _ => None,
         };
@@ -232,9 +236,9 @@
             load: chosen.map_or(0, |chosen| chosen.load as u32),
             forecast,
             region: region.clone(),
-            shut: candidates.iter().filter(|candidate| candidate.shut).count(),
+            shut: candidates.iter().filter(|candidate| candidate.unavailable).count(),
             target: chosen.map(|chosen| chosen.target.clone()),
-            work: query.learnt.work.mean(),
+            work: query.estimates.work.mean(),
         }
     }
 
@@ -250,24 +254,25 @@
         let condition = conditions.get(&target.tag);
         let own = condition.map_or(0, |condition| condition.in_flight);
         let elsewhere = view.elsewhere.get(&target.tag).copied().unwrap_or_default();
-        let told = view.slow.get(&target.tag).copied().filter(|_| self.tuning.told_slow);
+        let told =
+            view.slow.get(&target.tag).copied().filter(|_| self.tuning.use_reported_slowness);
         let cold = target.is_cold(now);
         let cold_shut = cold
-            && (!is_sender(target, &self.settings.host, &view.hosts)
-                || !self.cold.borrow_mut().may_send(target, cold_rate, now));
+            && (!is_cold_sender(target, &self.settings.host, &view.hosts)
+                || !self.cold.borrow_mut().has_token(target, cold_rate, now));
         let shut = condition.is_some_and(|condition| {
             condition.is_paused(now)
                 || condition.is_full(now)
-                || (condition.is_on_trial(now) && 0 < own)
+                || (condition.is_half_open(now) && 0 < own)
         });
         Candidate {
             cold,
             depth,
             load: f64::from(own + elsewhere),
-            shut: shut || cold_shut,
-            stretch: condition.unwrap_or(&Condition::default()).stretch_told(told, now),
+            unavailable: shut || cold_shut,
+            slowdown: condition.unwrap_or(&TargetHealth::default()).slowdown_with_report(told, now),
             target,
-            trip: self.trips.borrow().to(&target.region, &self.settings.region),
+            round_trip: self.trips.borrow().get(&target.region, &self.settings.region),
         }
     }
 }
@@ -280,13 +285,13 @@
 /// The region that the shares name for an object, the home region if nothing more may be moved
 /// there, or else the one with the largest share of those that are open.
 fn region(
-    shares: &Shares,
+    shares: &RegionShares,
     seed: ObjectTag,
     open: &[RegionId],
     home: &RegionId,
     held: &[NameTag],
 ) -> Option<RegionId> {
-    let named = shares.pick(f64::from(seed) / f64::from(ObjectTag::MAX));
+    let named = shares.region_at(f64::from(seed) / f64::from(ObjectTag::MAX));
     let named = named.map(|region| match held.contains(&name_tag(region)) && open.contains(home) {
         true => home,
         false => region,
@@ -294,19 +299,23 @@
     if let Some(region) = named.filter(|region| open.contains(region)) {
         return Some(region.clone());
     }
-    open.iter().max_by(|a, b| shares.of(a).total_cmp(&shares.of(b))).cloned()
+    open.iter().max_by(|a, b| shares.get(a).total_cmp(&shares.get(b))).cloned()
 }
 
-fn forecast(offer: &Offer, candidate: &Candidate<'_>, object: Option<ObjectTag>) -> Forecast {
+fn forecast(
+    offer: &CandidateEstimate,
+    candidate: &Candidate<'_>,
+    object: Option<ObjectTag>,
+) -> Forecast {
     let slots = f64::from(candidate.target.entry.slots);
     Forecast {
         depth: candidate.depth,
-        expected: offer.expected().div_f64(candidate.stretch),
-        finds_slot: candidate.load < slots && !candidate.cold,
-        is_home_guess: offer.is_home_guess,
-        knows: offer.knows,
+        expected: offer.expected().div_f64(candidate.slowdown),
+        has_free_slot: candidate.load < slots && !candidate.cold,
+        is_primary_guess: offer.is_primary_guess,
+        hit_probability: offer.hit_probability,
         object,
-        trip: candidate.trip,
+        round_trip: candidate.round_trip,
     }
 }
 
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -94,7 +94,7 @@
             cold: target.is_cold(now),
             declaration: version(view),
             expected_ms: millis(expected),
-            knows_percent: (placement.forecast.knows * 100.0).round() as u8,
+            knows_percent: (placement.forecast.hit_probability * 100.0).round() as u8,
             left_ms: millis(deadline.saturating_sub(now)),
             load: placement.load,
             reason,
--- a/src/entry/service_state.rs
+++ b/src/entry/service_state.rs
@@ -3,7 +3,7 @@
 use crate::{
     admission::RetryBudget,
     event_log::{Event, EventSink},
-    placement::{Learnt, Shares, TargetIndex},
+    placement::{RegionShares, ServiceEstimates, TargetIndex},
     prelude::*,
 };
 
@@ -30,10 +30,10 @@
     /// Busy slots that this host's callers ask for.
     pub demand: f64,
     pub index: TargetIndex,
-    pub learnt: Learnt,
+    pub learnt: ServiceEstimates,
     /// Spans in which demand was measured.
     spans: u32,
-    pub shares: Option<Shares>,
+    pub shares: Option<RegionShares>,
     /// Requests that may leave the region that the shares name; rises with each request.
     pub spill: f64,
     /// The shares that were last told.
@@ -47,7 +47,7 @@
             budget: RetryBudget::new(),
             demand: 0.0,
             index: TargetIndex::default(),
-            learnt: Learnt::default(),
+            learnt: ServiceEstimates::default(),
             spans: 0,
             shares: None,
             spill: 0.0,
@@ -80,7 +80,7 @@
         let Some(shares) = &self.shares else { return };
         let rounded = |part: f64| (part * 1e3).round() / 1e3;
         let now: BTreeMap<RegionId, f64> =
-            shares.parts().map(|(region, part)| (region.clone(), rounded(part))).collect();
+            shares.iter().map(|(region, part)| (region.clone(), rounded(part))).collect();
         let moved = |(region, part): (&RegionId, &f64)| {
             let told = self.reported_shares.get(region).copied().unwrap_or_default();
             SHARE_REPORTED <= (part - told).abs()
--- a/src/entry/tests/targets.rs
+++ b/src/entry/tests/targets.rs
@@ -6,7 +6,7 @@
     base::ManualClock,
     entry::{CrashSuspects, LiveHost, Repeat, Route, TrafficState, traffic_state::allowance},
     event_log::NoEvents,
-    placement::{ColdRates, Condition, Ended, Slowness, is_sender},
+    placement::{ColdTargetLimiter, HealthSignal, SlowdownReport, TargetHealth, is_cold_sender},
     platform::{PlatformProtocol, standin::loopback_settings},
     prelude::*,
 };
@@ -17,23 +17,23 @@
 /// that fails too, it is left alone for longer.
 #[test]
 fn a_failing_target_is_left_alone_and_tried_again() {
-    let mut condition = Condition::default();
-    condition.ended(Ended::Failed, WORK, secs(1.0));
+    let mut condition = TargetHealth::default();
+    condition.record_attempt(HealthSignal::Failed, WORK, secs(1.0));
     assert!(!condition.is_paused(secs(1.1)), "one failure can be chance");
-    condition.ended(Ended::Failed, WORK, secs(1.1));
+    condition.record_attempt(HealthSignal::Failed, WORK, secs(1.1));
     assert!(condition.is_paused(secs(1.5)));
-    assert!(!condition.is_paused(secs(1.7)) && condition.is_on_trial(secs(1.7)));
-    condition.ended(Ended::Failed, WORK, secs(1.7));
+    assert!(!condition.is_paused(secs(1.7)) && condition.is_half_open(secs(1.7)));
+    condition.record_attempt(HealthSignal::Failed, WORK, secs(1.7));
     assert!(condition.is_paused(secs(2.5)));
-    condition.ended(Ended::Answered(WORK), WORK, secs(3.0));
-    assert!(!condition.is_paused(secs(3.0)) && !condition.is_on_trial(secs(3.0)));
+    condition.record_attempt(HealthSignal::Answered(WORK), WORK, secs(3.0));
+    assert!(!condition.is_paused(secs(3.0)) && !condition.is_half_open(secs(3.0)));
 }
 
 /// An address that nobody answers at is left alone after one attempt.
 #[test]
 fn an_unreachable_target_is_left_alone_at_once() {
-    let mut condition = Condition::default();
-    condition.ended(Ended::Unreachable, WORK, secs(1.0));
+    let mut condition = TargetHealth::default();
+    condition.record_attempt(HealthSignal::Unreachable, WORK, secs(1.0));
     assert!(condition.is_paused(secs(1.2)));
 }
 
@@ -41,47 +41,47 @@
 /// forgotten when nothing more is heard of it, or it would never be tried again.
 #[test]
 fn slowness_counts_and_is_forgotten() {
-    let mut condition = Condition::default();
+    let mut condition = TargetHealth::default();
     for _ in 0..10 {
-        condition.ended(Ended::Answered(WORK * 8), WORK, secs(1.0));
+        condition.record_attempt(HealthSignal::Answered(WORK * 8), WORK, secs(1.0));
     }
-    assert!(5.0 < condition.stretch(secs(1.0)));
-    assert!(condition.stretch(secs(30.0)) < 1.1);
-    let mut given_up = Condition::default();
-    given_up.ended(Ended::Cancelled(WORK / 2), WORK, secs(1.0));
-    assert_eq!(given_up.stretch(secs(1.0)), 1.0);
-    given_up.ended(Ended::Cancelled(WORK * 5), WORK, secs(1.0));
-    assert!(1.0 < given_up.stretch(secs(1.0)));
+    assert!(5.0 < condition.slowdown(secs(1.0)));
+    assert!(condition.slowdown(secs(30.0)) < 1.1);
+    let mut given_up = TargetHealth::default();
+    given_up.record_attempt(HealthSignal::Cancelled(WORK / 2), WORK, secs(1.0));
+    assert_eq!(given_up.slowdown(secs(1.0)), 1.0);
+    given_up.record_attempt(HealthSignal::Cancelled(WORK * 5), WORK, secs(1.0));
+    assert!(1.0 < given_up.slowdown(secs(1.0)));
 }
 
 /// A host sees a target only by attempts that it gave up for slowness, hours after its own start.
 /// They count from when they ended, not from a first answer that never came.
 #[test]
 fn slowness_counts_without_any_answer() {
-    let mut condition = Condition::default();
-    condition.ended(Ended::Cancelled(WORK * 5), WORK, secs(9_000.0));
-    assert!(4.0 < condition.stretch(secs(9_000.1)));
-    assert!(condition.stretch(secs(9_030.0)) < 1.1);
+    let mut condition = TargetHealth::default();
+    condition.record_attempt(HealthSignal::Cancelled(WORK * 5), WORK, secs(9_000.0));
+    assert!(4.0 < condition.slowdown(secs(9_000.1)));
+    assert!(condition.slowdown(secs(9_030.0)) < 1.1);
 }
 
 /// Other hosts tell that a target is slow. One run may be chance; more count in full, until runs of
 /// this host or of others say that it is well again.
 #[test]
 fn what_others_tell_of_slowness_counts() {
-    let one = Slowness::seen(4.0);
-    let three = one.and(one).and(one);
-    let mut condition = Condition::default();
-    assert_eq!(condition.stretch_told(Some(three), secs(1.0)), 4.0);
-    assert_eq!(condition.stretch_told(Some(one), secs(1.0)), 2.0);
-    assert_eq!(condition.slowness(Some(three), secs(1.0)), None, "nothing seen, nothing told");
-    (0..6).for_each(|_| condition.ran(WORK, WORK, secs(1.0)));
-    assert!(condition.stretch_told(Some(three), secs(1.2)) < 2.5);
-    assert!(condition.slowness(Some(three), secs(1.2)).is_some(), "it is said to be well");
-    assert_eq!(condition.slowness(None, secs(1.2)), None);
-    assert_eq!(condition.stretch_told(Some(three), secs(3.0)), 4.0, "long ago");
-    condition.ran(WORK * 30, WORK, secs(3.0));
-    assert!(condition.slowness(None, secs(3.1)).is_some_and(|told| told.is_slow()));
-    assert_eq!(condition.slowness(None, secs(9.0)), None);
+    let one = SlowdownReport::single(4.0);
+    let three = one.merge(one).merge(one);
+    let mut condition = TargetHealth::default();
+    assert_eq!(condition.slowdown_with_report(Some(three), secs(1.0)), 4.0);
+    assert_eq!(condition.slowdown_with_report(Some(one), secs(1.0)), 2.0);
+    assert_eq!(condition.report(Some(three), secs(1.0)), None, "nothing seen, nothing told");
+    (0..6).for_each(|_| condition.record_run(WORK, WORK, secs(1.0)));
+    assert!(condition.slowdown_with_report(Some(three), secs(1.2)) < 2.5);
+    assert!(condition.report(Some(three), secs(1.2)).is_some(), "it is said to be well");
+    assert_eq!(condition.report(None, secs(1.2)), None);
+    assert_eq!(condition.slowdown_with_report(Some(three), secs(3.0)), 4.0, "long ago");
+    condition.record_run(WORK * 30, WORK, secs(3.0));
+    assert!(condition.report(None, secs(3.1)).is_some_and(|told| told.is_slow()));
+    assert_eq!(condition.report(None, secs(9.0)), None);
 }
 
 /// Twelve hosts send to one cold target as fast as they may, not asking each other. Together they
@@ -97,13 +97,13 @@
         zone: "x".into(),
     };
     let hosts: Vec<LiveHost> = (0..12).map(host).collect();
-    let mut rates: Vec<ColdRates> = (0..12).map(|_| ColdRates::default()).collect();
+    let mut rates: Vec<ColdTargetLimiter> = (0..12).map(|_| ColdTargetLimiter::default()).collect();
     let mut sent = Vec::new();
     for tick in 0..10_000 {
         let now = secs(f64::from(tick) / 1000.0);
         for (host, rate) in hosts.iter().zip(&mut rates) {
-            if is_sender(&target, &host.host, &hosts) && rate.may_send(&target, 6.0, now) {
-                rate.sent(&target);
+            if is_cold_sender(&target, &host.host, &hosts) && rate.has_token(&target, 6.0, now) {
+                rate.take_token(&target);
                 sent.push(now);
             }
         }
@@ -113,7 +113,7 @@
         .map(|from| sent.iter().filter(|at| *from <= **at && **at < *from + secs(1.0)).count());
     let most = most.max().unwrap_or_default();
     assert!((3..=6).contains(&most), "{most} in one second");
-    let senders = hosts.iter().filter(|host| is_sender(&target, &host.host, &hosts));
+    let senders = hosts.iter().filter(|host| is_cold_sender(&target, &host.host, &hosts));
     assert!(senders.clone().all(|host| &*host.region == "north"));
     assert_eq!(senders.count(), 2);
 }
@@ -129,7 +129,7 @@
         region: "south".into(),
         zone: "x".into(),
     };
-    assert!(is_sender(&target, &"h".into(), &[far]));
+    assert!(is_cold_sender(&target, &"h".into(), &[far]));
 }
 
 /// A request crashes three targets, by what hosts know together: it is refused everywhere. One that
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -19,8 +19,9 @@
     fleet::Load,
     metrics::TrafficFigures,
     placement::{
-        ColdRates, Condition, ConditionChange, Ended, Forecast, HeldObjects, Learnt, NameTag,
-        ObjectTag, RegionSent, RoundTrips, SentWindow, TargetTag, Tuning, name_tag,
+        CachedObjects, ColdTargetLimiter, Forecast, HealthChange, HealthSignal, NameTag, ObjectTag,
+        RoundTrips, SentCounter, SentTotals, ServiceEstimates, TargetHealth, TargetTag, Tuning,
+        name_tag,
     },
     prelude::*,
     quota::{PeerState, Quota, SharedBuckets, Verdict},
@@ -46,16 +47,16 @@
     pub settings: Arc<EntrySettings>,
     pub bodies: BodyMemory,
     bounds: BoundsCell,
-    pub(super) cold: RefCell<ColdRates>,
-    pub(super) conditions: RefCell<HashMap<u32, Condition>>,
-    pub(super) held: RefCell<HeldObjects>,
+    pub(super) cold: RefCell<ColdTargetLimiter>,
+    pub(super) conditions: RefCell<HashMap<u32, TargetHealth>>,
+    pub(super) held: RefCell<CachedObjects>,
     /// Objects that this host lately asked targets for, and when.
     own_runs: RefCell<VecDeque<(Moment, TargetTag, ObjectTag)>>,
     /// The view whose runs were taken in last.
     heard_runs: Cell<Moment>,
-    sent: RefCell<SentWindow>,
+    sent: RefCell<SentCounter>,
     /// What all hosts of the region sent, as of the last tick.
-    pub(super) region_sent: RefCell<RegionSent>,
+    pub(super) region_sent: RefCell<SentTotals>,
     /// Regions to which nothing more may be moved for now.
     pub(super) held_regions: RefCell<Vec<NameTag>>,
     pub(super) trips: RefCell<RoundTrips>,
@@ -220,10 +221,10 @@
 
     /// Usual time of an answer.
     pub fn work(&self, service: &ServiceId) -> Duration {
-        self.services
-            .borrow()
-            .get(service)
-            .map_or_else(|| Learnt::default().work.mean(), |state| state.learnt.work.mean())
+        self.services.borrow().get(service).map_or_else(
+            || ServiceEstimates::default().work.mean(),
+            |state| state.learnt.work.mean(),
+        )
     }
 
     /// A request goes to a target; it counts as in attempt until the guard is dropped.
@@ -235,14 +236,14 @@
     ) -> InFlight {
         let now = self.clock.now();
         if let Some(object) = forecast.object {
-            self.held.borrow_mut().touched(target.tag, object);
+            self.held.borrow_mut().record_use(target.tag, object);
             self.own_runs.borrow_mut().push_back((now, target.tag, object));
         }
         if target.is_cold(now) {
-            self.cold.borrow_mut().sent(target);
+            self.cold.borrow_mut().take_token(target);
         }
         let (service, region) = (name_tag(&target.entry.service), name_tag(&target.region));
-        self.sent.borrow_mut().sent(service, region, now);
+        self.sent.borrow_mut().record(service, region, now);
         self.conditions.borrow_mut().entry(target.tag).or_default().in_flight += 1;
         self.running.borrow_mut().entry(target.tag).or_default().push(fingerprint);
         InFlight { state: self.clone(), forecast, fingerprint, started: now, tag: target.tag }
@@ -250,7 +251,7 @@
 
     /// A connection to a target came about.
     pub fn connected(&self, target: &KnownTarget, took: Duration) {
-        self.trips.borrow_mut().connected(&target.region, took);
+        self.trips.borrow_mut().record(&target.region, took);
     }
 
     /// An attempt ended.
@@ -259,30 +260,30 @@
         target: &KnownTarget,
         service: &ServiceId,
         forecast: &Forecast,
-        ended: Ended,
+        ended: HealthSignal,
     ) {
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
         let state = services.entry(service.clone()).or_default();
         let mut conditions = self.conditions.borrow_mut();
         let condition = conditions.entry(target.tag).or_default();
-        let is_steady = condition.stretch(now) < STEADY;
-        let usual = state.learnt.usual(forecast);
-        let change = condition.ended(ended, usual, now);
-        if let Ended::Answered(took) = ended
-            && forecast.finds_slot
+        let is_steady = condition.slowdown(now) < STEADY;
+        let usual = state.learnt.expected_time(forecast);
+        let change = condition.record_attempt(ended, usual, now);
+        if let HealthSignal::Answered(took) = ended
+            && forecast.has_free_slot
         {
-            condition.ran(took, usual, now);
+            condition.record_run(took, usual, now);
         }
         if let Some(change) = change {
             self.events.record(None, paused_or_trusted(target, ended, change));
         }
-        if let Ended::Answered(took) = ended
+        if let HealthSignal::Answered(took) = ended
             && is_steady
         {
-            state.learnt.answered(forecast, took, self.tuning.learn_keeps);
+            state.learnt.record_answer(forecast, took, self.tuning.learn_cache_capacity);
         }
-        if ended == Ended::Unreachable {
+        if ended == HealthSignal::Unreachable {
             self.pool.borrow_mut().forget(target.tag);
         }
     }
@@ -315,7 +316,7 @@
             if let Err(error) = reached {
                 log::debug!("{} is gone: {error}", target.entry.id);
                 state.count_crashes(&target, prints);
-                state.ended(&target, &service, &Forecast::default(), Ended::Unreachable);
+                state.ended(&target, &service, &Forecast::default(), HealthSignal::Unreachable);
             }
         });
     }
@@ -332,13 +333,13 @@
 
     /// Takes in what other hosts told of the objects that they asked targets for.
     fn hear_runs(&self, view: &View) {
-        if view.at <= self.heard_runs.get() || !self.tuning.told_runs {
+        if view.at <= self.heard_runs.get() || !self.tuning.use_reported_runs {
             return;
         }
         self.heard_runs.set(view.at);
         let mut held = self.held.borrow_mut();
         for (target, object) in &view.runs {
-            held.touched(*target, *object);
+            held.record_use(*target, *object);
         }
     }
 
@@ -346,7 +347,7 @@
     pub fn tick(&self) {
         let now = self.clock.now();
         let Some(view) = self.view() else { return };
-        self.cold.borrow_mut().tick(now);
+        self.cold.borrow_mut().remove_idle(now);
         self.hear_runs(&view);
         self.update_quota(&view);
         self.own_runs.borrow_mut().retain(|(at, _, _)| now < *at + RUNS_TOLD);
@@ -382,7 +383,7 @@
     fn count_sent(&self, view: &View, now: Moment) {
         let mut sent = view.sent.clone();
         sent.add(&self.sent.borrow_mut().counts(now));
-        *self.held_regions.borrow_mut() = sent.held(self.bounds().max_shift);
+        *self.held_regions.borrow_mut() = sent.capped_regions(self.bounds().max_shift);
         *self.region_sent.borrow_mut() = sent;
     }
 
@@ -421,7 +422,7 @@
         let view = self.view();
         let told = |tag| view.as_ref().and_then(|view| view.slow.get(tag).copied());
         let slow =
-            conditions.iter().filter_map(|(tag, it)| Some((*tag, it.slowness(told(tag), now)?)));
+            conditions.iter().filter_map(|(tag, it)| Some((*tag, it.report(told(tag), now)?)));
         let slow = slow.collect();
         let teams = self.quota.borrow().report(now);
         Load { crashes, demand, running, runs: self.told_runs(), sent, slow, teams }
@@ -442,13 +443,13 @@
 }
 
 /// The event of a target's pause, or of its end.
-fn paused_or_trusted(target: &KnownTarget, ended: Ended, change: ConditionChange) -> Event {
+fn paused_or_trusted(target: &KnownTarget, ended: HealthSignal, change: HealthChange) -> Event {
     let target = target.entry.id.clone();
     match change {
-        ConditionChange::Trusted => Event::TargetTrusted { target },
-        ConditionChange::Paused { failures, pause } => {
+        HealthChange::Recovered => Event::TargetTrusted { target },
+        HealthChange::Paused { failures, pause } => {
             let reason = match ended {
-                Ended::Unreachable => PauseReason::Unreachable,
+                HealthSignal::Unreachable => PauseReason::Unreachable,
                 _ => PauseReason::Failing,
             };
             Event::TargetPaused { failures, pause_ms: pause.as_millis() as u64, reason, target }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -6,7 +6,7 @@
 
 use super::{Declared, UsableTargets};
 use crate::{
-    placement::{NameTag, ObjectTag, RegionSent, Slowness, TargetTag},
+    placement::{NameTag, ObjectTag, SentTotals, SlowdownReport, TargetTag},
     prelude::*,
     quota::TeamCounts,
 };
@@ -35,9 +35,9 @@
     /// Objects that other hosts lately asked targets for.
     pub runs: Vec<(TargetTag, ObjectTag)>,
     /// What other hosts of the own region sent to each region.
-    pub sent: RegionSent,
+    pub sent: SentTotals,
     /// What other hosts tell of slow targets.
-    pub slow: HashMap<TargetTag, Slowness>,
+    pub slow: HashMap<TargetTag, SlowdownReport>,
     pub targets: UsableTargets,
     /// Requests of teams that other hosts reported.
     pub team_counts: BTreeMap<NameTag, TeamCounts>,
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    placement::{Counts, NameTag, ObjectTag, Slowness, TargetTag, Way},
+    placement::{NameTag, ObjectTag, ServiceRegion, SlowdownReport, TargetTag, WindowCounts},
     prelude::*,
     quota::TeamCounts,
 };
@@ -27,9 +27,9 @@
     pub runs: Vec<(TargetTag, ObjectTag)>,
     /// Requests that were sent, by service and region, in the last window of shifts and the one
     /// before.
-    pub sent: Vec<(Way, Counts)>,
+    pub sent: Vec<(ServiceRegion, WindowCounts)>,
     /// Targets that take longer than they should.
-    pub slow: Vec<(TargetTag, Slowness)>,
+    pub slow: Vec<(TargetTag, SlowdownReport)>,
     /// Arrived and admitted requests of teams with a limit, by hash of the team.
     pub teams: Vec<(NameTag, TeamCounts)>,
 }
@@ -46,7 +46,7 @@
             sent: summed(loads.clone().flat_map(|load| &load.sent), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
-            slow: summed(loads.clone().flat_map(|load| &load.slow), Slowness::and),
+            slow: summed(loads.clone().flat_map(|load| &load.slow), SlowdownReport::merge),
             teams: summed(loads.flat_map(|load| &load.teams), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
--- a/src/fleet/tests/reports.rs
+++ b/src/fleet/tests/reports.rs
@@ -3,7 +3,7 @@
 use super::{note, secs};
 use crate::{
     fleet::{Load, Reports, Rotation, ZoneReport},
-    placement::Slowness,
+    placement::SlowdownReport,
     prelude::*,
 };
 
@@ -58,7 +58,7 @@
         running: vec![(7, 2), (8, 1)],
         runs: vec![(7, 11)],
         sent: vec![((5, 1), (3, 4))],
-        slow: vec![(7, Slowness::seen(4.0))],
+        slow: vec![(7, SlowdownReport::single(4.0))],
         teams: vec![(5, (3, 1))],
     };
     let two = Load { running: vec![(7, 3)], ..one.clone() };
@@ -66,7 +66,7 @@
     assert_eq!(sum.running, [(7, 5), (8, 1)]);
     assert_eq!(sum.sent, [((5, 1), (6, 8))]);
     assert_eq!(sum.teams, [(5, (6, 2))]);
-    assert_eq!(sum.slow, [(7, Slowness::seen(4.0).and(Slowness::seen(4.0)))]);
+    assert_eq!(sum.slow, [(7, SlowdownReport::single(4.0).merge(SlowdownReport::single(4.0)))]);
     assert_eq!((sum.crashes, sum.demand, sum.runs), (vec![(1, 4)], vec![(5, 1.0)], vec![(7, 11)]));
 }
 
--- a/src/placement/keeps.rs
+++ b/src/placement/cache_capacity.rs
@@ -13,15 +13,15 @@
 
 /// An estimate, in objects, learnt from which runs were fast.
 #[derive(Clone, Copy, Debug)]
-pub struct Keeps(f64);
+pub struct CacheCapacity(f64);
 
-impl Default for Keeps {
+impl Default for CacheCapacity {
     fn default() -> Self {
         Self(KEEPS_ASSUMED)
     }
 }
 
-impl Keeps {
+impl CacheCapacity {
     /// Whether a target is expected to know the object that lies at this depth.
     pub fn holds(self, depth: Option<usize>) -> bool {
         depth.is_some_and(|depth| (depth as f64) < self.0)
--- a/src/placement/held_objects.rs
+++ b/src/placement/cached_objects.rs
@@ -19,7 +19,7 @@
 
 /// The objects of each target, the one that was asked for last at the end.
 #[derive(Debug, Default)]
-pub struct HeldObjects {
+pub struct CachedObjects {
     /// The targets that each object was asked for at, as `targets` has it.
     holders: HashMap<ObjectTag, Vec<TargetTag>>,
     targets: HashMap<TargetTag, Vec<ObjectTag>>,
@@ -27,9 +27,9 @@
     unusable: HashMap<TargetTag, Moment>,
 }
 
-impl HeldObjects {
+impl CachedObjects {
     /// A request about the object went to the target.
-    pub fn touched(&mut self, target: TargetTag, object: ObjectTag) {
+    pub fn record_use(&mut self, target: TargetTag, object: ObjectTag) {
         let held = self.targets.entry(target).or_default();
         if let Some(at) = held.iter().rposition(|it| *it == object) {
             held[at..].rotate_left(1);
--- a/src/placement/cold_rates.rs
+++ b/src/placement/cold_target_limiter.rs
@@ -21,7 +21,7 @@
 
 /// Tokens by target.
 #[derive(Debug, Default)]
-pub struct ColdRates {
+pub struct ColdTargetLimiter {
     buckets: HashMap<u32, Bucket>,
 }
 
@@ -31,9 +31,9 @@
     tokens: f64,
 }
 
-impl ColdRates {
+impl ColdTargetLimiter {
     /// Whether this host may send one request to the target now.
-    pub fn may_send(&mut self, target: &KnownTarget, rate: f64, now: Moment) -> bool {
+    pub fn has_token(&mut self, target: &KnownTarget, rate: f64, now: Moment) -> bool {
         let bucket = self.buckets.entry(target.tag).or_insert(Bucket { at: now, tokens: 1.0 });
         let gained = now.saturating_sub(bucket.at).as_secs_f64() * rate * PART / SENDERS as f64;
         bucket.tokens = (bucket.tokens + gained).min(1.0);
@@ -42,20 +42,20 @@
     }
 
     /// One was sent.
-    pub fn sent(&mut self, target: &KnownTarget) {
+    pub fn take_token(&mut self, target: &KnownTarget) {
         if let Some(bucket) = self.buckets.get_mut(&target.tag) {
             bucket.tokens -= 1.0;
         }
     }
 
     /// Forgets targets that are no longer cold.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn remove_idle(&mut self, now: Moment) {
         self.buckets.retain(|_, bucket| now.saturating_sub(bucket.at) < Duration::from_secs(10));
     }
 }
 
 /// Whether `host` is one of the senders of a target.
-pub fn is_sender(target: &KnownTarget, host: &HostId, hosts: &[LiveHost]) -> bool {
+pub fn is_cold_sender(target: &KnownTarget, host: &HostId, hosts: &[LiveHost]) -> bool {
     let weight = |name: &HostId| xxh3_64_with_seed(name.as_bytes(), u64::from(target.tag));
     let own = weight(host);
     let near = hosts.iter().any(|live| live.region == target.region);
--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -11,12 +11,12 @@
     /// Time of the answer at a target of usual speed.
     pub expected: Duration,
     /// It finds a free slot at a target that is not cold.
-    pub finds_slot: bool,
+    pub has_free_slot: bool,
     /// Nothing was heard of the object; the target is its first by hash.
-    pub is_home_guess: bool,
+    pub is_primary_guess: bool,
     pub object: Option<ObjectTag>,
     /// Round trip to the target's region.
-    pub trip: Duration,
+    pub round_trip: Duration,
     /// How likely the target is to know the object.
-    pub knows: f64,
+    pub hit_probability: f64,
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -7,17 +7,17 @@
 //! (`condition`). `choose` weighs the targets of a region, of which `target_index` names the few that matter; `shares` decides on the region, within what
 //! `sent` says that all hosts of the own region may still move.
 
+mod cache_capacity;
+mod cached_objects;
 mod choose;
-mod cold_rates;
-mod condition;
+mod cold_target_limiter;
 mod forecast;
-mod held_objects;
-mod keeps;
-mod learnt;
+mod region_shares;
 mod round_trips;
-mod sent;
-mod shares;
-mod slowness;
+mod sent_requests;
+mod service_estimates;
+mod slowdown_report;
+mod target_health;
 mod target_index;
 #[cfg(test)]
 mod tests;
@@ -25,18 +25,18 @@
 mod work_time;
 
 pub use self::{
-    choose::{Candidate, Choice, Offer, PlacementQuery, choose},
-    cold_rates::{ColdRates, is_sender},
-    condition::{Condition, ConditionChange, Ended},
+    cache_capacity::CacheCapacity,
+    cached_objects::CachedObjects,
+    choose::{Candidate, CandidateEstimate, Choice, PlacementQuery, choose},
+    cold_target_limiter::{ColdTargetLimiter, is_cold_sender},
     forecast::Forecast,
-    held_objects::HeldObjects,
-    keeps::Keeps,
-    learnt::Learnt,
+    region_shares::{RegionLoad, RegionShares},
     round_trips::RoundTrips,
-    sent::{Counts, RegionSent, SentWindow, WINDOW, Way},
-    shares::{RegionLoad, Shares},
-    slowness::Slowness,
-    target_index::{TargetIndex, Wanted},
+    sent_requests::{SHIFT_WINDOW, SentCounter, SentTotals, ServiceRegion, WindowCounts},
+    service_estimates::ServiceEstimates,
+    slowdown_report::SlowdownReport,
+    target_health::{HealthChange, HealthSignal, TargetHealth},
+    target_index::{ShortlistQuery, TargetIndex},
     tuning::Tuning,
     work_time::WorkTime,
 };
--- a/src/placement/shares.rs
+++ b/src/placement/region_shares.rs
@@ -7,7 +7,7 @@
 //! Load pattern: callers' numbers rise and fall by half within a minute, by region in turn, and
 //! some regions have a tenth of the targets that their own callers need.
 
-use super::{NameTag, Tuning, WINDOW, name_tag};
+use super::{NameTag, SHIFT_WINDOW, Tuning, name_tag};
 use crate::prelude::*;
 
 /// Demand that every region is assumed to have before anything was measured, as a part of all
@@ -24,23 +24,23 @@
 
 /// Shares of one service; they add up to 1.
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct RegionShares {
     at: Moment,
     home: RegionId,
     parts: Vec<(RegionId, f64)>,
 }
 
-impl Shares {
+impl RegionShares {
     /// Shares to begin with.
     pub fn new(home: RegionId, loads: &[RegionLoad], tuning: &Tuning, now: Moment) -> Self {
-        let parts = wished(&home, loads, tuning.fill);
+        let parts = wished(&home, loads, tuning.home_utilization);
         Self { at: now, home, parts }
     }
 
     /// Shares to begin with where other hosts of the region may have begun before: as these sent
     /// their requests, and by the assumption as long as too few were sent. Begun by what is known
     /// of the demand at that moment, they would jump there, past any bound.
-    pub fn begin(
+    pub fn resume(
         home: RegionId,
         loads: &[RegionLoad],
         sent: Option<&BTreeMap<NameTag, f64>>,
@@ -68,9 +68,10 @@
 
     /// Moves the shares towards what the loads ask for, at most as fast as `max_shift` allows.
     pub fn step(&mut self, loads: &[RegionLoad], max_shift: f64, tuning: &Tuning, now: Moment) {
-        let wish = wished(&self.home, loads, tuning.fill);
-        let spent = now.saturating_sub(self.at).min(WINDOW);
-        let most = max_shift * tuning.shift_part * spent.as_secs_f64() / WINDOW.as_secs_f64();
+        let wish = wished(&self.home, loads, tuning.home_utilization);
+        let spent = now.saturating_sub(self.at).min(SHIFT_WINDOW);
+        let most =
+            max_shift * tuning.shift_fraction * spent.as_secs_f64() / SHIFT_WINDOW.as_secs_f64();
         self.at = now;
         let old = |region: &RegionId| {
             self.parts.iter().find(|(name, _)| name == region).map_or(0.0, |(_, part)| *part)
@@ -94,7 +95,7 @@
 
     /// The region for a place between 0 and 1. The same place stays in its region while the shares
     /// hold, and only places near a border move with them.
-    pub fn pick(&self, place: f64) -> Option<&RegionId> {
+    pub fn region_at(&self, place: f64) -> Option<&RegionId> {
         let mut sum = 0.0;
         for (region, part) in &self.parts {
             sum += part;
@@ -106,12 +107,12 @@
     }
 
     /// All regions and their shares.
-    pub fn parts(&self) -> impl Iterator<Item = (&RegionId, f64)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&RegionId, f64)> {
         self.parts.iter().map(|(region, part)| (region, *part))
     }
 
     /// The share of a region.
-    pub fn of(&self, region: &RegionId) -> f64 {
+    pub fn get(&self, region: &RegionId) -> f64 {
         self.parts.iter().find(|(name, _)| name == region).map_or(0.0, |(_, part)| *part)
     }
 }
--- a/src/placement/round_trips.rs
+++ b/src/placement/round_trips.rs
@@ -19,7 +19,7 @@
 
 impl RoundTrips {
     /// A connection to a target of the region took that long.
-    pub fn connected(&mut self, region: &RegionId, took: Duration) {
+    pub fn record(&mut self, region: &RegionId, took: Duration) {
         let samples = self.regions.entry(region.clone()).or_default();
         if samples.len() == SAMPLES {
             samples.pop_front();
@@ -28,7 +28,7 @@
     }
 
     /// The round trip from `home`.
-    pub fn to(&self, region: &RegionId, home: &RegionId) -> Duration {
+    pub fn get(&self, region: &RegionId, home: &RegionId) -> Duration {
         let measured = self.regions.get(region).and_then(|samples| samples.iter().min());
         let assumed = if region == home { Duration::ZERO } else { TRIP_ASSUMED };
         measured.copied().unwrap_or(assumed)
--- a/src/placement/sent.rs
+++ b/src/placement/sent_requests.rs
@@ -11,13 +11,13 @@
 use crate::prelude::*;
 
 /// Length of a window of the bound.
-pub const WINDOW: Duration = Duration::from_secs(2);
+pub const SHIFT_WINDOW: Duration = Duration::from_secs(2);
 
 /// Length of a bucket.
 const BUCKET: Duration = Duration::from_millis(200);
 
 /// Buckets of both windows.
-const BUCKETS: u64 = 2 * (WINDOW.as_millis() / BUCKET.as_millis()) as u64;
+const BUCKETS: u64 = 2 * (SHIFT_WINDOW.as_millis() / BUCKET.as_millis()) as u64;
 
 /// Fewest requests in a window that tell anything of its parts.
 const TELLING: u32 = 20;
@@ -30,20 +30,20 @@
 const PACE_SLOPE: f64 = 2.0;
 
 /// Service and region of requests.
-pub type Way = (NameTag, NameTag);
+pub type ServiceRegion = (NameTag, NameTag);
 
 /// Requests of the newer window and of the one before it.
-pub type Counts = (u32, u32);
+pub type WindowCounts = (u32, u32);
 
 /// What one host sent lately.
 #[derive(Debug, Default)]
-pub struct SentWindow {
-    buckets: VecDeque<(u64, HashMap<Way, u32>)>,
+pub struct SentCounter {
+    buckets: VecDeque<(u64, HashMap<ServiceRegion, u32>)>,
 }
 
-impl SentWindow {
+impl SentCounter {
     /// A request for the service was sent to the region.
-    pub fn sent(&mut self, service: NameTag, region: NameTag, now: Moment) {
+    pub fn record(&mut self, service: NameTag, region: NameTag, now: Moment) {
         let number = number(now);
         if self.buckets.back().is_none_or(|(last, _)| *last != number) {
             self.buckets.push_back((number, HashMap::new()));
@@ -53,10 +53,10 @@
     }
 
     /// The counts of both windows, which end with the last whole bucket.
-    pub fn counts(&mut self, now: Moment) -> Vec<(Way, Counts)> {
+    pub fn counts(&mut self, now: Moment) -> Vec<(ServiceRegion, WindowCounts)> {
         let end = number(now);
         self.buckets.retain(|(number, _)| end <= number + BUCKETS);
-        let mut sums: BTreeMap<Way, Counts> = BTreeMap::new();
+        let mut sums: BTreeMap<ServiceRegion, WindowCounts> = BTreeMap::new();
         for (number, counts) in self.buckets.iter().filter(|(number, _)| *number < end) {
             let is_newer = end <= number + BUCKETS / 2;
             for (way, count) in counts {
@@ -74,13 +74,13 @@
 
 /// What all hosts of a region sent lately.
 #[derive(Clone, Debug, Default)]
-pub struct RegionSent {
-    ways: BTreeMap<Way, Counts>,
+pub struct SentTotals {
+    ways: BTreeMap<ServiceRegion, WindowCounts>,
 }
 
-impl RegionSent {
+impl SentTotals {
     /// Adds what some of the hosts sent.
-    pub fn add(&mut self, counts: &[(Way, Counts)]) {
+    pub fn add(&mut self, counts: &[(ServiceRegion, WindowCounts)]) {
         for (way, (newer, older)) in counts {
             let sum = self.ways.entry(*way).or_default();
             sum.0 = sum.0.saturating_add(*newer);
@@ -89,7 +89,7 @@
     }
 
     /// The parts of the regions in a service's requests, if these are enough to tell.
-    pub fn parts(&self, service: NameTag) -> Option<BTreeMap<NameTag, f64>> {
+    pub fn shares(&self, service: NameTag) -> Option<BTreeMap<NameTag, f64>> {
         let of = self.ways.iter().filter(|((name, _), _)| *name == service);
         let counts = of.map(|((_, region), (newer, older))| (*region, newer + older));
         let counts: BTreeMap<NameTag, u32> = counts.collect();
@@ -104,7 +104,7 @@
     /// Chance alone changes the parts of few requests. Taken for a move, it would be answered with a
     /// real one, so what chance usually makes is left out.
     fn grown(&self) -> BTreeMap<NameTag, f64> {
-        let mut regions: BTreeMap<NameTag, Counts> = BTreeMap::new();
+        let mut regions: BTreeMap<NameTag, WindowCounts> = BTreeMap::new();
         for ((_, region), (newer, older)) in &self.ways {
             let sum = regions.entry(*region).or_default();
             *sum = (sum.0 + newer, sum.1 + older);
@@ -115,7 +115,7 @@
             return BTreeMap::new();
         }
         let (newer, older) = (f64::from(newer), f64::from(older));
-        let grown = |(region, (new, old)): (NameTag, Counts)| {
+        let grown = |(region, (new, old)): (NameTag, WindowCounts)| {
             let part = f64::from(new + old) / (newer + older);
             let chance = (part * (1.0 - part) * (newer.recip() + older.recip())).sqrt();
             let grown = f64::from(new) / newer - f64::from(old) / older;
@@ -125,12 +125,12 @@
     }
 
     /// The part of all requests that has changed its region.
-    pub fn moved(&self) -> f64 {
+    pub fn shifted(&self) -> f64 {
         self.grown().values().sum()
     }
 
     /// Regions whose part has grown so far that nothing more may be moved there for now.
-    pub fn held(&self, max_shift: f64) -> Vec<NameTag> {
+    pub fn capped_regions(&self, max_shift: f64) -> Vec<NameTag> {
         let is_held = |(_, grown): &(NameTag, f64)| HOLD * max_shift <= *grown;
         self.grown().into_iter().filter(is_held).map(|(region, _)| region).collect()
     }
@@ -141,6 +141,6 @@
             return 0.0;
         }
         let most = HOLD * max_shift;
-        ((most - self.moved()) / most * PACE_SLOPE).clamp(0.0, 1.0)
+        ((most - self.shifted()) / most * PACE_SLOPE).clamp(0.0, 1.0)
     }
 }
--- a/src/placement/learnt.rs
+++ b/src/placement/service_estimates.rs
@@ -1,6 +1,6 @@
 //! What a host has learnt of one service from the ends of its attempts.
 
-use super::{Forecast, Keeps, WorkTime};
+use super::{CacheCapacity, Forecast, WorkTime};
 use crate::prelude::*;
 
 /// Up to this depth a target surely still knows an object, whatever it keeps.
@@ -15,24 +15,33 @@
 
 /// Learnt figures of one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Learnt {
+pub struct ServiceEstimates {
     /// How likely an object's first target by hash is to know it where nothing was heard of it.
-    pub home_knows: f64,
-    pub keeps: Keeps,
+    pub primary_hit_rate: f64,
+    pub cache_capacity: CacheCapacity,
     pub work: WorkTime,
 }
 
-impl Default for Learnt {
+impl Default for ServiceEstimates {
     fn default() -> Self {
-        Self { home_knows: HOME_ASSUMED, keeps: Keeps::default(), work: WorkTime::default() }
+        Self {
+            primary_hit_rate: HOME_ASSUMED,
+            cache_capacity: CacheCapacity::default(),
+            work: WorkTime::default(),
+        }
     }
 }
 
-impl Learnt {
+impl ServiceEstimates {
     /// An answer came after that time, without that for a new connection. `learn_keeps`: see
     /// `Tuning`.
-    pub fn answered(&mut self, forecast: &Forecast, took: Duration, learn_keeps: bool) {
-        if !forecast.finds_slot || forecast.object.is_none() {
+    pub fn record_answer(
+        &mut self,
+        forecast: &Forecast,
+        took: Duration,
+        learn_cache_capacity: bool,
+    ) {
+        if !forecast.has_free_slot || forecast.object.is_none() {
             return;
         }
         let knew = match forecast.depth {
@@ -40,21 +49,22 @@
             Some(_) => None,
             None => Some(false),
         };
-        let was_fast = self.work.ran(took.saturating_sub(forecast.trip), knew);
-        if forecast.is_home_guess {
-            self.home_knows += (f64::from(u8::from(was_fast)) - self.home_knows) * HOME_NEWEST;
+        let was_fast = self.work.record_run(took.saturating_sub(forecast.round_trip), knew);
+        if forecast.is_primary_guess {
+            self.primary_hit_rate +=
+                (f64::from(u8::from(was_fast)) - self.primary_hit_rate) * HOME_NEWEST;
         }
-        if let Some(depth) = forecast.depth.filter(|_| learn_keeps) {
-            self.keeps.learn(depth, was_fast);
+        if let Some(depth) = forecast.depth.filter(|_| learn_cache_capacity) {
+            self.cache_capacity.learn(depth, was_fast);
         }
     }
 
     /// The usual time of an answer that is no sign of a slow target: a first run is slow anywhere.
-    pub fn usual(&self, forecast: &Forecast) -> Duration {
+    pub fn expected_time(&self, forecast: &Forecast) -> Duration {
         if forecast.object.is_none() || forecast.depth.is_some() {
             return forecast.expected;
         }
-        let more = self.work.unknown().saturating_sub(self.work.known());
-        forecast.expected + more.mul_f64(forecast.knows)
+        let more = self.work.miss().saturating_sub(self.work.hit());
+        forecast.expected + more.mul_f64(forecast.hit_probability)
     }
 }
--- a/src/placement/slowness.rs
+++ b/src/placement/slowdown_report.rs
@@ -13,20 +13,20 @@
 
 /// Runs at a target, and how many times the expected time they took.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Slowness {
+pub struct SlowdownReport {
     runs: u16,
     /// Of all runs, in hundredths.
     sum: u32,
 }
 
-impl Slowness {
+impl SlowdownReport {
     /// One run.
-    pub fn seen(ratio: f64) -> Self {
+    pub fn single(ratio: f64) -> Self {
         Self { runs: 1, sum: (ratio * 100.0) as u32 }
     }
 
     /// Further runs as well; beyond a few, those before lose weight.
-    pub fn and(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         let kept = RUNS_MOST.saturating_sub(other.runs).min(self.runs);
         let sum = u64::from(self.sum) * u64::from(kept) / u64::from(self.runs.max(1));
         let sum = other.sum.saturating_add(sum as u32);
@@ -34,7 +34,7 @@
     }
 
     /// Whether there are any runs.
-    pub fn is_any(self) -> bool {
+    pub fn has_runs(self) -> bool {
         0 < self.runs
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// What the runs make of the time of an answer.
-    pub fn stretch(self) -> f64 {
+    pub fn slowdown(self) -> f64 {
         let weight = f64::from(self.runs.min(TELLING)) / f64::from(TELLING);
         1.0 + (self.mean() - 1.0).max(0.0) * weight
     }
--- a/src/placement/condition.rs
+++ b/src/placement/target_health.rs
@@ -1,6 +1,6 @@
 //! What a host has seen of one target by its own requests.
 
-use super::Slowness;
+use super::SlowdownReport;
 use crate::prelude::*;
 
 /// First pause after failures in a row; doubles up to `LONGEST_PAUSE`.
@@ -31,7 +31,7 @@
 
 /// How an attempt at a target ended, as far as the target's state goes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
+pub enum HealthSignal {
     /// A whole answer, after that time.
     Answered(Duration),
     /// The target's own failure, or a broken or lost answer.
@@ -46,16 +46,16 @@
 
 /// What an attempt's end changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ConditionChange {
+pub enum HealthChange {
     /// The target gets nothing for that long, after so many failures in a row.
     Paused { failures: u32, pause: Duration },
     /// It answers again after a pause.
-    Trusted,
+    Recovered,
 }
 
 /// The condition of one target.
 #[derive(Clone, Debug, Default)]
-pub struct Condition {
+pub struct TargetHealth {
     failures: u32,
     /// Share of recent attempts that failed.
     failing: f64,
@@ -65,42 +65,44 @@
     paused_until: Moment,
     pauses: u32,
     /// Its last runs, none of them long before the next.
-    seen: Slowness,
+    seen: SlowdownReport,
     seen_at: Moment,
     /// Recent time of an answer as a multiple of what was expected.
     slow: Option<f64>,
     touched: Moment,
 }
 
-impl Condition {
+impl TargetHealth {
     /// An attempt ended; `expected` is the time that an answer usually takes there.
-    pub fn ended(
+    pub fn record_attempt(
         &mut self,
-        ended: Ended,
+        ended: HealthSignal,
         expected: Duration,
         now: Moment,
-    ) -> Option<ConditionChange> {
+    ) -> Option<HealthChange> {
         match ended {
-            Ended::Answered(took) => {
+            HealthSignal::Answered(took) => {
                 let was_paused = 0 < self.pauses;
                 self.failures = 0;
                 self.pauses = 0;
                 self.paused_until = Moment::ZERO;
                 self.sample(0.0, now);
                 self.paced(ratio(took, expected), now);
-                return was_paused.then_some(ConditionChange::Trusted);
+                return was_paused.then_some(HealthChange::Recovered);
             }
-            Ended::Cancelled(took) if expected < took => self.paced(ratio(took, expected), now),
-            Ended::Cancelled(_) => {}
-            Ended::Full => self.full_until = now + FULL_PAUSE,
-            Ended::Failed => return self.failed(1, now),
-            Ended::Unreachable => return self.failed(FAILURES, now),
+            HealthSignal::Cancelled(took) if expected < took => {
+                self.paced(ratio(took, expected), now)
+            }
+            HealthSignal::Cancelled(_) => {}
+            HealthSignal::Full => self.full_until = now + FULL_PAUSE,
+            HealthSignal::Failed => return self.failed(1, now),
+            HealthSignal::Unreachable => return self.failed(FAILURES, now),
         }
         None
     }
 
     /// How much the time of an answer is stretched here, for slowness and failures.
-    pub fn stretch(&self, now: Moment) -> f64 {
+    pub fn slowdown(&self, now: Moment) -> f64 {
         let keep = self.keep(now);
         let slow = 1.0 + (self.slow.unwrap_or(1.0).max(1.0) - 1.0) * keep;
         let failing = (self.failing * keep).min(0.9);
@@ -109,32 +111,32 @@
 
     /// The same, with what all hosts saw of the target lately: each host of a large fleet meets a
     /// target too seldom to learn by itself that it has turned slow.
-    pub fn stretch_told(&self, told: Option<Slowness>, now: Moment) -> f64 {
-        let own = self.stretch(now);
+    pub fn slowdown_with_report(&self, told: Option<SlowdownReport>, now: Moment) -> f64 {
+        let own = self.slowdown(now);
         match told {
-            Some(told) => own.max(told.and(self.seen(now)).stretch()),
+            Some(told) => own.max(told.merge(self.seen(now)).slowdown()),
             None => own,
         }
     }
 
     /// What other hosts are told of the target: that it is slow, or, where others say so, what this
     /// host saw, be it slow or not.
-    pub fn slowness(&self, told: Option<Slowness>, now: Moment) -> Option<Slowness> {
+    pub fn report(&self, told: Option<SlowdownReport>, now: Moment) -> Option<SlowdownReport> {
         let seen = self.seen(now);
-        (seen.is_slow() || (seen.is_any() && told.is_some())).then_some(seen)
+        (seen.is_slow() || (seen.has_runs() && told.is_some())).then_some(seen)
     }
 
     /// A run that had not to wait for a slot took that part of the usual time. Others say little:
     /// where all targets have queues, all of them would look slow.
-    pub fn ran(&mut self, took: Duration, expected: Duration, now: Moment) {
+    pub fn record_run(&mut self, took: Duration, expected: Duration, now: Moment) {
         let ratio = ratio(took, expected);
-        self.seen = self.seen(now).and(Slowness::seen(ratio));
+        self.seen = self.seen(now).merge(SlowdownReport::single(ratio));
         self.seen_at = now;
     }
 
     /// The runs of the last moments.
-    fn seen(&self, now: Moment) -> Slowness {
-        if now.saturating_sub(self.seen_at) < FRESH { self.seen } else { Slowness::default() }
+    fn seen(&self, now: Moment) -> SlowdownReport {
+        if now.saturating_sub(self.seen_at) < FRESH { self.seen } else { SlowdownReport::default() }
     }
 
     /// Whether it is to be left alone for now.
@@ -143,7 +145,7 @@
     }
 
     /// A target whose pause is over gets one request at a time until it answers.
-    pub fn is_on_trial(&self, now: Moment) -> bool {
+    pub fn is_half_open(&self, now: Moment) -> bool {
         FAILURES <= self.failures && !self.is_paused(now)
     }
 
@@ -152,7 +154,7 @@
         now < self.full_until
     }
 
-    fn failed(&mut self, count: u32, now: Moment) -> Option<ConditionChange> {
+    fn failed(&mut self, count: u32, now: Moment) -> Option<HealthChange> {
         self.sample(1.0, now);
         self.failures = self.failures.saturating_add(count);
         if self.failures < FAILURES {
@@ -161,7 +163,7 @@
         let pause = FIRST_PAUSE.saturating_mul(1 << self.pauses.min(8)).min(LONGEST_PAUSE);
         self.paused_until = now + pause;
         self.pauses += 1;
-        Some(ConditionChange::Paused { failures: self.failures, pause })
+        Some(HealthChange::Paused { failures: self.failures, pause })
     }
 
     fn keep(&self, now: Moment) -> f64 {
--- a/src/placement/target_index.rs
+++ b/src/placement/target_index.rs
@@ -33,7 +33,7 @@
 
 /// What a shortlist is made for.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct ShortlistQuery<'a> {
     /// Targets that are known to have been asked for the object.
     pub holders: &'a [TargetTag],
     pub object: Option<ObjectTag>,
@@ -45,7 +45,7 @@
 
 impl TargetIndex {
     /// Takes over the targets, if they are others than before.
-    pub fn follow(&mut self, targets: &Arc<[Arc<KnownTarget>]>) {
+    pub fn update(&mut self, targets: &Arc<[Arc<KnownTarget>]>) {
         if Arc::ptr_eq(&self.targets, targets) {
             return;
         }
@@ -65,14 +65,14 @@
     }
 
     /// The regions that have other targets than those that were tried.
-    pub fn open_regions(&self, tried: &[TargetTag]) -> impl Iterator<Item = &RegionId> {
+    pub fn untried_regions(&self, tried: &[TargetTag]) -> impl Iterator<Item = &RegionId> {
         let is_open = |at: &u32| !tried.contains(&self.targets[*at as usize].tag);
         let open = self.by_region.iter().filter(move |(_, all)| all.iter().any(is_open));
         open.map(|(region, _)| region)
     }
 
     /// Positions of the targets to look at, in rising order.
-    pub fn shortlist(&mut self, wanted: &Wanted<'_>) -> Vec<usize> {
+    pub fn shortlist(&mut self, wanted: &ShortlistQuery<'_>) -> Vec<usize> {
         let mut found: Vec<u32> = Vec::with_capacity(4 * (FIRSTS + OTHERS));
         found.extend(wanted.holders.iter().filter_map(|tag| self.by_tag.get(tag)));
         if let Some(object) = wanted.object {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,20 +1,20 @@
 //! Tests of the placement's decisions.
 
+mod cached_objects;
 mod choose;
 mod first_runs;
-mod held_objects;
 mod learning;
-mod model;
+mod load_patterns;
+mod region_shares;
 mod region_start;
-mod shares;
+mod simulation;
 mod target_index;
-mod worst_load;
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
     entry::{KnownTarget, TargetEntry},
-    placement::{Candidate, Learnt, WorkTime},
+    placement::{Candidate, ServiceEstimates, WorkTime},
     prelude::*,
 };
 
@@ -44,19 +44,19 @@
         cold: false,
         depth: None,
         load: 0.0,
-        shut: false,
-        stretch: 1.0,
+        unavailable: false,
+        slowdown: 1.0,
         target,
-        trip: Duration::ZERO,
+        round_trip: Duration::ZERO,
     };
     targets.iter().map(candidate).collect()
 }
 
 /// 100 ms at a target that knows the object, 300 ms at one that does not.
-fn learnt() -> Learnt {
+fn estimates() -> ServiceEstimates {
     let mut work = WorkTime::default();
-    work.ran(secs(0.1), Some(true));
-    work.ran(secs(0.3), Some(false));
-    (0..3_000).for_each(|_| work.sent(secs(0.1)));
-    Learnt { work, ..Learnt::default() }
+    work.record_run(secs(0.1), Some(true));
+    work.record_run(secs(0.3), Some(false));
+    (0..3_000).for_each(|_| work.record_sent(secs(0.1)));
+    ServiceEstimates { work, ..ServiceEstimates::default() }
 }
--- a/src/placement/tests/held_objects.rs
+++ b/src/placement/tests/cached_objects.rs
@@ -1,18 +1,18 @@
 //! What is remembered of the objects that targets know.
 
 use super::secs;
-use crate::placement::{HeldObjects, Keeps};
+use crate::placement::{CacheCapacity, CachedObjects};
 
 /// A target forgets the object that was not asked for longest; a request brings its object to the
 /// front again.
 #[test]
 fn an_objects_depth_counts_the_others_since() {
-    let mut held = HeldObjects::default();
+    let mut held = CachedObjects::default();
     assert_eq!(held.depth(1, 7), None);
-    [7, 8, 9].into_iter().for_each(|object| held.touched(1, object));
+    [7, 8, 9].into_iter().for_each(|object| held.record_use(1, object));
     assert_eq!([7, 8, 9].map(|object| held.depth(1, object)), [Some(2), Some(1), Some(0)]);
-    held.touched(1, 7);
-    held.touched(1, 7);
+    held.record_use(1, 7);
+    held.record_use(1, 7);
     assert_eq!([7, 8, 9].map(|object| held.depth(1, object)), [Some(0), Some(2), Some(1)]);
     assert_eq!(held.depth(2, 7), None);
 }
@@ -21,12 +21,12 @@
 /// that are gone are forgotten whole.
 #[test]
 fn memory_is_bounded() {
-    let mut held = HeldObjects::default();
-    (0..10_000).for_each(|object| held.touched(1, object));
+    let mut held = CachedObjects::default();
+    (0..10_000).for_each(|object| held.record_use(1, object));
     assert_eq!(held.depth(1, 9_999), Some(0));
     assert_eq!(held.depth(1, 9_999 - 127), Some(127));
     assert_eq!(held.depth(1, 9_999 - 128), None);
-    held.touched(2, 5);
+    held.record_use(2, 5);
     held.retain(|tag| tag == 2, secs(1.0));
     held.retain(|tag| tag == 2, secs(31.0));
     assert_eq!((held.depth(1, 9_999), held.depth(2, 5)), (None, Some(0)));
@@ -36,8 +36,8 @@
 /// again; one that stays away is forgotten in time, however often it was away before.
 #[test]
 fn an_evacuation_is_outlasted() {
-    let mut held = HeldObjects::default();
-    held.touched(1, 7);
+    let mut held = CachedObjects::default();
+    held.record_use(1, 7);
     held.retain(|_| false, secs(1.0));
     held.retain(|_| false, secs(11.0));
     assert_eq!(held.holders(7), [1]);
@@ -54,13 +54,13 @@
 #[test]
 fn the_number_of_kept_objects_is_learnt() {
     for first in [0, 60] {
-        let mut keeps = Keeps::default();
-        (0..first).for_each(|_| keeps.learn(200, true));
+        let mut cache_capacity = CacheCapacity::default();
+        (0..first).for_each(|_| cache_capacity.learn(200, true));
         for run in 0..4_000_u32 {
             let depth = (run.wrapping_mul(0x9e37_79b9) >> 16) as usize % 40;
             let by_chance = run % 10 == 0;
-            keeps.learn(depth, (depth < 13) != by_chance);
+            cache_capacity.learn(depth, (depth < 13) != by_chance);
         }
-        assert!((9.0..=17.0).contains(&keeps.count()), "{keeps:?}");
+        assert!((9.0..=17.0).contains(&cache_capacity.count()), "{cache_capacity:?}");
     }
 }
--- a/src/placement/tests/choose.rs
+++ b/src/placement/tests/choose.rs
@@ -1,6 +1,6 @@
 //! Which target a request goes to.
 
-use super::{idle, known, learnt, secs};
+use super::{estimates, idle, known, secs};
 use crate::{
     entry::KnownTarget,
     placement::{Candidate, Choice, PlacementQuery, Tuning, choose},
@@ -38,9 +38,9 @@
 
     fn ask(&self, object: u32) -> PlacementQuery<'_> {
         PlacementQuery {
-            home: &self.home,
-            learnt: learnt(),
-            left: secs(2.0),
+            home_region: &self.home,
+            estimates: estimates(),
+            time_left: secs(2.0),
             may_spill: false,
             object: Some(object.wrapping_mul(0x9e37_79b9)),
             objective: secs(0.5),
@@ -57,7 +57,7 @@
 
 fn sent(choice: Choice) -> usize {
     match choice {
-        Choice::Send(offer) => offer.at,
+        Choice::Send(offer) => offer.index,
         other => panic!("not sent: {other:?}"),
     }
 }
@@ -111,32 +111,32 @@
     let world = World::new(2, 0);
     let mut full = world.idle();
     full.iter_mut().for_each(|candidate| candidate.load = 11.0);
-    let late = PlacementQuery { left: secs(0.25), ..world.ask(1) };
-    let Choice::Busy { room_in, .. } = choice(&full, &late) else { panic!("it was sent") };
-    assert_eq!(room_in, Some(secs(0.3)));
+    let late = PlacementQuery { time_left: secs(0.25), ..world.ask(1) };
+    let Choice::Busy { free_in, .. } = choice(&full, &late) else { panic!("it was sent") };
+    assert_eq!(free_in, Some(secs(0.3)));
     assert!(matches!(choice(&full, &world.ask(1)), Choice::Send(_)));
     full.iter_mut().for_each(|candidate| candidate.load = 12.0);
     assert!(matches!(choice(&full, &world.ask(1)), Choice::Busy { .. }));
-    assert_eq!(choice(&[], &world.ask(1)), Choice::Nothing);
+    assert_eq!(choice(&[], &world.ask(1)), Choice::NoTargets);
 }
 
 /// Load pattern: the target that knows an object is crowded beyond what its caller may wait for, and
 /// another one is idle. The request is refused: served there it would take three times the work and
 /// push out what that target knows. The refusal names the crowded target and its queue.
 #[test]
-fn a_crowded_target_is_named() {
+fn a_best_target_is_named() {
     let world = World::new(2, 0);
     for object in 0..OBJECTS {
         let mut candidates = world.idle();
         let known = sent(choice(&candidates, &world.ask(object)));
         candidates[known].load = 8.0;
         candidates[known].depth = Some(0);
-        let hasty = PlacementQuery { left: secs(0.3), ..world.ask(object) };
+        let hasty = PlacementQuery { time_left: secs(0.3), ..world.ask(object) };
         let refused = choice(&candidates, &hasty);
-        let Choice::Busy { crowded: Some(offer), room_in: Some(room_in) } = refused else {
+        let Choice::Busy { best: Some(offer), free_in: Some(free_in) } = refused else {
             panic!("{refused:?}");
         };
-        assert_eq!((offer.at, offer.expected(), room_in), (known, secs(0.3), secs(0.2)));
+        assert_eq!((offer.index, offer.expected(), free_in), (known, secs(0.3), secs(0.2)));
     }
 }
 
@@ -149,18 +149,18 @@
     let mut candidates = world.idle();
     candidates[..2].iter_mut().for_each(|candidate| candidate.load = 12.0);
     let refused = choice(&candidates, &world.ask(1));
-    let room_in = Some(Duration::from_secs_f64(10.0 / 3.0 * 0.1));
-    assert_eq!(refused, Choice::Busy { crowded: None, room_in });
+    let free_in = Some(Duration::from_secs_f64(10.0 / 3.0 * 0.1));
+    assert_eq!(refused, Choice::Busy { best: None, free_in });
     // A paused target has nothing in flight, and yet no room.
     candidates[0].load = 0.0;
-    candidates[0].shut = true;
-    assert_eq!(choice(&candidates, &world.ask(1)), Choice::Busy { crowded: None, room_in });
-    candidates[1].shut = true;
-    assert_eq!(choice(&candidates, &world.ask(1)), Choice::Busy { crowded: None, room_in: None });
-    candidates[..2].iter_mut().for_each(|candidate| candidate.shut = false);
+    candidates[0].unavailable = true;
+    assert_eq!(choice(&candidates, &world.ask(1)), Choice::Busy { best: None, free_in });
+    candidates[1].unavailable = true;
+    assert_eq!(choice(&candidates, &world.ask(1)), Choice::Busy { best: None, free_in: None });
+    candidates[..2].iter_mut().for_each(|candidate| candidate.unavailable = false);
     candidates[0].load = 12.0;
     let may_spill = PlacementQuery { may_spill: true, ..world.ask(1) };
-    assert!(matches!(choice(&candidates, &may_spill), Choice::Send(offer) if 2 <= offer.at));
+    assert!(matches!(choice(&candidates, &may_spill), Choice::Send(offer) if 2 <= offer.index));
 }
 
 /// A slow or failing target gets fewer objects, one that is shut gets none.
@@ -169,11 +169,11 @@
     let world = World::new(2, 0);
     for object in 0..OBJECTS {
         let mut candidates = world.knowing();
-        candidates[0].stretch = 8.0;
+        candidates[0].slowdown = 8.0;
         assert_eq!(sent(choice(&candidates, &world.ask(object))), 1);
-        candidates[1].shut = true;
+        candidates[1].unavailable = true;
         assert_eq!(sent(choice(&candidates, &world.ask(object))), 0);
-        candidates[0].shut = true;
+        candidates[0].unavailable = true;
         assert!(matches!(choice(&candidates, &world.ask(object)), Choice::Busy { .. }));
     }
 }
--- a/src/placement/tests/first_runs.rs
+++ b/src/placement/tests/first_runs.rs
@@ -1,9 +1,9 @@
 //! Objects that no target knows yet.
 
-use super::{idle, known, learnt, secs};
+use super::{estimates, idle, known, secs};
 use crate::{
     entry::KnownTarget,
-    placement::{Choice, Learnt, PlacementQuery, Tuning, choose},
+    placement::{Choice, PlacementQuery, ServiceEstimates, Tuning, choose},
     prelude::*,
 };
 
@@ -12,11 +12,15 @@
 }
 
 /// An objective of 60 ms: shorter than any first run.
-fn ask<'a>(home: &'a RegionId, zone: &'a ZoneId, learnt: Learnt) -> PlacementQuery<'a> {
+fn ask<'a>(
+    home: &'a RegionId,
+    zone: &'a ZoneId,
+    estimates: ServiceEstimates,
+) -> PlacementQuery<'a> {
     PlacementQuery {
-        home,
-        learnt,
-        left: secs(2.0),
+        home_region: home,
+        estimates,
+        time_left: secs(2.0),
         may_spill: false,
         object: Some(5),
         objective: secs(0.06),
@@ -32,7 +36,7 @@
 fn an_assumption_refuses_nothing() {
     let (home, zone) = ("north".into(), "north-a".into());
     let targets = targets();
-    let choice = choose(&idle(&targets), &ask(&home, &zone, Learnt::default()), 0);
+    let choice = choose(&idle(&targets), &ask(&home, &zone, ServiceEstimates::default()), 0);
     assert!(matches!(choice, Choice::Send(_)), "{choice:?}");
 }
 
@@ -43,17 +47,17 @@
 fn an_object_that_no_target_knows_is_run_once() {
     let (home, zone) = ("north".into(), "north-a".into());
     let targets = targets();
-    let ask = ask(&home, &zone, learnt());
+    let ask = ask(&home, &zone, estimates());
     for depth in [None, Some(100)] {
         let mut candidates = idle(&targets);
         candidates.iter_mut().for_each(|candidate| candidate.depth = depth);
         let Choice::Send(offer) = choose(&candidates, &ask, 0) else { panic!("it was refused") };
-        candidates[offer.at].load = 3.0;
+        candidates[offer.index].load = 3.0;
         assert!(matches!(choose(&candidates, &ask, 0), Choice::Busy { .. }));
         // Its first target is paused: the next one takes its place.
-        candidates[offer.at].shut = true;
+        candidates[offer.index].unavailable = true;
         let Choice::Send(next) = choose(&candidates, &ask, 0) else { panic!("it was refused") };
-        assert_ne!(next.at, offer.at);
+        assert_ne!(next.index, offer.index);
     }
 }
 
@@ -65,10 +69,10 @@
     let targets = targets();
     let mut candidates = idle(&targets);
     candidates.iter_mut().for_each(|candidate| candidate.depth = Some(100));
-    let ask = ask(&home, &zone, learnt());
-    let short = PlacementQuery { left: secs(0.25), ..ask.clone() };
+    let ask = ask(&home, &zone, estimates());
+    let short = PlacementQuery { time_left: secs(0.25), ..ask.clone() };
     assert!(matches!(choose(&candidates, &short, 0), Choice::Busy { .. }));
-    let long = PlacementQuery { left: secs(0.35), ..ask };
+    let long = PlacementQuery { time_left: secs(0.35), ..ask };
     assert!(matches!(choose(&candidates, &long, 0), Choice::Send(_)));
 }
 
@@ -82,8 +86,8 @@
     candidates[2].load = 4.0;
     let objective = secs(0.2);
     for seed in 0..50 {
-        let ask = PlacementQuery { object: None, objective, ..ask(&home, &zone, learnt()) };
+        let ask = PlacementQuery { object: None, objective, ..ask(&home, &zone, estimates()) };
         let Choice::Send(offer) = choose(&candidates, &ask, seed) else { panic!("it was refused") };
-        assert_eq!((offer.at, offer.expected()), (1, secs(0.1)));
+        assert_eq!((offer.index, offer.expected()), (1, secs(0.1)));
     }
 }
--- a/src/placement/tests/learning.rs
+++ b/src/placement/tests/learning.rs
@@ -2,12 +2,12 @@
 
 use super::secs;
 use crate::{
-    placement::{Condition, Ended, Forecast, Learnt, RoundTrips, WorkTime},
+    placement::{Forecast, HealthSignal, RoundTrips, ServiceEstimates, TargetHealth, WorkTime},
     prelude::*,
 };
 
 fn forecast(depth: Option<usize>) -> Forecast {
-    Forecast { depth, finds_slot: true, object: Some(1), ..Forecast::default() }
+    Forecast { depth, has_free_slot: true, object: Some(1), ..Forecast::default() }
 }
 
 /// Work takes 264 ms and 880 ms. A fifth of the runs that should have found a free slot had to wait
@@ -18,11 +18,11 @@
     let mut work = WorkTime::default();
     for run in 0..500_u32 {
         let waited = if run % 5 == 0 { f64::from(run % 7) / 7.0 * 0.264 } else { 0.0 };
-        work.ran(secs(0.264 + waited), Some(true));
-        work.ran(secs(0.88), Some(false));
+        work.record_run(secs(0.264 + waited), Some(true));
+        work.record_run(secs(0.88), Some(false));
     }
-    assert!((work.known().as_secs_f64() / 0.264 - 1.0).abs() < 0.1, "{work:?}");
-    assert!((work.unknown().as_secs_f64() / 0.88 - 1.0).abs() < 0.1, "{work:?}");
+    assert!((work.hit().as_secs_f64() / 0.264 - 1.0).abs() < 0.1, "{work:?}");
+    assert!((work.miss().as_secs_f64() / 0.88 - 1.0).abs() < 0.1, "{work:?}");
 }
 
 /// The first answers tell more than any assumption: a service of 5 ms is known as such at once.
@@ -30,52 +30,60 @@
 fn the_first_runs_count_in_full() {
     let mut work = WorkTime::default();
     assert!(!work.is_measured());
-    work.ran(secs(0.005), Some(true));
-    work.ran(secs(0.02), Some(false));
+    work.record_run(secs(0.005), Some(true));
+    work.record_run(secs(0.02), Some(false));
     assert!(work.is_measured());
-    assert_eq!(work.known(), secs(0.005));
-    assert_eq!(work.unknown(), secs(0.02));
+    assert_eq!(work.hit(), secs(0.005));
+    assert_eq!(work.miss(), secs(0.02));
 }
 
 /// All hosts start again while targets go on: the first target of an object knows it. At the first
 /// start of all it does not. A dozen runs tell a host which it is.
 #[test]
 fn hosts_learn_whether_first_targets_know_their_objects() {
-    let guess = Forecast { is_home_guess: true, knows: 0.5, ..forecast(None) };
+    let guess = Forecast { is_primary_guess: true, hit_probability: 0.5, ..forecast(None) };
     for (took, known) in [(secs(0.1), true), (secs(0.9), false)] {
-        let mut learnt = Learnt::default();
-        (0..12).for_each(|_| learnt.answered(&guess, took, true));
-        assert_eq!(0.9 < learnt.home_knows, known, "{learnt:?}");
-        assert_eq!(learnt.home_knows < 0.1, !known, "{learnt:?}");
+        let mut estimates = ServiceEstimates::default();
+        (0..12).for_each(|_| estimates.record_answer(&guess, took, true));
+        assert_eq!(0.9 < estimates.primary_hit_rate, known, "{estimates:?}");
+        assert_eq!(estimates.primary_hit_rate < 0.1, !known, "{estimates:?}");
     }
 }
 
 /// A run that had to wait, or whose request names no object, says nothing of how long work takes.
 #[test]
 fn runs_that_waited_teach_nothing() {
-    let mut learnt = Learnt::default();
-    let waited = Forecast { finds_slot: false, ..forecast(Some(0)) };
+    let mut estimates = ServiceEstimates::default();
+    let waited = Forecast { has_free_slot: false, ..forecast(Some(0)) };
     let unnamed = Forecast { object: None, ..forecast(Some(0)) };
-    learnt.answered(&waited, secs(3.0), true);
-    learnt.answered(&unnamed, secs(3.0), true);
-    assert_eq!(learnt.work.known(), WorkTime::default().known());
+    estimates.record_answer(&waited, secs(3.0), true);
+    estimates.record_answer(&unnamed, secs(3.0), true);
+    assert_eq!(estimates.work.hit(), WorkTime::default().hit());
 }
 
 /// Targets that run objects for the first time take three times as long. They are not taken for
 /// slow ones, which would send their objects to targets that know them even less.
 #[test]
 fn first_runs_do_not_make_a_target_slow() {
-    let learnt = super::learnt();
-    let guess = Forecast { expected: secs(0.2), knows: 0.5, ..forecast(None) };
+    let estimates = super::estimates();
+    let guess = Forecast { expected: secs(0.2), hit_probability: 0.5, ..forecast(None) };
     let sure = Forecast { expected: secs(0.1), ..forecast(Some(0)) };
-    let mut first = Condition::default();
-    let mut slow = Condition::default();
+    let mut first = TargetHealth::default();
+    let mut slow = TargetHealth::default();
     for _ in 0..10 {
-        first.ended(Ended::Answered(secs(0.3)), learnt.usual(&guess), secs(1.0));
-        slow.ended(Ended::Answered(secs(0.3)), learnt.usual(&sure), secs(1.0));
+        first.record_attempt(
+            HealthSignal::Answered(secs(0.3)),
+            estimates.expected_time(&guess),
+            secs(1.0),
+        );
+        slow.record_attempt(
+            HealthSignal::Answered(secs(0.3)),
+            estimates.expected_time(&sure),
+            secs(1.0),
+        );
     }
-    assert_eq!(first.stretch(secs(1.0)), 1.0);
-    assert!(2.0 < slow.stretch(secs(1.0)));
+    assert_eq!(first.slowdown(secs(1.0)), 1.0);
+    assert!(2.0 < slow.slowdown(secs(1.0)));
 }
 
 /// Round trips come from new connections. A lost packet adds 200 ms to one of them, and a region
@@ -84,12 +92,12 @@
 fn round_trips_are_the_shortest_of_the_latest_connections() {
     let (home, far): (RegionId, RegionId) = ("north".into(), "south".into());
     let mut trips = RoundTrips::default();
-    assert_eq!(trips.to(&home, &home), Duration::ZERO);
-    assert!(Duration::ZERO < trips.to(&far, &home));
+    assert_eq!(trips.get(&home, &home), Duration::ZERO);
+    assert!(Duration::ZERO < trips.get(&far, &home));
     for took in [0.27, 0.07, 0.072, 0.28] {
-        trips.connected(&far, secs(took));
+        trips.record(&far, secs(took));
     }
-    assert_eq!(trips.to(&far, &home), secs(0.07));
-    (0..8).for_each(|_| trips.connected(&far, secs(0.11)));
-    assert_eq!(trips.to(&far, &home), secs(0.11));
+    assert_eq!(trips.get(&far, &home), secs(0.07));
+    (0..8).for_each(|_| trips.record(&far, secs(0.11)));
+    assert_eq!(trips.get(&far, &home), secs(0.11));
 }
--- a/src/placement/tests/worst_load.rs
+++ b/src/placement/tests/load_patterns.rs
@@ -3,8 +3,8 @@
 //! Six targets with 18 slots do 68 requests a second if they know all objects, 20 if none.
 
 use super::{
-    model::{Model, Tally, sum, warm_up},
     secs,
+    simulation::{Model, Tally, sum, warm_up},
 };
 use crate::placement::Tuning;
 
@@ -44,7 +44,7 @@
 #[test]
 fn a_burst_does_not_scatter_objects() {
     let kept = sum(SEEDS, Tuning::default(), burst);
-    let scattered = sum(SEEDS, Tuning { unknown_charge: -1.0, ..Tuning::default() }, burst);
+    let scattered = sum(SEEDS, Tuning { miss_cost_factor: -1.0, ..Tuning::default() }, burst);
     assert!(0.9 <= kept.known_part(), "{kept:?}");
     assert!(scattered.in_time_part() < kept.in_time_part(), "{kept:?} {scattered:?}");
 }
@@ -55,7 +55,8 @@
 #[test]
 fn objects_are_found_again_after_all_hosts_started_anew() {
     let trusting = sum(SEEDS, Tuning::default(), restart);
-    let ignorant = sum(SEEDS, Tuning { trusts_homes: false, ..Tuning::default() }, restart);
+    let ignorant =
+        sum(SEEDS, Tuning { assume_primary_cached: false, ..Tuning::default() }, restart);
     assert!(trusting.refused < ignorant.refused, "{trusting:?} {ignorant:?}");
     assert!(ignorant.in_time <= trusting.in_time, "{trusting:?} {ignorant:?}");
 }
@@ -73,7 +74,7 @@
             model.play(secs(8.0), rate)
         };
         let told = sum(SEEDS, Tuning::default(), slow);
-        let alone = sum(SEEDS, Tuning { told_slow: false, ..Tuning::default() }, slow);
+        let alone = sum(SEEDS, Tuning { use_reported_slowness: false, ..Tuning::default() }, slow);
         assert!(alone.in_time < told.in_time, "{hosts}, {rate}: {told:?} {alone:?}");
     }
 }
--- a/src/placement/tests/region_start.rs
+++ b/src/placement/tests/region_start.rs
@@ -6,7 +6,7 @@
 
 use super::secs;
 use crate::{
-    placement::{RegionLoad, RegionSent, SentWindow, Shares, Tuning, name_tag},
+    placement::{RegionLoad, RegionShares, SentCounter, SentTotals, Tuning, name_tag},
     prelude::*,
 };
 
@@ -37,8 +37,8 @@
     arrivals: u32,
     /// The step of its first request.
     first: usize,
-    sent: SentWindow,
-    shares: Option<Shares>,
+    sent: SentCounter,
+    shares: Option<RegionShares>,
 }
 
 /// The largest part of the region's requests that changed its region from one window of two seconds
@@ -51,13 +51,13 @@
             demand: 0.0,
             arrivals: 0,
             first: rng.random_range(0..40),
-            sent: SentWindow::default(),
+            sent: SentCounter::default(),
             shares: None,
         })
         .collect();
     let mut told: Vec<f64> = Vec::new();
     let mut ran: Vec<[f64; 3]> = Vec::new();
-    let mut sums: Vec<RegionSent> = Vec::new();
+    let mut sums: Vec<SentTotals> = Vec::new();
     for step in 0..STEPS {
         let now = secs(100.0 + step as f64 / 10.0);
         let rate = RATE * (0.6 + 0.4 * (step as f64 / 20.0).sin());
@@ -68,10 +68,10 @@
         let room = SLOTS[0] / WORK / 10.0;
         for host in hosts.iter_mut().filter(|host| host.first <= step) {
             let begun = match rule {
-                Rule::Alone => Shares::new(REGIONS[0].into(), &loads, tuning, now),
+                Rule::Alone => RegionShares::new(REGIONS[0].into(), &loads, tuning, now),
                 Rule::Together => {
-                    let parts = sent.parts(name_tag("desk"));
-                    Shares::begin(REGIONS[0].into(), &loads, parts.as_ref(), tuning, now)
+                    let parts = sent.shares(name_tag("desk"));
+                    RegionShares::resume(REGIONS[0].into(), &loads, parts.as_ref(), tuning, now)
                 }
             };
             let shares = host.shares.get_or_insert(begun);
@@ -81,29 +81,29 @@
                 host.demand = f64::from(host.arrivals) / 0.5 * WORK;
                 host.arrivals = 0;
             }
-            let held = if rule == Rule::Together { sent.held(BOUND) } else { Vec::new() };
+            let held = if rule == Rule::Together { sent.capped_regions(BOUND) } else { Vec::new() };
             let mean = rate / 10.0 / HOSTS as f64;
             let arrivals = mean as u32 + u32::from(rng.random_bool(mean.fract()));
             for _ in 0..arrivals {
                 host.arrivals += 1;
                 let is_held = |region: &RegionId| held.contains(&name_tag(region));
                 let home = RegionId::from(REGIONS[0]);
-                for (region, part) in shares.parts() {
+                for (region, part) in shares.iter() {
                     let region = if is_held(region) { &home } else { region };
                     wanted[place(region)] += part;
                 }
-                let named = shares.pick(rng.random()).cloned().expect("there are regions");
+                let named = shares.region_at(rng.random()).cloned().expect("there are regions");
                 let region = if is_held(&named) { home } else { named };
                 // A full region refuses: what it can't run is not part of what runs.
                 if place(&region) == 0 && room <= busy {
                     continue;
                 }
                 busy += f64::from(u8::from(place(&region) == 0));
-                host.sent.sent(name_tag("desk"), name_tag(&region), now);
+                host.sent.record(name_tag("desk"), name_tag(&region), now);
             }
         }
         told.push(hosts.iter().map(|host| host.demand).sum());
-        let mut sum = RegionSent::default();
+        let mut sum = SentTotals::default();
         hosts.iter_mut().for_each(|host| sum.add(&host.sent.counts(now)));
         sums.push(sum);
         wanted[0] = wanted[0].min(room);
--- a/src/placement/tests/model.rs
+++ b/src/placement/tests/simulation.rs
@@ -12,15 +12,15 @@
 use crate::{
     entry::KnownTarget,
     placement::{
-        Candidate, Choice, Condition, Ended, Forecast, HeldObjects, Learnt, ObjectTag,
-        PlacementQuery, Slowness, TargetTag, Tuning, choose,
+        CachedObjects, Candidate, Choice, Forecast, HealthSignal, ObjectTag, PlacementQuery,
+        ServiceEstimates, SlowdownReport, TargetHealth, TargetTag, Tuning, choose,
     },
     prelude::*,
 };
 
 const OBJECTS: u32 = 40;
 /// Objects that a target keeps.
-const KEEPS: usize = 13;
+const CACHE_CAPACITY: usize = 13;
 const TARGETS: usize = 6;
 /// Slots of a target; see `known`.
 const SLOTS: usize = 3;
@@ -74,14 +74,14 @@
 
 #[derive(Default)]
 struct Host {
-    conditions: [Condition; TARGETS],
-    held: HeldObjects,
+    health: [TargetHealth; TARGETS],
+    held: CachedObjects,
     in_flight: [u32; TARGETS],
-    learnt: Learnt,
+    estimates: ServiceEstimates,
     runs: Vec<(TargetTag, ObjectTag)>,
     /// What the other hosts said that they run.
     told: [u32; TARGETS],
-    told_slow: [Option<Slowness>; TARGETS],
+    told_slow: [Option<SlowdownReport>; TARGETS],
 }
 
 /// The whole world.
@@ -157,17 +157,17 @@
                 cold: false,
                 depth: it.held.depth(self.known[at].tag, object),
                 load: f64::from(it.in_flight[at] + it.told[at]),
-                shut: false,
-                stretch: it.conditions[at].stretch_told(it.told_slow[at], now),
+                unavailable: false,
+                slowdown: it.health[at].slowdown_with_report(it.told_slow[at], now),
                 target: &self.known[at],
-                trip: Duration::ZERO,
+                round_trip: Duration::ZERO,
             })
             .collect();
         let (region, zone) = ("north".into(), "north-a".into());
         let ask = PlacementQuery {
-            home: &region,
-            learnt: it.learnt,
-            left: Duration::from_millis(DEADLINE),
+            home_region: &region,
+            estimates: it.estimates,
+            time_left: Duration::from_millis(DEADLINE),
             may_spill: false,
             object: Some(object),
             objective: Duration::from_millis(OBJECTIVE),
@@ -179,22 +179,22 @@
             self.tally.refused += 1;
             return;
         };
-        let chosen = &candidates[offer.at];
+        let chosen = &candidates[offer.index];
         let forecast = Forecast {
             depth: chosen.depth,
-            expected: offer.expected().div_f64(chosen.stretch),
-            finds_slot: chosen.load < SLOTS as f64,
-            is_home_guess: offer.is_home_guess,
-            knows: offer.knows,
+            expected: offer.expected().div_f64(chosen.slowdown),
+            has_free_slot: chosen.load < SLOTS as f64,
+            is_primary_guess: offer.is_primary_guess,
+            hit_probability: offer.hit_probability,
             object: Some(object),
-            trip: Duration::ZERO,
+            round_trip: Duration::ZERO,
         };
-        it.learnt.work.sent(offer.work);
-        it.held.touched(self.known[offer.at].tag, object);
-        it.runs.push((self.known[offer.at].tag, object));
-        it.in_flight[offer.at] += 1;
+        it.estimates.work.record_sent(offer.work);
+        it.held.record_use(self.known[offer.index].tag, object);
+        it.runs.push((self.known[offer.index].tag, object));
+        it.in_flight[offer.index] += 1;
         let job = Job { arrived: self.now, forecast, start: self.start, host, object };
-        self.targets[offer.at].queue.push_back(job);
+        self.targets[offer.index].queue.push_back(job);
     }
 
     fn work(&mut self, at: usize) {
@@ -208,7 +208,7 @@
                 target.memory.remove(place);
             }
             target.memory.push_front(job.object);
-            target.memory.truncate(KEEPS);
+            target.memory.truncate(CACHE_CAPACITY);
             self.tally.first_runs += u32::from(known.is_none());
             let work = if known.is_some() { KNOWN } else { UNKNOWN };
             target.running.push((self.now + work * self.slow[at], job));
@@ -228,16 +228,16 @@
         let host = &mut self.hosts[job.host];
         host.in_flight[at] -= 1;
         let (took, now) = (Duration::from_millis(took), Duration::from_millis(self.now));
-        let is_steady = host.conditions[at].stretch(now) < STEADY;
-        let usual = host.learnt.usual(&job.forecast);
-        host.conditions[at].ended(Ended::Answered(took), usual, now);
-        if job.forecast.finds_slot {
-            host.conditions[at].ran(took, usual, now);
+        let is_steady = host.health[at].slowdown(now) < STEADY;
+        let usual = host.estimates.expected_time(&job.forecast);
+        host.health[at].record_attempt(HealthSignal::Answered(took), usual, now);
+        if job.forecast.has_free_slot {
+            host.health[at].record_run(took, usual, now);
         }
         if !is_steady {
             return;
         }
-        host.learnt.answered(&job.forecast, took, self.tuning.learn_keeps);
+        host.estimates.record_answer(&job.forecast, took, self.tuning.learn_cache_capacity);
     }
 
     fn tell(&mut self) {
@@ -250,7 +250,7 @@
             .iter()
             .map(|host| {
                 (0..TARGETS)
-                    .map(|at| host.conditions[at].slowness(host.told_slow[at], now))
+                    .map(|at| host.health[at].report(host.told_slow[at], now))
                     .collect::<Vec<_>>()
             })
             .collect();
@@ -259,14 +259,15 @@
             for target in 0..TARGETS {
                 host.told[target] = others().map(|other| in_flight[other][target]).sum();
                 let told = others().filter_map(|other| slow[other][target]);
-                host.told_slow[target] =
-                    told.reduce(Slowness::and).filter(|_| self.tuning.told_slow);
+                host.told_slow[target] = told
+                    .reduce(SlowdownReport::merge)
+                    .filter(|_| self.tuning.use_reported_slowness);
             }
-            if !self.tuning.told_runs {
+            if !self.tuning.use_reported_runs {
                 continue;
             }
             for (target, object) in others().flat_map(|other| &runs[other]) {
-                host.held.touched(*target, *object);
+                host.held.record_use(*target, *object);
             }
         }
     }
--- a/src/placement/tests/target_index.rs
+++ b/src/placement/tests/target_index.rs
@@ -4,7 +4,7 @@
 use crate::{
     entry::Search,
     measure::placement::Scene,
-    placement::{HeldObjects, TargetIndex, Wanted},
+    placement::{CachedObjects, ShortlistQuery, TargetIndex},
     prelude::*,
 };
 
@@ -40,17 +40,17 @@
     let region = |at: usize| if at < 50 { "north" } else { "south" };
     let all: Vec<Arc<_>> = (0..100).map(|at| known(&format!("t-{at}"), region(at))).collect();
     let mut index = TargetIndex::default();
-    index.follow(&all.clone().into());
+    index.update(&all.clone().into());
     let (holders, near) = ([all[7].tag, all[70].tag], [RegionId::from("north")]);
-    let wanted = Wanted { holders: &holders, object: Some(9), regions: &near, spread: 3 };
+    let wanted = ShortlistQuery { holders: &holders, object: Some(9), regions: &near, spread: 3 };
     let before = index.shortlist(&wanted);
     assert!(before.contains(&7) && before.iter().all(|at| *at < 50), "{before:?}");
     assert!((9..=17).contains(&before.len()), "{before:?}");
     let left: Vec<Arc<_>> = all[8..].to_vec();
-    index.follow(&left.clone().into());
+    index.update(&left.clone().into());
     let after = index.shortlist(&wanted);
     assert!(after.iter().all(|at| left[*at].tag != all[7].tag), "{after:?}");
-    let open = |tried: &[u32]| index.open_regions(tried).count();
+    let open = |tried: &[u32]| index.untried_regions(tried).count();
     let south: Vec<u32> = left[42..].iter().map(|target| target.tag).collect();
     assert_eq!((open(&[]), open(&south)), (2, 1));
 }
@@ -59,12 +59,12 @@
 /// targets go.
 #[test]
 fn holders_follow_what_targets_hold() {
-    let mut held = HeldObjects::default();
-    held.touched(1, 7);
-    held.touched(2, 7);
-    held.touched(2, 7);
+    let mut held = CachedObjects::default();
+    held.record_use(1, 7);
+    held.record_use(2, 7);
+    held.record_use(2, 7);
     assert_eq!(held.holders(7), [1, 2]);
-    (100..228).for_each(|object| held.touched(1, object));
+    (100..228).for_each(|object| held.record_use(1, object));
     assert_eq!(held.holders(7), [2], "pushed out of the first");
     held.retain(|tag| tag == 1, secs(1.0));
     held.retain(|tag| tag == 1, secs(31.0));
--- a/src/placement/work_time.rs
+++ b/src/placement/work_time.rs
@@ -56,12 +56,12 @@
     }
 
     /// At a target that knows the object.
-    pub fn known(&self) -> Duration {
+    pub fn hit(&self) -> Duration {
         Duration::from_secs_f64(self.known)
     }
 
     /// At a target that does not.
-    pub fn unknown(&self) -> Duration {
+    pub fn miss(&self) -> Duration {
         Duration::from_secs_f64(self.known * self.ratio)
     }
 
@@ -71,13 +71,13 @@
     }
 
     /// A request goes where it is expected to keep a slot that long.
-    pub fn sent(&mut self, expected: Duration) {
+    pub fn record_sent(&mut self, expected: Duration) {
         self.mean += (expected.as_secs_f64() - self.mean) * MEAN_NEWEST;
     }
 
     /// A run that had not to wait for a slot took that long. `knew`: whether the target surely knew
     /// the object, or surely did not; `None` where that is not sure. Tells whether the run was fast.
-    pub fn ran(&mut self, took: Duration, knew: Option<bool>) -> bool {
+    pub fn record_run(&mut self, took: Duration, knew: Option<bool>) -> bool {
         let took = took.as_secs_f64().max(LEAST);
         let was_fast = took < self.known * self.ratio.sqrt();
         match knew {
