--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -19,7 +19,7 @@
 use crate::{
     base::with_cause,
     event_log::{AttemptEnd, Event, RequestKey},
-    placement::{Ended, Forecast},
+    placement::{Forecast, HealthSignal},
     prelude::*,
 };
 
@@ -161,7 +161,7 @@
         if !self.is_recorded {
             let took = self.elapsed();
             self.record_end(
-                Ended::Cancelled(took),
+                HealthSignal::Cancelled(took),
                 AttemptEnd::Cancelled,
                 "nobody waits for it any more",
             );
@@ -171,15 +171,15 @@
 
 impl AttemptGuard {
     /// The time without that for a new connection.
-    fn answered_end(&self) -> Ended {
-        Ended::Answered(self.elapsed().saturating_sub(self.connect_time.unwrap_or_default()))
+    fn answered_end(&self) -> HealthSignal {
+        HealthSignal::Answered(self.elapsed().saturating_sub(self.connect_time.unwrap_or_default()))
     }
 
     fn elapsed(&self) -> Duration {
         self.state.clock.now().saturating_sub(self.started)
     }
 
-    fn record_end(&mut self, ended: Ended, end: AttemptEnd, detail: &str) {
+    fn record_end(&mut self, ended: HealthSignal, end: AttemptEnd, detail: &str) {
         self.is_recorded = true;
         let left = self.request.deadline.saturating_sub(self.state.clock.now());
         let event = Event::AttemptEnded {
@@ -198,15 +198,15 @@
 
     fn not_sent(&mut self, error: &SendError) -> AttemptOutcome {
         let ended = match error {
-            SendError::Unreachable(_) => Ended::Unreachable,
-            _ => Ended::Failed,
+            SendError::Unreachable(_) => HealthSignal::Unreachable,
+            _ => HealthSignal::Failed,
         };
         self.record_end(ended, AttemptEnd::Unreachable, &error.to_string());
         AttemptOutcome::NotRun(ErrorKind::ConnectFailed)
     }
 
     fn lost(&mut self, reason: &str) -> AttemptOutcome {
-        self.record_end(Ended::Failed, AttemptEnd::Lost, reason);
+        self.record_end(HealthSignal::Failed, AttemptEnd::Lost, reason);
         self.state.check_for_crash(&self.target, &self.request.service);
         AttemptOutcome::Lost(ErrorKind::DispatchLost)
     }
@@ -219,10 +219,14 @@
     ) -> AttemptOutcome {
         if note.other_target {
             // The address has a new owner: the entry is out of date.
-            self.record_end(Ended::Unreachable, AttemptEnd::WrongTarget, "another target is there");
+            self.record_end(
+                HealthSignal::Unreachable,
+                AttemptEnd::WrongTarget,
+                "another target is there",
+            );
             return AttemptOutcome::NotRun(ErrorKind::NoTarget);
         }
-        self.record_end(Ended::Full, AttemptEnd::Shed, response.status().as_str());
+        self.record_end(HealthSignal::Full, AttemptEnd::Shed, response.status().as_str());
         let keep_alive = keep_alive_timeout(response.headers());
         if response.into_body().collect().await.is_ok() {
             let now = self.state.clock.now();
@@ -271,7 +275,7 @@
         let answered = self.answered_end();
         let response = Response::from_parts(head, ResponseBody::Whole(Full::new(whole)));
         if status.is_server_error() {
-            self.record_end(Ended::Failed, AttemptEnd::Failed, status.as_str());
+            self.record_end(HealthSignal::Failed, AttemptEnd::Failed, status.as_str());
             return if note.signed {
                 AttemptOutcome::TargetError(response)
             } else {
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -3,8 +3,9 @@
 use super::{KnownTarget, Route, Team, TrafficState, View, service_state::ServiceState};
 use crate::{
     placement::{
-        Candidate, Choice, Condition, Forecast, HeldObjects, NameTag, ObjectTag, Offer,
-        PlacementQuery, RegionLoad, Shares, TargetIndex, Wanted, choose, is_sender, name_tag,
+        CachedObjects, Candidate, CandidateEstimate, Choice, Forecast, NameTag, ObjectTag,
+        PlacementQuery, RegionLoad, RegionShares, ShortlistQuery, TargetHealth, TargetIndex,
+        choose, is_cold_sender, name_tag,
     },
     prelude::*,
 };
@@ -44,7 +45,7 @@
 
     /// Regions with a target that it may go to.
     fn open_regions(&self, index: &TargetIndex) -> Vec<RegionId> {
-        let open = index.open_regions(&self.tried_targets);
+        let open = index.untried_regions(&self.tried_targets);
         open.filter(|region| self.allows_region(region)).cloned().collect()
     }
 }
@@ -82,7 +83,7 @@
     fn no_targets(region: &RegionId) -> Self {
         Self {
             candidates: 0,
-            choice: Choice::Nothing,
+            choice: Choice::NoTargets,
             cold: 0,
             crowded: None,
             free_elsewhere: 0,
@@ -99,7 +100,9 @@
 
 fn is_free_elsewhere(candidate: &Candidate<'_>, region: &RegionId) -> bool {
     let target = candidate.target;
-    target.region != *region && !candidate.shut && candidate.load < f64::from(target.entry.slots)
+    target.region != *region
+        && !candidate.unavailable
+        && candidate.load < f64::from(target.entry.slots)
 }
 
 impl TrafficState {
@@ -122,7 +125,7 @@
         };
         let mut services = self.services.borrow_mut();
         let state = services.entry(request.service.clone()).or_default();
-        state.target_index.follow(targets);
+        state.target_index.update(targets);
         let seed = request.object.unwrap_or_else(rand::random);
         let open = request.open_regions(&state.target_index);
         let Some(region) = self.pick_region(view, state, request, seed, &open) else {
@@ -131,7 +134,7 @@
         let held = self.held_objects.borrow();
         if search == Search::Shortlist {
             let near = [region.clone()];
-            let shortlist = state.target_index.shortlist(&Wanted {
+            let shortlist = state.target_index.shortlist(&ShortlistQuery {
                 holders: request.object.map_or(&[], |object| held.holders(object)),
                 object: request.object,
                 regions: if may_spill(state) { &open } else { &near },
@@ -162,8 +165,9 @@
             let now = self.clock.now();
             let targets = state.target_index.targets();
             let loads = region_loads(view, targets, &request.service, state.demand, home, now);
-            let sent = self.region_sent.borrow().parts(name_tag(&request.service));
-            let shares = Shares::begin(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
+            let sent = self.region_sent.borrow().shares(name_tag(&request.service));
+            let shares =
+                RegionShares::resume(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
             state.shares = Some(shares);
         }
         let shares = state.shares.as_ref()?;
@@ -175,7 +179,7 @@
         view: &View,
         request: &PlacementRequest,
         targets: impl Iterator<Item = &'a Arc<KnownTarget>>,
-        held: &HeldObjects,
+        held: &CachedObjects,
     ) -> Vec<Candidate<'a>> {
         let now = self.clock.now();
         let services = view.declared.as_ref().map(|declared| &declared.services);
@@ -199,9 +203,9 @@
         region: &RegionId,
     ) -> Placement {
         let query = PlacementQuery {
-            home: &self.settings.region,
-            learnt: state.learnt,
-            left: request.deadline.saturating_sub(self.clock.now()),
+            home_region: &self.settings.region,
+            estimates: state.learnt,
+            time_left: request.deadline.saturating_sub(self.clock.now()),
             may_spill: may_spill(state),
             object: request.object,
             objective: request.route.objective,
@@ -212,15 +216,15 @@
         let choice = choose(candidates, &query, seed);
         let (chosen, forecast) = match &choice {
             Choice::Send(offer) => {
-                state.learnt.work.sent(offer.work);
-                let candidate = &candidates[offer.at];
+                state.learnt.work.record_sent(offer.work);
+                let candidate = &candidates[offer.index];
                 (Some(candidate), forecast(offer, candidate, request.object))
             }
             _ => (None, Forecast::default()),
         };
         let crowded = match &choice {
-            Choice::Busy { crowded: Some(offer), .. } => {
-                Some((candidates[offer.at].target.entry.id.clone(), offer.expected()))
+            Choice::Busy { best: Some(offer), .. } => {
+                Some((candidates[offer.index].target.entry.id.clone(), offer.expected()))
             }
             _ => None,
         };
@@ -237,9 +241,9 @@
             load: chosen.map_or(0, |chosen| chosen.load as u32),
             forecast,
             region: region.clone(),
-            shut: candidates.iter().filter(|candidate| candidate.shut).count(),
+            shut: candidates.iter().filter(|candidate| candidate.unavailable).count(),
             target: chosen.map(|chosen| chosen.target.clone()),
-            work: query.learnt.work.mean(),
+            work: query.estimates.work.mean(),
         }
     }
 
@@ -255,24 +259,27 @@
         let condition = conditions.get(&target.tag);
         let own = condition.map_or(0, |condition| condition.in_flight);
         let elsewhere = view.elsewhere.get(&target.tag).copied().unwrap_or_default();
-        let reported = view.slow.get(&target.tag).copied().filter(|_| self.tuning.told_slow);
+        let reported =
+            view.slow.get(&target.tag).copied().filter(|_| self.tuning.use_reported_slowness);
         let cold = target.is_cold(now);
         let cold_shut = cold
-            && (!is_sender(target, &self.settings.host, &view.hosts)
-                || !self.cold_rates.borrow_mut().may_send(target, cold_rate, now));
+            && (!is_cold_sender(target, &self.settings.host, &view.hosts)
+                || !self.cold_rates.borrow_mut().has_token(target, cold_rate, now));
         let shut = condition.is_some_and(|condition| {
             condition.is_paused(now)
                 || condition.is_full(now)
-                || (condition.is_on_trial(now) && 0 < own)
+                || (condition.is_half_open(now) && 0 < own)
         });
         Candidate {
             cold,
             depth,
             load: f64::from(own + elsewhere),
-            shut: shut || cold_shut,
-            stretch: condition.unwrap_or(&Condition::default()).stretch_told(reported, now),
+            unavailable: shut || cold_shut,
+            slowdown: condition
+                .unwrap_or(&TargetHealth::default())
+                .slowdown_with_report(reported, now),
             target,
-            trip: self.round_trips.borrow().to(&target.region, &self.settings.region),
+            round_trip: self.round_trips.borrow().get(&target.region, &self.settings.region),
         }
     }
 }
@@ -285,13 +292,13 @@
 /// The region that the shares name for an object, the home region if nothing more may be moved
 /// there, or else the one with the largest share of those that are open.
 fn region_for_seed(
-    shares: &Shares,
+    shares: &RegionShares,
     seed: ObjectTag,
     open: &[RegionId],
     home: &RegionId,
     at_shift_limit: &[NameTag],
 ) -> Option<RegionId> {
-    let named = shares.pick(f64::from(seed) / f64::from(ObjectTag::MAX));
+    let named = shares.region_at(f64::from(seed) / f64::from(ObjectTag::MAX));
     let named = named.map(|region| {
         match at_shift_limit.contains(&name_tag(region)) && open.contains(home) {
             true => home,
@@ -301,19 +308,23 @@
     if let Some(region) = named.filter(|region| open.contains(region)) {
         return Some(region.clone());
     }
-    open.iter().max_by(|a, b| shares.of(a).total_cmp(&shares.of(b))).cloned()
+    open.iter().max_by(|a, b| shares.get(a).total_cmp(&shares.get(b))).cloned()
 }
 
-fn forecast(offer: &Offer, candidate: &Candidate<'_>, object: Option<ObjectTag>) -> Forecast {
+fn forecast(
+    offer: &CandidateEstimate,
+    candidate: &Candidate<'_>,
+    object: Option<ObjectTag>,
+) -> Forecast {
     let slots = f64::from(candidate.target.entry.slots);
     Forecast {
         depth: candidate.depth,
-        expected: offer.expected().div_f64(candidate.stretch),
-        finds_slot: candidate.load < slots && !candidate.cold,
-        is_home_guess: offer.is_home_guess,
-        knows: offer.knows,
+        expected: offer.expected().div_f64(candidate.slowdown),
+        has_free_slot: candidate.load < slots && !candidate.cold,
+        is_primary_guess: offer.is_primary_guess,
+        hit_probability: offer.hit_probability,
         object,
-        trip: candidate.trip,
+        round_trip: candidate.round_trip,
     }
 }
 
--- a/src/entry/response.rs
+++ b/src/entry/response.rs
@@ -18,7 +18,7 @@
 use crate::{
     base::Ran,
     event_log::{Event, RequestKey},
-    placement::Ended,
+    placement::HealthSignal,
     prelude::*,
 };
 
@@ -97,7 +97,7 @@
                         &completion.target,
                         &completion.service,
                         &completion.in_flight.forecast,
-                        Ended::Failed,
+                        HealthSignal::Failed,
                     );
                 }
             }
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -19,8 +19,9 @@
     fleet::Load,
     metrics::TrafficFigures,
     placement::{
-        ColdRates, Condition, ConditionChange, Ended, Forecast, HeldObjects, Learnt, NameTag,
-        ObjectTag, RegionSent, RoundTrips, SentWindow, TargetTag, Tuning, name_tag,
+        CachedObjects, ColdTargetLimiter, Forecast, HealthChange, HealthSignal, NameTag, ObjectTag,
+        RoundTrips, SentCounter, SentTotals, ServiceEstimates, TargetHealth, TargetTag, Tuning,
+        name_tag,
     },
     prelude::*,
     quota::{PeerState, Quota, SharedBuckets, Verdict},
@@ -46,16 +47,16 @@
     pub settings: Arc<EntrySettings>,
     pub body_memory: BodyMemory,
     bounds: BoundsCell,
-    pub(super) cold_rates: RefCell<ColdRates>,
-    pub(super) conditions: RefCell<HashMap<u32, Condition>>,
-    pub(super) held_objects: RefCell<HeldObjects>,
+    pub(super) cold_rates: RefCell<ColdTargetLimiter>,
+    pub(super) conditions: RefCell<HashMap<u32, TargetHealth>>,
+    pub(super) held_objects: RefCell<CachedObjects>,
     /// Objects that this host lately asked targets for, and when.
     own_runs: RefCell<VecDeque<(Moment, TargetTag, ObjectTag)>>,
     /// The view whose runs were taken in last.
     peer_runs_applied_at: Cell<Moment>,
-    sent_window: RefCell<SentWindow>,
+    sent_window: RefCell<SentCounter>,
     /// What all hosts of the region sent, as of the last tick.
-    pub(super) region_sent: RefCell<RegionSent>,
+    pub(super) region_sent: RefCell<SentTotals>,
     /// Regions to which nothing more may be moved for now.
     pub(super) regions_at_shift_limit: RefCell<Vec<NameTag>>,
     pub(super) round_trips: RefCell<RoundTrips>,
@@ -220,10 +221,10 @@
 
     /// Usual time of an answer.
     pub fn mean_work(&self, service: &ServiceId) -> Duration {
-        self.services
-            .borrow()
-            .get(service)
-            .map_or_else(|| Learnt::default().work.mean(), |state| state.learnt.work.mean())
+        self.services.borrow().get(service).map_or_else(
+            || ServiceEstimates::default().work.mean(),
+            |state| state.learnt.work.mean(),
+        )
     }
 
     /// A request goes to a target; it counts as in attempt until the guard is dropped.
@@ -235,14 +236,14 @@
     ) -> InFlight {
         let now = self.clock.now();
         if let Some(object) = forecast.object {
-            self.held_objects.borrow_mut().touched(target.tag, object);
+            self.held_objects.borrow_mut().record_use(target.tag, object);
             self.own_runs.borrow_mut().push_back((now, target.tag, object));
         }
         if target.is_cold(now) {
-            self.cold_rates.borrow_mut().sent(target);
+            self.cold_rates.borrow_mut().take_token(target);
         }
         let (service, region) = (name_tag(&target.entry.service), name_tag(&target.region));
-        self.sent_window.borrow_mut().sent(service, region, now);
+        self.sent_window.borrow_mut().record(service, region, now);
         self.conditions.borrow_mut().entry(target.tag).or_default().in_flight += 1;
         self.running_fingerprints.borrow_mut().entry(target.tag).or_default().push(fingerprint);
         InFlight { state: self.clone(), forecast, fingerprint, started: now, tag: target.tag }
@@ -250,7 +251,7 @@
 
     /// A connection to a target came about.
     pub fn record_connect(&self, target: &KnownTarget, took: Duration) {
-        self.round_trips.borrow_mut().connected(&target.region, took);
+        self.round_trips.borrow_mut().record(&target.region, took);
     }
 
     /// An attempt ended.
@@ -259,30 +260,30 @@
         target: &KnownTarget,
         service: &ServiceId,
         forecast: &Forecast,
-        ended: Ended,
+        ended: HealthSignal,
     ) {
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
         let state = services.entry(service.clone()).or_default();
         let mut conditions = self.conditions.borrow_mut();
         let condition = conditions.entry(target.tag).or_default();
-        let may_learn = condition.stretch(now) < MAX_LEARNING_STRETCH;
-        let usual = state.learnt.usual(forecast);
-        let change = condition.ended(ended, usual, now);
-        if let Ended::Answered(took) = ended
-            && forecast.finds_slot
+        let may_learn = condition.slowdown(now) < MAX_LEARNING_STRETCH;
+        let usual = state.learnt.expected_time(forecast);
+        let change = condition.record_attempt(ended, usual, now);
+        if let HealthSignal::Answered(took) = ended
+            && forecast.has_free_slot
         {
-            condition.ran(took, usual, now);
+            condition.record_run(took, usual, now);
         }
         if let Some(change) = change {
             self.events.record(None, condition_event(target, ended, change));
         }
-        if let Ended::Answered(took) = ended
+        if let HealthSignal::Answered(took) = ended
             && may_learn
         {
-            state.learnt.answered(forecast, took, self.tuning.learn_keeps);
+            state.learnt.record_answer(forecast, took, self.tuning.learn_cache_capacity);
         }
-        if ended == Ended::Unreachable {
+        if ended == HealthSignal::Unreachable {
             self.pool.borrow_mut().close_idle(target.tag);
         }
     }
@@ -320,7 +321,7 @@
                     &target,
                     &service,
                     &Forecast::default(),
-                    Ended::Unreachable,
+                    HealthSignal::Unreachable,
                 );
             }
         });
@@ -338,13 +339,13 @@
 
     /// Takes in what other hosts told of the objects that they asked targets for.
     fn apply_peer_runs(&self, view: &View) {
-        if view.at <= self.peer_runs_applied_at.get() || !self.tuning.told_runs {
+        if view.at <= self.peer_runs_applied_at.get() || !self.tuning.use_reported_runs {
             return;
         }
         self.peer_runs_applied_at.set(view.at);
         let mut held = self.held_objects.borrow_mut();
         for (target, object) in &view.runs {
-            held.touched(*target, *object);
+            held.record_use(*target, *object);
         }
     }
 
@@ -352,7 +353,7 @@
     pub fn tick(&self) {
         let now = self.clock.now();
         let Some(view) = self.view() else { return };
-        self.cold_rates.borrow_mut().tick(now);
+        self.cold_rates.borrow_mut().remove_idle(now);
         self.apply_peer_runs(&view);
         self.update_quota(&view);
         self.own_runs.borrow_mut().retain(|(at, _, _)| now < *at + RUN_REPORT_PERIOD);
@@ -388,7 +389,7 @@
     fn update_region_sent(&self, view: &View, now: Moment) {
         let mut sent = view.sent.clone();
         sent.add(&self.sent_window.borrow_mut().counts(now));
-        *self.regions_at_shift_limit.borrow_mut() = sent.held(self.bounds().max_shift);
+        *self.regions_at_shift_limit.borrow_mut() = sent.capped_regions(self.bounds().max_shift);
         *self.region_sent.borrow_mut() = sent;
     }
 
@@ -415,7 +416,7 @@
     pub fn load(&self) -> Load {
         let conditions = self.conditions.borrow();
         let busy = conditions.iter().filter(|(_, condition)| 0 < condition.in_flight);
-        let running = busy
+        let in_flight = busy
             .map(|(tag, condition)| (*tag, condition.in_flight.min(u32::from(u16::MAX)) as u16))
             .collect();
         let services = self.services.borrow();
@@ -426,12 +427,11 @@
         let sent = self.sent_window.borrow_mut().counts(now);
         let view = self.view();
         let reported = |tag| view.as_ref().and_then(|view| view.slow.get(tag).copied());
-        let slow = conditions
-            .iter()
-            .filter_map(|(tag, it)| Some((*tag, it.slowness(reported(tag), now)?)));
+        let slow =
+            conditions.iter().filter_map(|(tag, it)| Some((*tag, it.report(reported(tag), now)?)));
         let slow = slow.collect();
         let teams = self.quota.borrow().report(now);
-        Load { crashes, demand, running, runs: self.recent_runs(), sent, slow, teams }
+        Load { crashes, demand, in_flight, recent_objects: self.recent_runs(), sent, slow, teams }
     }
 }
 
@@ -449,13 +449,13 @@
 }
 
 /// The event of a target's pause, or of its end.
-fn condition_event(target: &KnownTarget, ended: Ended, change: ConditionChange) -> Event {
+fn condition_event(target: &KnownTarget, ended: HealthSignal, change: HealthChange) -> Event {
     let target = target.entry.id.clone();
     match change {
-        ConditionChange::Trusted => Event::TargetTrusted { target },
-        ConditionChange::Paused { failures, pause } => {
+        HealthChange::Recovered => Event::TargetTrusted { target },
+        HealthChange::Paused { failures, pause } => {
             let reason = match ended {
-                Ended::Unreachable => PauseReason::Unreachable,
+                HealthSignal::Unreachable => PauseReason::Unreachable,
                 _ => PauseReason::Failing,
             };
             Event::TargetPaused { failures, pause_ms: pause.as_millis() as u64, reason, target }
