--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    placement::{Counts, NameTag, ObjectTag, Slowness, TargetTag, Way},
+    placement::{NameTag, ObjectTag, ServiceRegion, SlowdownReport, TargetTag, WindowCounts},
     prelude::*,
     quota::TeamCounts,
 };
@@ -27,9 +27,9 @@
     pub recent_objects: Vec<(TargetTag, ObjectTag)>,
     /// Requests sent in the latest traffic-shift window and in the one before, by service and
     /// region.
-    pub sent: Vec<(Way, Counts)>,
+    pub sent: Vec<(ServiceRegion, WindowCounts)>,
     /// Targets that respond more slowly than expected.
-    pub slow: Vec<(TargetTag, Slowness)>,
+    pub slow: Vec<(TargetTag, SlowdownReport)>,
     /// Arrived and admitted requests of teams with a limit, by hash of the team.
     pub teams: Vec<(NameTag, TeamCounts)>,
 }
@@ -50,7 +50,7 @@
             sent: sum_by_key(loads.clone().flat_map(|load| &load.sent), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
-            slow: sum_by_key(loads.clone().flat_map(|load| &load.slow), Slowness::and),
+            slow: sum_by_key(loads.clone().flat_map(|load| &load.slow), SlowdownReport::merge),
             teams: sum_by_key(loads.flat_map(|load| &load.teams), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
