--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -11,7 +11,7 @@
 use crate::{
     base::BootClock,
     cmd::{Exit, Result},
-    entry::{EntryHost, EntryParts, EntrySettings, Look, SettingsFile, reloaded},
+    entry::{EntryHost, EntryParts, EntrySettings, SettingsChange, SettingsFile, reload_event},
     event_log::{Event, EventLog, EventSink, ReloadEnd, start_bridge},
     platform::{ObjectStore, PlatformProtocol, SETTINGS_VARIABLE},
     prelude::*,
@@ -87,17 +87,19 @@
     events: &dyn EventSink,
     told: bool,
 ) {
-    match file.look() {
-        Look::Changed(settings) => {
+    match file.check() {
+        SettingsChange::Changed(settings) => {
             let fixed = settings.fixed_changes(started);
             host.reload(*settings).await;
-            events.record(None, reloaded(ReloadEnd::InForce, &fixed));
+            events.record(None, reload_event(ReloadEnd::InForce, &fixed));
         }
-        Look::Unreadable(problem) => {
+        SettingsChange::Unreadable(problem) => {
             let event = Event::Reloaded { end: ReloadEnd::Refused, detail: problem.into() };
             events.record(None, event);
         }
-        Look::Unchanged if told => events.record(None, reloaded(ReloadEnd::Unchanged, &[])),
-        Look::Unchanged => {}
+        SettingsChange::Unchanged if told => {
+            events.record(None, reload_event(ReloadEnd::Unchanged, &[]))
+        }
+        SettingsChange::Unchanged => {}
     }
 }
--- a/src/entry/access.rs
+++ b/src/entry/access.rs
@@ -4,7 +4,7 @@
 //! An unknown key may then be a new one, so it is rejected permanently only if the declaration was
 //! confirmed recently; otherwise the caller is asked to retry.
 
-use super::{Bounds, CallerKey, Declared, Route, Team};
+use super::{Bounds, CallerKey, Declaration, Route, Team};
 use crate::prelude::*;
 
 /// Maximum age of the declaration at which an unknown key is rejected permanently. A silent watch of
@@ -28,7 +28,7 @@
     ///
     /// A public route needs no key, but a known key still identifies the team.
     pub fn check(
-        declared: &Declared,
+        declared: &Declaration,
         route: &Route,
         key: &CallerKey,
         age: Option<Duration>,
--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -12,7 +12,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 
-use super::{CallerNote, KnownTarget, TrafficState, traffic_state::InFlight, upstream::Line};
+use super::{CallerMetadata, KnownTarget, TrafficState, traffic_state::InFlight, upstream::Line};
 use crate::{
     base::Ran,
     event_log::{Event, RequestKey},
@@ -122,7 +122,7 @@
 /// and never will; 502 and 504 promise nothing.
 pub fn own(
     state: &TrafficState,
-    note: &CallerNote,
+    note: &CallerMetadata,
     kind: ErrorKind,
     come_back: Option<Duration>,
 ) -> Answer {
@@ -140,7 +140,7 @@
     let mut answer = Response::new(AnswerBody::Whole(Full::new(body)));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = answer.headers_mut();
-    state.protocol.mark_own(headers, note);
+    state.protocol.add_own_response_headers(headers, note);
     if let Some(span) = come_back
         && matches!(status, 429 | 503)
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64()))
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    CallerNote, KnownTarget, ReplyNote, Team, TrafficState,
+    CallerMetadata, KnownTarget, ReplyMetadata, Team, TrafficState,
     answer::{Answer, AnswerBody, Relay, RelayEnd, strip},
     bodies::HeldBody,
     traffic_state::InFlight,
@@ -47,7 +47,7 @@
     pub head: Parts,
     /// Names it in the log.
     pub key: RequestKey,
-    pub note: CallerNote,
+    pub note: CallerMetadata,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
 }
@@ -95,11 +95,11 @@
         Err(error) => return guard.unsent(&error),
     };
     guard.first_byte = Some(guard.took());
-    let note = state.protocol.reply(answer.status(), answer.headers());
-    if note.not_run || note.other_target {
+    let note = state.protocol.reply_metadata(answer.status(), answer.headers());
+    if note.not_run || note.wrong_target {
         return guard.refused(&note, answer, line).await;
     }
-    let strange = note.attempt != request.note.attempt;
+    let strange = note.attempt_id != request.note.attempt_id;
     if strange || (answer.status().is_success() && !note.signed) {
         // An answer to an earlier request, or one that no target gave. Whatever comes on this
         // connection next can't be told from it, so the connection is closed.
@@ -133,7 +133,7 @@
     headers.remove(header::EXPECT);
     let left = request.deadline.saturating_sub(state.clock.now());
     let team = request.team.as_ref().map(|team| &team.name);
-    state.protocol.mark(headers, &target.entry.id, team, left);
+    state.protocol.add_target_headers(headers, &target.entry.id, team, left);
     req
 }
 
@@ -208,11 +208,11 @@
 
     async fn refused(
         &mut self,
-        note: &ReplyNote,
+        note: &ReplyMetadata,
         answer: Response<Incoming>,
         line: Line,
     ) -> AttemptOutcome {
-        if note.other_target {
+        if note.wrong_target {
             // The address has a new owner: the entry is out of date.
             self.ended(Ended::Unreachable, AttemptEnd::WrongTarget, "another target is there");
             return AttemptOutcome::NotRun(ErrorKind::NoTarget);
@@ -228,7 +228,7 @@
 
     async fn take(
         &mut self,
-        note: ReplyNote,
+        note: ReplyMetadata,
         answer: Response<Incoming>,
         line: Line,
         running: InFlight,
--- a/src/entry/caller_io.rs
+++ b/src/entry/caller_io.rs
@@ -21,10 +21,10 @@
 };
 
 /// Most bytes that are read ahead; a caller that sends more is read on when its turn comes.
-const AHEAD: usize = 64 * 1024;
+const MAX_READ_AHEAD: usize = 64 * 1024;
 
 /// Bytes that one read asks for.
-const CHUNK: usize = 4 * 1024;
+const READ_CHUNK: usize = 4 * 1024;
 
 /// The connection, as the HTTP library reads and writes it.
 pub struct CallerIo {
@@ -41,11 +41,11 @@
 }
 
 struct Shared {
-    ahead: BytesMut,
-    ended: bool,
+    read_ahead: BytesMut,
+    is_closed: bool,
     /// Reads that brought something.
-    read: u64,
-    reader: Option<Waker>,
+    read_count: u64,
+    reader_waker: Option<Waker>,
     scanner: Scanner,
     stream: TcpStream,
 }
@@ -54,10 +54,10 @@
     /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> (Self, Disconnect) {
         let shared = Shared {
-            ahead: BytesMut::new(),
-            ended: false,
-            read: 0,
-            reader: None,
+            read_ahead: BytesMut::new(),
+            is_closed: false,
+            read_count: 0,
+            reader_waker: None,
             scanner: Scanner::default(),
             stream,
         };
@@ -68,7 +68,7 @@
 
 impl Disconnect {
     /// For a task that is ended when the caller leaves.
-    pub fn assumed() -> Self {
+    pub fn never() -> Self {
         Self { shared: None }
     }
 
@@ -81,64 +81,64 @@
     }
 
     /// Ends when more has arrived, or the caller has left.
-    pub async fn more(&self) {
+    pub async fn data_arrived(&self) {
         let Some(shared) = &self.shared else { return std::future::pending().await };
-        let before = shared.borrow().read;
-        std::future::poll_fn(|cx| shared.borrow_mut().poll_more(before, cx)).await;
+        let before = shared.borrow().read_count;
+        std::future::poll_fn(|cx| shared.borrow_mut().poll_data(before, cx)).await;
     }
 
     /// Whether the caller has closed the connection, or it broke.
-    pub fn is_gone(&self) -> bool {
-        self.shared.as_ref().is_some_and(|shared| shared.borrow().ended)
+    pub fn is_closed(&self) -> bool {
+        self.shared.as_ref().is_some_and(|shared| shared.borrow().is_closed)
     }
 
     /// Ends when the caller has closed the connection, or it broke.
-    pub async fn gone(&self) {
+    pub async fn closed(&self) {
         let Some(shared) = &self.shared else { return std::future::pending().await };
-        std::future::poll_fn(|cx| shared.borrow_mut().poll_gone(cx)).await;
+        std::future::poll_fn(|cx| shared.borrow_mut().poll_closed(cx)).await;
     }
 }
 
 impl Shared {
-    fn poll_more(&mut self, before: u64, cx: &mut Context<'_>) -> Poll<()> {
-        while self.read == before && !self.ended {
-            ready!(self.poll_ahead(cx));
+    fn poll_data(&mut self, before: u64, cx: &mut Context<'_>) -> Poll<()> {
+        while self.read_count == before && !self.is_closed {
+            ready!(self.poll_read_ahead(cx));
         }
         Poll::Ready(())
     }
 
-    fn poll_gone(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        while !self.ended {
-            ready!(self.poll_ahead(cx));
+    fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        while !self.is_closed {
+            ready!(self.poll_read_ahead(cx));
         }
         Poll::Ready(())
     }
 
     /// Reads once, if there is room.
-    fn poll_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        if AHEAD <= self.ahead.len() {
+    fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        if MAX_READ_AHEAD <= self.read_ahead.len() {
             return Poll::Pending;
         }
         if let Err(error) = ready!(self.fill(cx)) {
             log::debug!("caller's connection: {error}");
-            self.ended = true;
+            self.is_closed = true;
         }
-        if let Some(reader) = self.reader.take() {
+        if let Some(reader) = self.reader_waker.take() {
             reader.wake();
         }
         Poll::Ready(())
     }
 
     fn fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut space = [0; CHUNK];
+        let mut space = [0; READ_CHUNK];
         let mut buf = ReadBuf::new(&mut space);
         ready!(Pin::new(&mut self.stream).poll_read(cx, &mut buf))?;
         if buf.filled().is_empty() {
-            self.ended = true;
+            self.is_closed = true;
         }
-        self.ahead.extend_from_slice(buf.filled());
+        self.read_ahead.extend_from_slice(buf.filled());
         self.scanner.feed(buf.filled());
-        self.read += 1;
+        self.read_count += 1;
         Poll::Ready(Ok(()))
     }
 }
@@ -150,16 +150,16 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut shared = self.shared.borrow_mut();
-        if shared.ahead.is_empty() && !shared.ended {
-            shared.reader = Some(cx.waker().clone());
+        if shared.read_ahead.is_empty() && !shared.is_closed {
+            shared.reader_waker = Some(cx.waker().clone());
             ready!(shared.fill(cx))?;
         }
-        let count = shared.ahead.len().min(buf.remaining());
-        buf.put_slice(&shared.ahead[..count]);
-        shared.ahead.advance(count);
-        if shared.ahead.is_empty() {
+        let count = shared.read_ahead.len().min(buf.remaining());
+        buf.put_slice(&shared.read_ahead[..count]);
+        shared.read_ahead.advance(count);
+        if shared.read_ahead.is_empty() {
             // An idle connection keeps no buffer.
-            shared.ahead = BytesMut::new();
+            shared.read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
     }
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -20,11 +20,11 @@
 
 use self::peering::{LIST_HOSTS_FIRST, REGISTER_FIRST};
 use super::{
-    EntrySettings, KnownState, LiveHost, Part, Protocol, View, ViewCell,
-    questions::Questions,
+    EntrySettings, KnownState, LiveHost, Protocol, StorePart, View, ViewCell,
+    peer_queries::PeerQueries,
     records::Records,
-    sync::{AnswerCache, PeerClient, RawObjects},
-    watchers::WatcherElection,
+    sync::{PeerClient, RawObjects, ResponseCache},
+    watcher_election::WatcherElection,
 };
 use crate::{
     event_log::{Event, EventSink, WatchReason},
@@ -84,15 +84,15 @@
     known_state: KnownState,
     /// When the store last confirmed to this host that its declaration is the latest.
     declared_checked_at: Option<Moment>,
-    answer_cache: AnswerCache,
+    response_cache: ResponseCache,
     register_at: Option<Moment>,
     /// The tasks that follow the store, while this host watches.
     followers: Vec<FollowTask>,
     leaving: bool,
     /// Parts of the store that do not answer, and since when.
-    lost_parts: BTreeMap<Part, Moment>,
+    lost_parts: BTreeMap<StorePart, Moment>,
     parts: ControlParts,
-    questions: Questions,
+    questions: PeerQueries,
     raw: RawObjects,
     records: Records,
     list_hosts_at: Moment,
@@ -123,12 +123,12 @@
             peer_client,
             known_state: KnownState::default(),
             declared_checked_at: None,
-            answer_cache: AnswerCache::default(),
+            response_cache: ResponseCache::default(),
             register_at: Some(now + REGISTER_FIRST),
             followers: Vec::new(),
             leaving: false,
             lost_parts: BTreeMap::new(),
-            questions: Questions::new(parts.settings.listen.control),
+            questions: PeerQueries::new(parts.settings.listen.control),
             raw: BTreeMap::new(),
             records: Records::default(),
             list_hosts_at: now + LIST_HOSTS_FIRST,
@@ -153,9 +153,10 @@
         let now = self.now();
         let settings = &self.parts.settings;
         let declared = self.known_state.declared().cloned();
-        let targets = self.known_state.usable().clone();
+        let targets = self.known_state.usable_targets().clone();
         let declared_checked_at = self.latest_declared_check(now);
-        let mut view = View { at: now, declared, declared_checked_at, targets, ..View::default() };
+        let mut view =
+            View { published_at: now, declared, declared_checked_at, targets, ..View::default() };
         if !self.leaving {
             view.hosts.push(LiveHost {
                 callers: settings.listen.callers,
@@ -168,11 +169,11 @@
         let mut demand: HashMap<(RegionId, u32), f64> = HashMap::new();
         for (region, load) in self.fleet.loads(now) {
             for (tag, count) in &load.running {
-                *view.elsewhere.entry(*tag).or_default() += u32::from(*count);
+                *view.in_flight_elsewhere.entry(*tag).or_default() += u32::from(*count);
             }
-            view.runs.extend(&load.runs);
+            view.recent_objects.extend(&load.runs);
             for (tag, slowness) in &load.slow {
-                let sum = view.slow.entry(*tag).or_default();
+                let sum = view.slow_targets.entry(*tag).or_default();
                 *sum = sum.and(*slowness);
             }
             if *region == settings.region {
@@ -243,7 +244,7 @@
         let unanswered = self.questions.is_unanswered(now);
         let wanted =
             self.election.decide(&settings.host, &settings.region, peers, now) || unanswered;
-        let settle = match self.election.is_second() && !unanswered {
+        let settle = match self.election.is_standby() && !unanswered {
             true => SECOND_SETTLE,
             false => PACE.settle,
         };
@@ -258,11 +259,11 @@
         }
         let reason = if unanswered { WatchReason::Unanswered } else { WatchReason::Elected };
         self.record(Event::WatchBegun { reason });
-        let keys = self.parts.protocol.keys();
+        let keys = self.parts.protocol.store_prefixes();
         for (part, prefix) in [
-            (Part::Declared, keys.declared),
-            (Part::Targets, keys.targets),
-            (Part::Evacuations, keys.evacuations),
+            (StorePart::Declared, keys.declared),
+            (StorePart::Targets, keys.targets),
+            (StorePart::Evacuations, keys.evacuations),
         ] {
             let (store, clock) = (self.parts.store.clone(), self.parts.clock.clone());
             // What is known already must not be replaced by what was so some seconds ago.
@@ -303,7 +304,11 @@
 }
 
 /// Passes on what the store tells of one part.
-async fn pass_on(part: Part, mut rx: mpsc::Receiver<Followed>, control: WeakAddress<EntryControl>) {
+async fn pass_on(
+    part: StorePart,
+    mut rx: mpsc::Receiver<Followed>,
+    control: WeakAddress<EntryControl>,
+) {
     while let Some(told) = rx.recv().await {
         if control.send(StoreUpdate(part, told)).await.is_err() {
             return;
--- a/src/entry/control/handlers.rs
+++ b/src/entry/control/handlers.rs
@@ -10,7 +10,7 @@
     StoreUpdate, Tick, gossip_seeds, peering::REGISTER_PAUSE,
 };
 use crate::{
-    entry::{EntrySettings, questions::QuestionEnd},
+    entry::{EntrySettings, peer_queries::QueryOutcome},
     event_log::{Event, Source},
     fleet::Message,
     prelude::*,
@@ -59,7 +59,7 @@
     async fn handle(&mut self, Tick { due }: Tick, cx: &mut xtra::Context<Self>) {
         let now = self.now();
         self.parts.metrics.control_waited(now.saturating_sub(due));
-        for target in self.known_state.tick(now) {
+        for target in self.known_state.expire_lapsed(now) {
             self.target_gone(target, Source::Listing);
         }
         for peer in self.fleet.lost(now) {
@@ -109,9 +109,9 @@
         _: &mut xtra::Context<Self>,
     ) -> Self::Return {
         let known = self.known_state.revisions();
-        let before = self.answer_cache.packed_bytes();
-        let answer = self.answer_cache.packed(&self.raw, known, since);
-        self.parts.metrics.state_answered(self.answer_cache.packed_bytes() - before);
+        let before = self.response_cache.compressed_bytes();
+        let answer = self.response_cache.response(&self.raw, known, since);
+        self.parts.metrics.state_answered(self.response_cache.compressed_bytes() - before);
         answer
     }
 }
@@ -125,7 +125,7 @@
         cx: &mut xtra::Context<Self>,
     ) {
         let now = self.now();
-        self.questions.ended(addr, QuestionEnd::of(&received), now);
+        self.questions.record_outcome(addr, QueryOutcome::of(&received), now);
         let Ok(received) = received else {
             let own = cx.mailbox().address();
             self.watch(&own);
@@ -133,13 +133,13 @@
         };
         self.told_at = now;
         let mine = self.known_state.revisions();
-        for difference in &received.difference.parts {
+        for difference in &received.diff.parts {
             let (part, revision) = (difference.part, difference.revision);
             if mine.of(part) < revision {
-                let objects = difference.applied(&self.raw);
+                let objects = difference.apply_to(&self.raw);
                 self.listed(part, objects, Source::Host);
-                self.known_state.saw(part, revision);
-                self.answer_cache.cache_received(&received, part, &self.raw, since);
+                self.known_state.record_revision(part, revision);
+                self.response_cache.cache_received(&received, part, &self.raw, since);
             }
         }
         self.publish();
--- a/src/entry/control/messages.rs
+++ b/src/entry/control/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     entry::{
-        EntrySettings, Part, Revisions,
+        EntrySettings, Revisions, StorePart,
         records::HostRecord,
         sync::{self, ReceivedState},
     },
@@ -11,7 +11,7 @@
 };
 
 /// News from the store.
-pub struct StoreUpdate(pub Part, pub Followed);
+pub struct StoreUpdate(pub StorePart, pub Followed);
 
 /// A datagram from another host.
 pub struct Datagram(pub Vec<u8>);
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -6,7 +6,7 @@
 
 use super::{EntryControl, HEARTBEAT, HostsListed, Registered, StateAnswer, wall_ms};
 use crate::{
-    entry::{Protocol, questions::QuestionEnd, records::HostRecord},
+    entry::{Protocol, peer_queries::QueryOutcome, records::HostRecord},
     event_log::Event,
     fleet::{Load, Outgoing, OwnState},
     prelude::*,
@@ -79,14 +79,16 @@
         let region = &self.parts.settings.region;
         let watches = !self.followers.is_empty();
         let informed = self.fleet.informed(now);
-        let Some(addr) = self.questions.next(&mine, informed, region, watches, now) else { return };
+        let Some(addr) = self.questions.next_peer(&mine, informed, region, watches, now) else {
+            return;
+        };
         let (peer_client, own) = (self.peer_client.clone(), own.clone());
         let (events, metrics) = (self.parts.events.clone(), self.parts.metrics.clone());
         let clock = self.parts.clock.clone();
         tokio::spawn(async move {
             let since = mine.revisions;
-            let answer = peer_client.ask(addr, since).await;
-            let end = QuestionEnd::of(&answer);
+            let answer = peer_client.query(addr, since).await;
+            let end = QueryOutcome::of(&answer);
             metrics.queried(clock.now().saturating_sub(now), end.name());
             if let Err(error) = &answer {
                 let reason = error.to_string().into();
@@ -99,7 +101,7 @@
     /// Writes this host's record, or reads all.
     pub(super) fn register(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
-        let keys = self.parts.protocol.keys();
+        let keys = self.parts.protocol.store_prefixes();
         let store = self.parts.store.clone();
         if RECORDED_HOSTS <= self.fleet.place(now) {
             return;
@@ -107,7 +109,7 @@
         if self.register_at.is_some_and(|at| at <= now) {
             self.register_at = Some(now + REGISTER_PAUSE * 4);
             let key = format!("{}{}", keys.hosts, self.parts.settings.host);
-            let value = self.parts.protocol.host_object(self.parts.settings.listen.gossip);
+            let value = self.parts.protocol.encode_host(self.parts.settings.listen.gossip);
             let own = own.clone();
             let store = store.clone();
             tokio::spawn(async move {
@@ -164,7 +166,7 @@
 }
 
 fn record(protocol: &dyn Protocol, entry: &Entry) -> Option<HostRecord> {
-    match protocol.host(&entry.object.value) {
+    match protocol.decode_host(&entry.object.value) {
         Ok(gossip) => {
             Some(HostRecord { gossip, key: entry.key.clone(), version: entry.object.version })
         }
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::{
-    Access, CallerKey, Declared, Repeat, Route, TrafficState, View,
+    Access, CallerKey, Declaration, Idempotency, Route, TrafficState, View,
     answer::{Answer, own},
     attempt::{AttemptOutcome, OutboundRequest, send_attempt},
     bodies::HeldBody,
@@ -73,8 +73,8 @@
 ) -> Option<Answer> {
     let since = state.clock.now();
     let (mut head, body) = req.into_parts();
-    let note = state.protocol.caller(&head.headers);
-    let key = state.key(note.attempt.as_ref());
+    let note = state.protocol.caller_metadata(&head.headers);
+    let key = state.key(note.attempt_id.as_ref());
     let version = Cell::new(0);
     let team_name: RefCell<Option<TeamId>> = RefCell::default();
     let refuse = |kind: ErrorKind, come_back: Option<Duration>| {
@@ -109,7 +109,7 @@
     }
     let body = tokio::select! {
         body = read(&state, &declared, body) => body,
-        () = disconnect.gone() => return None,
+        () = disconnect.closed() => return None,
     };
     let (body, held) = match body {
         Ok(read) => read,
@@ -142,7 +142,7 @@
         body_bytes: body.len(),
         declaration: declared.version,
         fingerprint,
-        idempotent: route.repeat == Repeat::Idempotent,
+        idempotent: route.idempotency == Idempotency::Idempotent,
         left_ms: wait.as_millis() as u64,
         route: route.key.clone(),
         service: service.clone(),
@@ -170,7 +170,7 @@
 pub fn may_start_ahead(state: &TrafficState, head: &Parts) -> bool {
     let declared = state.view().and_then(|view| view.declared.clone());
     let route = declared.and_then(|declared| route(&declared, head));
-    route.is_some_and(|route| route.repeat == Repeat::Idempotent)
+    route.is_some_and(|route| route.idempotency == Idempotency::Idempotent)
 }
 
 fn access(state: &TrafficState, view: &View, route: &Route, key: &CallerKey) -> Access {
@@ -179,7 +179,7 @@
     Access::check(declared, route, key, age, &state.bounds())
 }
 
-fn route(declared: &Declared, head: &Parts) -> Option<Arc<Route>> {
+fn route(declared: &Declaration, head: &Parts) -> Option<Arc<Route>> {
     declared.route(host_of(head)?, head.uri.path()).cloned()
 }
 
@@ -213,7 +213,7 @@
     async fn run(mut self, disconnect: Disconnect) -> Option<Answer> {
         let mut attempts = Attempts::new();
         let mut progress = CallProgress::default();
-        let mut may_hedge = self.route.repeat == Repeat::Idempotent;
+        let mut may_hedge = self.route.idempotency == Idempotency::Idempotent;
         let usual = self.state.work(&self.request.service);
         let hedge_after = usual.mul_f64(HEDGE_AFTER).max(HEDGE_LEAST);
         let mut hedge_at = self.state.clock.now() + hedge_after;
@@ -237,11 +237,11 @@
                         return Some(self.log.answered(answer, outcome));
                     }
                     // What may have run once may not be sent again.
-                    if progress.maybe_ran && self.route.repeat == Repeat::Once {
+                    if progress.maybe_ran && self.route.idempotency == Idempotency::NonIdempotent {
                         return Some(self.give_up(progress));
                     }
                 }
-                () = disconnect.gone() => return None,
+                () = disconnect.closed() => return None,
                 () = tokio::time::sleep(wake.saturating_sub(now)) => {
                     if self.request.deadline <= self.state.clock.now() {
                         progress.maybe_ran = true;
@@ -258,7 +258,7 @@
 
     /// Starts one more attempt, if the route, the retry budget and the targets allow it.
     fn launch(&mut self, progress: &mut CallProgress, reason: AttemptReason) -> Option<Attempt> {
-        if self.route.attempts.max(1) <= progress.sent {
+        if self.route.max_attempts.max(1) <= progress.sent {
             return self.denied(progress, "attempts of the route");
         }
         if UNREACHED_MOST <= progress.unreached {
@@ -391,7 +391,7 @@
 /// The whole body, within the declared bound and that of all bodies together.
 async fn read(
     state: &TrafficState,
-    declared: &Declared,
+    declared: &Declaration,
     body: Body,
 ) -> Result<(Bytes, HeldBody), ErrorKind> {
     let mut held = state.bodies.hold();
@@ -401,7 +401,7 @@
         let frame = frame.map_err(|_| ErrorKind::BadRequest)?;
         // Trailers concern one connection only.
         let Ok(bytes) = frame.into_data() else { continue };
-        if declared.body_bytes < whole.len() + bytes.len() {
+        if declared.max_body_bytes < whole.len() + bytes.len() {
             return Err(ErrorKind::BodyTooLarge);
         }
         if !held.grow(bytes.len()) {
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -22,8 +22,8 @@
     EntryControl, EntrySettings, Listen, Protocol, TrafficState, ViewCell,
     control::{ControlParts, Datagram, HEARTBEAT, Leave, Reload, StateQuery, Tick},
     serve::{accept, callers, look_up, ready, small, status},
-    strain::Strain,
-    sync::{ANSWERS_MOST, PeerClient, QUERY_TIMEOUT, STATE_PATH, since},
+    strain::StrainDetector,
+    sync::{MAX_CONCURRENT_RESPONSES, PeerClient, QUERY_TIMEOUT, STATE_PATH, parse_revisions},
     traffic_state::BoundsCell,
 };
 use crate::{
@@ -35,20 +35,20 @@
 };
 
 /// Time between two updates of the traffic side's figures.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Least time between the signal to stop and the end: callers hear of it by look-ups meanwhile.
-const LEAVE_LEAST: Duration = Duration::from_millis(2_500);
+const MIN_STOP_TIME: Duration = Duration::from_millis(2_500);
 
 /// Time kept between the end of the process and the moment at which it would be killed.
-const LEAVE_MARGIN: Duration = Duration::from_millis(300);
+const KILL_MARGIN: Duration = Duration::from_millis(300);
 
 /// Path of the metrics, and the media type of their text.
 const METRICS_PATH: &str = "/metrics";
-const METRICS_FORM: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Largest datagram: what a zone runs at hundreds of targets goes in one.
-const DATAGRAM: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Result of opening a host.
 pub type Result<T> = std::result::Result<T, OpenError>;
@@ -91,7 +91,7 @@
         let mut settings = parts.settings;
         let listen = &mut settings.listen;
         let gossip = UdpSocket::bind(listen.gossip);
-        let socket = gossip.await.map_err(|error| bind("gossip", listen.gossip, error))?;
+        let socket = gossip.await.map_err(|error| bind_error("gossip", listen.gossip, error))?;
         listen.gossip = socket.local_addr()?;
         let socket = Arc::new(socket);
         let state = listener("control", &mut listen.control).await?;
@@ -125,7 +125,7 @@
             view: view.clone(),
         };
         let control = EntryControl::spawn(control, PeerClient::open()?);
-        tokio::task::spawn_local(hear(socket, control.clone()));
+        tokio::task::spawn_local(receive_datagrams(socket, control.clone()));
         tokio::task::spawn_local(tick_control(parts.clock.clone(), control.clone()));
         tokio::task::spawn_local(serve_state(state, control.clone()));
         if let Some(listener) = metrics_listener {
@@ -133,7 +133,7 @@
         }
         let (leave, leaving) = watch::channel(false);
         let (tx, stopped) = oneshot::channel();
-        let traffic = Traffic {
+        let traffic = TrafficThread {
             bounds: bounds.clone(),
             clock: parts.clock,
             events: events.clone(),
@@ -183,19 +183,19 @@
     }
 }
 
-fn bind(what: &'static str, addr: SocketAddr, error: std::io::Error) -> OpenError {
+fn bind_error(what: &'static str, addr: SocketAddr, error: std::io::Error) -> OpenError {
     OpenError::Bind { addr, error, what }
 }
 
 async fn listener(what: &'static str, addr: &mut SocketAddr) -> Result<TcpListener> {
-    let bound = TcpListener::bind(*addr).await.map_err(|error| bind(what, *addr, error))?;
+    let bound = TcpListener::bind(*addr).await.map_err(|error| bind_error(what, *addr, error))?;
     *addr = bound.local_addr()?;
     Ok(bound)
 }
 
 /// Passes datagrams on to control.
-async fn hear(socket: Arc<UdpSocket>, control: Address<EntryControl>) {
-    let mut buf = vec![0; DATAGRAM];
+async fn receive_datagrams(socket: Arc<UdpSocket>, control: Address<EntryControl>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((size, _)) => {
@@ -225,13 +225,13 @@
 
 /// Answers other hosts' queries for the store's state, up to a limit and only while they wait.
 async fn serve_state(listener: TcpListener, control: Address<EntryControl>) {
-    let permits = Arc::new(Semaphore::new(ANSWERS_MOST));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_RESPONSES));
     accept(listener, |stream| {
         let control = control.clone();
         let permit = permits.clone().try_acquire_owned().ok();
         async move {
             let answer = async |req| match &permit {
-                Some(_) => state(&control, req).await,
+                Some(_) => answer_state_query(&control, req).await,
                 None => status(StatusCode::SERVICE_UNAVAILABLE),
             };
             if tokio::time::timeout(QUERY_TIMEOUT, small(stream, answer)).await.is_err() {
@@ -242,16 +242,19 @@
     .await;
 }
 
-async fn state(control: &Address<EntryControl>, req: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn answer_state_query(
+    control: &Address<EntryControl>,
+    req: Request<Incoming>,
+) -> Response<Full<Bytes>> {
     if req.uri().path() != STATE_PATH {
         return status(StatusCode::NOT_FOUND);
     }
-    let told = control.send(StateQuery(since(req.uri().query()))).await;
-    let told = told.map_err(|error| error.to_string());
-    match told.and_then(|told| told.map_err(|error| error.to_string())) {
+    let answer = control.send(StateQuery(parse_revisions(req.uri().query()))).await;
+    let answer = answer.map_err(|error| error.to_string());
+    match answer.and_then(|answer| answer.map_err(|error| error.to_string())) {
         Ok(packed) => Response::new(Full::new(packed)),
         Err(error) => {
-            log::error!("this host's state can't be told: {error}");
+            log::error!("encoding this host's state failed: {error}");
             status(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
@@ -281,7 +284,7 @@
     match metrics.text(events.dropped()) {
         Ok(text) => {
             let mut answer = Response::new(Full::new(text.into()));
-            let form = HeaderValue::from_static(METRICS_FORM);
+            let form = HeaderValue::from_static(METRICS_MEDIA_TYPE);
             answer.headers_mut().insert(header::CONTENT_TYPE, form);
             answer
         }
@@ -300,7 +303,7 @@
 }
 
 /// What the traffic thread is built from.
-struct Traffic {
+struct TrafficThread {
     bounds: BoundsCell,
     clock: Arc<dyn Clock>,
     events: Arc<dyn EventSink>,
@@ -314,16 +317,16 @@
     view: ViewCell,
 }
 
-impl Traffic {
+impl TrafficThread {
     fn run(self) -> std::io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         runtime.block_on(LocalSet::new().run_until(self.serve()))
     }
 
     async fn serve(mut self) -> std::io::Result<()> {
-        let for_callers = TcpListener::from_std(self.listeners.callers)?;
-        let for_ready = TcpListener::from_std(self.listeners.ready)?;
-        let for_lookups = TcpListener::from_std(self.listeners.lookups)?;
+        let callers_listener = TcpListener::from_std(self.listeners.callers)?;
+        let ready_listener = TcpListener::from_std(self.listeners.ready)?;
+        let lookup_listener = TcpListener::from_std(self.listeners.lookups)?;
         let state = TrafficState::open(
             self.settings.clone(),
             self.bounds,
@@ -334,29 +337,33 @@
         );
         let leaving = self.leaving.clone();
         let at = state.clone();
-        tokio::task::spawn_local(accept(for_callers, move |stream| {
+        tokio::task::spawn_local(accept(callers_listener, move |stream| {
             callers(at.clone(), stream, leaving.clone())
         }));
         let at = state.clone();
-        tokio::task::spawn_local(accept(for_ready, move |stream| {
+        tokio::task::spawn_local(accept(ready_listener, move |stream| {
             let state = at.clone();
             async move { small(stream, async |req| ready(&state, &req)).await }
         }));
         let at = state.clone();
-        tokio::task::spawn_local(accept(for_lookups, move |stream| {
+        tokio::task::spawn_local(accept(lookup_listener, move |stream| {
             let state = at.clone();
             async move { small(stream, async |req| look_up(&state, &req)).await }
         }));
-        tokio::task::spawn_local(tick(state.clone(), self.load, self.metrics));
-        tokio::task::spawn_local(watch_strain(state.clone(), self.strained));
+        tokio::task::spawn_local(tick_traffic(state.clone(), self.load, self.metrics));
+        tokio::task::spawn_local(monitor_strain(state.clone(), self.strained));
         let _ = self.leaving.wait_for(|leaving| *leaving).await;
-        leave(&state).await;
+        wait_until_idle(&state).await;
         Ok(())
     }
 }
 
-async fn tick(state: Rc<TrafficState>, load: Arc<ArcSwap<Load>>, metrics: Arc<EntryMetrics>) {
-    let mut interval = tokio::time::interval(TICK);
+async fn tick_traffic(
+    state: Rc<TrafficState>,
+    load: Arc<ArcSwap<Load>>,
+    metrics: Arc<EntryMetrics>,
+) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     loop {
         interval.tick().await;
@@ -367,12 +374,12 @@
 }
 
 /// Sees by the delay of its own ticks whether the traffic thread gets enough of the processor.
-async fn watch_strain(state: Rc<TrafficState>, strained: Arc<AtomicBool>) {
-    let mut strain = Strain::default();
+async fn monitor_strain(state: Rc<TrafficState>, strained: Arc<AtomicBool>) {
+    let mut strain = StrainDetector::default();
     loop {
-        tokio::time::sleep(TICK).await;
-        if strain.ticked(TICK, state.clock.now()) {
-            let delay_ms = strain.delay().as_millis() as u64;
+        tokio::time::sleep(TICK_INTERVAL).await;
+        if strain.record_tick(TICK_INTERVAL, state.clock.now()) {
+            let delay_ms = strain.mean_delay().as_millis() as u64;
             let is_strained = strain.is_strained();
             strained.store(is_strained, Ordering::Relaxed);
             state.events.record(None, Event::StrainChanged { delay_ms, is_strained });
@@ -381,16 +388,16 @@
 }
 
 /// Waits until nothing is being served, or the process is about to be killed.
-async fn leave(state: &TrafficState) {
+async fn wait_until_idle(state: &TrafficState) {
     let since = state.clock.now();
     state.leaving.set(Some(since));
     let grace_ms = state.bounds().grace.as_millis() as u64;
     state.events.record(None, Event::Stopping { grace_ms, open: state.open.get() });
-    let last = since + state.bounds().grace.saturating_sub(LEAVE_MARGIN);
+    let last = since + state.bounds().grace.saturating_sub(KILL_MARGIN);
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let now = state.clock.now();
-        let idle = state.open.get() == 0 && LEAVE_LEAST <= now.saturating_sub(since);
+        let idle = state.open.get() == 0 && MIN_STOP_TIME <= now.saturating_sub(since);
         if idle || last <= now {
             let took_ms = now.saturating_sub(since).as_millis() as u64;
             let open = state.open.get();
--- a/src/entry/lookup.rs
+++ b/src/entry/lookup.rs
@@ -4,27 +4,27 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{LiveHost, protocol::LookupPlace};
+use super::{LiveHost, protocol::CallerLocation};
 use crate::prelude::*;
 
 /// Most addresses in one answer.
-const MOST: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// Addresses for a caller: the hosts of its region, or all where that has none. A caller chooses
 /// among them by chance, so that every host of a region gets the same part of its callers.
-pub fn addresses(hosts: &[LiveHost], place: &LookupPlace) -> Vec<SocketAddr> {
-    let near = |host: &&LiveHost| host.region == place.region;
+pub fn host_addresses(hosts: &[LiveHost], location: &CallerLocation) -> Vec<SocketAddr> {
+    let near = |host: &&LiveHost| host.region == location.region;
     let mut found: Vec<&LiveHost> = hosts.iter().filter(near).collect();
     if found.is_empty() {
         found = hosts.iter().collect();
     }
-    let at_ease = found.iter().filter(|host| !host.is_strained).count();
+    let unstrained = found.iter().filter(|host| !host.is_strained).count();
     // Where most hosts are strained the load itself is too much: the rest would only be next.
-    if found.len() <= at_ease * 2 {
+    if found.len() <= unstrained * 2 {
         found.retain(|host| !host.is_strained);
     }
-    if MOST < found.len() {
-        found = part_of(found, &place.zone);
+    if MAX_ADDRESSES < found.len() {
+        found = subset_for_zone(found, &location.zone);
     }
     found.into_iter().map(|host| host.callers).collect()
 }
@@ -32,12 +32,12 @@
 /// As many of the hosts as an answer names: each zone's callers get another part, so that all hosts
 /// are named to somebody, and the same ones each time, so that connections stay. The first ones for
 /// everybody would leave the others of a large region without callers.
-fn part_of<'a>(mut hosts: Vec<&'a LiveHost>, zone: &ZoneId) -> Vec<&'a LiveHost> {
+fn subset_for_zone<'a>(mut hosts: Vec<&'a LiveHost>, zone: &ZoneId) -> Vec<&'a LiveHost> {
     let zones: BTreeSet<&ZoneId> = hosts.iter().map(|host| &host.zone).collect();
-    let place = zones.iter().position(|it| *it == zone).unwrap_or_default();
-    let first = place * hosts.len() / zones.len().max(1);
+    let zone_index = zones.iter().position(|it| *it == zone).unwrap_or_default();
+    let first = zone_index * hosts.len() / zones.len().max(1);
     hosts.sort_by_key(|host| xxh3_64(host.host.as_bytes()));
     hosts.rotate_left(first);
-    hosts.truncate(MOST);
+    hosts.truncate(MAX_ADDRESSES);
     hosts
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -12,22 +12,22 @@
 mod caller_io;
 mod control;
 mod crash_suspects;
-mod declared;
+mod declaration;
 mod exchange;
 mod host;
 mod known_state;
 mod lookup;
-mod part;
+mod peer_queries;
 mod pipeline;
 mod place;
 mod protocol;
-mod questions;
 mod records;
 mod request_log;
 mod serve;
 mod service_state;
 mod settings;
 mod settings_file;
+mod store_part;
 mod strain;
 mod sync;
 mod target;
@@ -37,20 +37,22 @@
 mod traffic_state;
 mod upstream;
 mod view;
-mod watchers;
+mod watcher_election;
 
 pub use self::{
     access::Access,
     control::EntryControl,
     crash_suspects::CrashSuspects,
-    declared::{Declared, DeclaredVersion, Repeat, Route, ServiceRules},
+    declaration::{Declaration, DeclarationVersion, Idempotency, Route, ServiceRules},
     host::{EntryHost, EntryParts, OpenError},
     known_state::{KnownState, Revisions, Stamp, UsableTargets},
-    part::Part,
     place::{Placement, PlacementRequest, Search},
-    protocol::{CallerNote, LookupPlace, Protocol, ReplyNote, StoreKeys, Unreadable},
+    protocol::{
+        CallerLocation, CallerMetadata, DecodeError, Protocol, ReplyMetadata, StorePrefixes,
+    },
     settings::{Bounds, EntrySettings, Listen},
-    settings_file::{Look, SettingsFile, reloaded},
+    settings_file::{SettingsChange, SettingsFile, reload_event},
+    store_part::StorePart,
     target::{KnownTarget, TargetEntry},
     team::{CallerKey, KeyDigest, Team, TeamError, TeamLimit, Teams},
     traffic_state::{BoundsCell, TrafficState},
--- a/src/entry/questions.rs
+++ b/src/entry/peer_queries.rs
@@ -7,32 +7,32 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 use super::{
-    Part, Stamp,
-    sync::{self, AskError},
+    Stamp, StorePart,
+    sync::{self, QueryError},
 };
 use crate::{fleet::Informed, prelude::*};
 
 /// A watcher that knows less than another host for longer asks it: the store's own word takes less
 /// time where it comes at all. Hosts that do not watch ask at once.
-const LAG: Duration = Duration::from_millis(400);
+const WATCHER_QUERY_DELAY: Duration = Duration::from_millis(400);
 
 /// Pause after a round in which every host that knows more failed to answer.
 const ROUND_PAUSE: Duration = Duration::from_millis(500);
 
 /// Time after an unanswered question in which this host follows the store itself. Twice the longest
 /// question, and longer than a watcher lingers, so that a crowded link is not asked again at once.
-const UNANSWERED: Duration = Duration::from_secs(8);
+const UNANSWERED_PERIOD: Duration = Duration::from_secs(8);
 
 /// Time after which a host that only busy hosts could answer follows the store itself, while a
 /// declaration can still be in force in time.
-const BUSY_MOST: Duration = Duration::from_millis(1_500);
+const MAX_BUSY: Duration = Duration::from_millis(1_500);
 
 /// A question that was not heard of for longer counts as failed; above the client's own timeout.
-const OVERDUE: Duration = Duration::from_secs(2);
+const QUERY_EXPIRY: Duration = Duration::from_secs(2);
 
 /// What became of a question.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum QuestionEnd {
+pub enum QueryOutcome {
     Answered,
     /// The host is at its limit of concurrent answers.
     Busy,
@@ -41,30 +41,30 @@
 
 /// Questions to other hosts.
 #[derive(Debug)]
-pub struct Questions {
+pub struct PeerQueries {
     /// Since when all queried hosts were busy.
     busy_since: Option<Moment>,
     /// How many were asked.
-    count: u64,
+    sent_count: u64,
     /// Hosts that failed to answer in this round.
-    failed: Vec<SocketAddr>,
+    failed_peers: Vec<SocketAddr>,
     /// Since when another host has known more.
-    lags_since: Option<Moment>,
+    behind_since: Option<Moment>,
     not_before: Moment,
     /// Control listener of this host.
-    own: SocketAddr,
+    own_addr: SocketAddr,
     /// When the question under way was sent.
-    sent_at: Option<Moment>,
+    in_flight_since: Option<Moment>,
     /// When a question was last left without an answer.
     unanswered_at: Option<Moment>,
 }
 
-impl QuestionEnd {
+impl QueryOutcome {
     /// The end that a result stands for.
     pub fn of<T>(answer: &sync::Result<T>) -> Self {
         match answer {
             Ok(_) => Self::Answered,
-            Err(AskError::Busy) => Self::Busy,
+            Err(QueryError::Busy) => Self::Busy,
             Err(_) => Self::Failed,
         }
     }
@@ -79,87 +79,89 @@
     }
 }
 
-impl Questions {
+impl PeerQueries {
     /// Questions of the host whose control listener is `own`.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             busy_since: None,
-            count: 0,
-            failed: Vec::new(),
-            lags_since: None,
+            sent_count: 0,
+            failed_peers: Vec::new(),
+            behind_since: None,
             not_before: Moment::ZERO,
-            own,
-            sent_at: None,
+            own_addr: own,
+            in_flight_since: None,
             unanswered_at: None,
         }
     }
 
     /// The host to ask now, of those that are known to know something; `watches` says that the store tells this host too.
-    pub fn next<'a>(
+    pub fn next_peer<'a>(
         &mut self,
-        mine: &Stamp,
+        own: &Stamp,
         others: impl Iterator<Item = (&'a RegionId, Informed)>,
         region: &RegionId,
         watches: bool,
         now: Moment,
     ) -> Option<SocketAddr> {
         let is_ahead = |informed: &Informed| {
-            Part::ALL.iter().any(|part| informed.stamp.is_ahead_of(mine, *part))
+            StorePart::ALL.iter().any(|part| informed.stamp.is_ahead_of(own, *part))
         };
         let ahead: Vec<_> = others.filter(|(_, informed)| is_ahead(informed)).collect();
         if ahead.is_empty() {
             self.busy_since = None;
-            self.lags_since = None;
-            self.failed.clear();
+            self.behind_since = None;
+            self.failed_peers.clear();
             return None;
         }
-        let since = *self.lags_since.get_or_insert(now);
-        let is_patient = watches && mine.declared != 0 && now.saturating_sub(since) < LAG;
-        let is_waiting = self.sent_at.is_some_and(|at| now.saturating_sub(at) < OVERDUE);
-        if is_patient || is_waiting || now < self.not_before {
+        let since = *self.behind_since.get_or_insert(now);
+        let awaits_store =
+            watches && own.declared != 0 && now.saturating_sub(since) < WATCHER_QUERY_DELAY;
+        let is_in_flight =
+            self.in_flight_since.is_some_and(|at| now.saturating_sub(at) < QUERY_EXPIRY);
+        if awaits_store || is_in_flight || now < self.not_before {
             return None;
         }
-        let untried = ahead.iter().filter(|(_, it)| !self.failed.contains(&it.control));
+        let candidates = ahead.iter().filter(|(_, it)| !self.failed_peers.contains(&it.control));
         // The nearest ones answer soonest.
         let nearest = |(of, it): &&(&RegionId, Informed)| (*of == region, self.weight(it.control));
-        let Some((_, informed)) = untried.max_by_key(nearest) else {
-            self.failed.clear();
+        let Some((_, informed)) = candidates.max_by_key(nearest) else {
+            self.failed_peers.clear();
             self.not_before = now + ROUND_PAUSE;
             return None;
         };
         let addr = informed.control;
-        self.count += 1;
-        self.sent_at = Some(now);
+        self.sent_count += 1;
+        self.in_flight_since = Some(now);
         Some(addr)
     }
 
     /// Spreads the questions of all hosts, and of one host, over those that can answer.
     fn weight(&self, addr: SocketAddr) -> u64 {
         let mut weight = Xxh3Default::new();
-        weight.update(self.own.to_string().as_bytes());
+        weight.update(self.own_addr.to_string().as_bytes());
         weight.update(addr.to_string().as_bytes());
-        weight.update(&self.count.to_le_bytes());
+        weight.update(&self.sent_count.to_le_bytes());
         weight.digest()
     }
 
     /// The question to the host at `addr` has ended.
-    pub fn ended(&mut self, addr: SocketAddr, end: QuestionEnd, now: Moment) {
-        self.sent_at = None;
+    pub fn record_outcome(&mut self, addr: SocketAddr, end: QueryOutcome, now: Moment) {
+        self.in_flight_since = None;
         match end {
-            QuestionEnd::Answered => {
+            QueryOutcome::Answered => {
                 self.busy_since = None;
-                self.failed.clear();
+                self.failed_peers.clear();
                 self.unanswered_at = None;
             }
-            QuestionEnd::Busy => {
-                self.failed.push(addr);
+            QueryOutcome::Busy => {
+                self.failed_peers.push(addr);
                 let since = *self.busy_since.get_or_insert(now);
-                if BUSY_MOST <= now.saturating_sub(since) {
+                if MAX_BUSY <= now.saturating_sub(since) {
                     self.unanswered_at = Some(now);
                 }
             }
-            QuestionEnd::Failed => {
-                self.failed.push(addr);
+            QueryOutcome::Failed => {
+                self.failed_peers.push(addr);
                 self.unanswered_at = Some(now);
             }
         }
@@ -170,6 +172,6 @@
     /// Without it a host behind crowded links went on asking the same watcher for five seconds,
     /// sent work to a target that was retiring and used an old declaration all the while.
     pub fn is_unanswered(&self, now: Moment) -> bool {
-        self.unanswered_at.is_some_and(|at| now.saturating_sub(at) < UNANSWERED)
+        self.unanswered_at.is_some_and(|at| now.saturating_sub(at) < UNANSWERED_PERIOD)
     }
 }
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -39,7 +39,8 @@
 
     fn allows_region(&self, region: &RegionId) -> bool {
         let allow = |regions: &[RegionId]| regions.is_empty() || regions.contains(region);
-        allow(&self.route.regions) && self.team.as_ref().is_none_or(|team| allow(&team.regions))
+        allow(&self.route.allowed_regions)
+            && self.team.as_ref().is_none_or(|team| allow(&team.allowed_regions))
     }
 
     /// Regions with a target that it may go to.
@@ -249,8 +250,8 @@
         let conditions = self.conditions.borrow();
         let condition = conditions.get(&target.tag);
         let own = condition.map_or(0, |condition| condition.in_flight);
-        let elsewhere = view.elsewhere.get(&target.tag).copied().unwrap_or_default();
-        let told = view.slow.get(&target.tag).copied().filter(|_| self.tuning.told_slow);
+        let elsewhere = view.in_flight_elsewhere.get(&target.tag).copied().unwrap_or_default();
+        let told = view.slow_targets.get(&target.tag).copied().filter(|_| self.tuning.told_slow);
         let cold = target.is_cold(now);
         let cold_shut = cold
             && (!is_sender(target, &self.settings.host, &view.hosts)
--- a/src/entry/protocol.rs
+++ b/src/entry/protocol.rs
@@ -5,22 +5,22 @@
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode, Uri};
 
-use super::{CallerKey, Declared, TargetEntry};
+use super::{CallerKey, Declaration, TargetEntry};
 use crate::prelude::*;
 
 /// Result of reading a stored object.
-pub type Result<T> = std::result::Result<T, Unreadable>;
+pub type Result<T> = std::result::Result<T, DecodeError>;
 
 /// Why a stored object could not be read.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{0}")]
-pub struct Unreadable(pub Arc<str>);
+pub struct DecodeError(pub Arc<str>);
 
 /// What a caller says beside its request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallerNote {
+pub struct CallerMetadata {
     /// The caller's id of this attempt.
-    pub attempt: Option<RequestId>,
+    pub attempt_id: Option<RequestId>,
     /// The key that identifies the caller's team.
     pub key: CallerKey,
     /// The object that the request is about.
@@ -31,11 +31,11 @@
 
 /// What a target says beside its answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ReplyNote {
+pub struct ReplyMetadata {
     /// Id of the attempt that it answers.
-    pub attempt: Option<RequestId>,
+    pub attempt_id: Option<RequestId>,
     /// Time that the target stays cold.
-    pub cold: Option<Duration>,
+    pub cold_for: Option<Duration>,
     /// Running and waiting requests.
     pub load: Option<(u32, u32)>,
     /// The target did not run the request.
@@ -43,19 +43,19 @@
     /// The answer bears the target's signature.
     pub signed: bool,
     /// The address belongs to another target.
-    pub other_target: bool,
+    pub wrong_target: bool,
 }
 
 /// Where a caller that looks hosts up is.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LookupPlace {
+pub struct CallerLocation {
     pub region: RegionId,
     pub zone: ZoneId,
 }
 
 /// Prefixes of keys in the platform's store.
 #[derive(Clone, Copy, Debug)]
-pub struct StoreKeys {
+pub struct StorePrefixes {
     /// The one object of the declaration.
     pub declared: &'static str,
     pub evacuations: &'static str,
@@ -66,14 +66,14 @@
 /// Reads and writes what the platform spells.
 pub trait Protocol: Send + Sync {
     /// What the caller says.
-    fn caller(&self, headers: &HeaderMap) -> CallerNote;
+    fn caller_metadata(&self, headers: &HeaderMap) -> CallerMetadata;
 
     /// What the target says.
-    fn reply(&self, status: StatusCode, headers: &HeaderMap) -> ReplyNote;
+    fn reply_metadata(&self, status: StatusCode, headers: &HeaderMap) -> ReplyMetadata;
 
     /// Marks a request for one target, which has `left` to answer. Removes the caller's key, and
     /// replaces any team name that the caller sent by `team`.
-    fn mark(
+    fn add_target_headers(
         &self,
         headers: &mut HeaderMap,
         target: &TargetId,
@@ -82,37 +82,37 @@
     );
 
     /// Marks an answer of the host's own.
-    fn mark_own(&self, headers: &mut HeaderMap, note: &CallerNote);
+    fn add_own_response_headers(&self, headers: &mut HeaderMap, note: &CallerMetadata);
 
     /// The place that a look-up names; `None` if the request is none.
-    fn lookup(&self, uri: &Uri) -> Option<LookupPlace>;
+    fn parse_lookup(&self, uri: &Uri) -> Option<CallerLocation>;
 
     /// The answer to a look-up.
-    fn found(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes;
+    fn encode_lookup_response(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes;
 
     /// Whether a request asks for readiness.
-    fn asks_ready(&self, uri: &Uri) -> bool;
+    fn is_readiness_request(&self, uri: &Uri) -> bool;
 
     /// Keys in the store.
-    fn keys(&self) -> StoreKeys;
+    fn store_prefixes(&self) -> StorePrefixes;
 
     /// Reads the declaration, with keys as in the store or with digests in place of them.
-    fn declared(&self, object: &[u8]) -> Result<Declared>;
+    fn decode_declaration(&self, object: &[u8]) -> Result<Declaration>;
 
     /// Replaces keys in the declaration's object by digests, for hosts to keep and exchange.
-    fn without_keys(&self, object: Bytes) -> Result<Bytes>;
+    fn replace_keys_by_digests(&self, object: Bytes) -> Result<Bytes>;
 
     /// Reads one target's entry.
-    fn target(&self, id: &str, object: &[u8]) -> Result<TargetEntry>;
+    fn decode_target(&self, id: &str, object: &[u8]) -> Result<TargetEntry>;
 
     /// Zones to be emptied, of the names of their objects.
-    fn zones(&self, names: &[Arc<str>]) -> BTreeSet<ZoneId> {
+    fn evacuated_zones(&self, names: &[Arc<str>]) -> BTreeSet<ZoneId> {
         names.iter().cloned().collect()
     }
 
     /// Writes what other hosts read of this one.
-    fn host_object(&self, gossip: SocketAddr) -> Bytes;
+    fn encode_host(&self, gossip: SocketAddr) -> Bytes;
 
     /// Reads another host's gossip address.
-    fn host(&self, object: &[u8]) -> Result<SocketAddr>;
+    fn decode_host(&self, object: &[u8]) -> Result<SocketAddr>;
 }
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -102,7 +102,7 @@
             service: self.service.clone(),
             slots: target.entry.slots,
             target: target.entry.id.clone(),
-            view_age_ms: millis(now.saturating_sub(view.at)),
+            view_age_ms: millis(now.saturating_sub(view.published_at)),
             zone: target.entry.zone.clone(),
         };
         self.state.record(&self.key, event);
@@ -129,7 +129,7 @@
             room_in_ms: room_in.map(millis),
             service: self.service.clone(),
             shut: placement.shut,
-            view_age_ms: millis(self.state.clock.now().saturating_sub(view.at)),
+            view_age_ms: millis(self.state.clock.now().saturating_sub(view.published_at)),
             work_ms: millis(placement.work),
         };
         self.state.record(&self.key, event);
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -14,7 +14,7 @@
 };
 
 use super::{
-    CallerNote, TrafficState,
+    CallerMetadata, TrafficState,
     answer::Answer,
     caller_io::{CallerIo, Disconnect},
     exchange, lookup,
@@ -72,7 +72,7 @@
     let _open = Open::new(&state);
     let (io, disconnect) = CallerIo::new(stream);
     let idle = state.view().and_then(|view| view.declared.clone());
-    let idle = idle.map_or(IDLE_ASSUMED, |declared| declared.idle + IDLE_SLACK);
+    let idle = idle.map_or(IDLE_ASSUMED, |declared| declared.idle_timeout + IDLE_SLACK);
     let started = RefCell::default();
     let caller = Rc::new(Caller { state: state.clone(), disconnect, started });
     let service = service_fn(|req| one(caller.clone(), req));
@@ -123,7 +123,7 @@
 /// A request whose turn has not come; ends when dropped, since then the caller has left.
 struct Started {
     /// What it must be when its turn comes.
-    note: CallerNote,
+    note: CallerMetadata,
     task: JoinHandle<Option<Answer>>,
     uri: Uri,
 }
@@ -138,13 +138,13 @@
     async fn answer(&self, req: Request<Incoming>) -> Option<Answer> {
         self.disconnect.with_scanner(Scanner::turn);
         let started = self.started.borrow_mut().pop_front();
-        let note = self.state.protocol.caller(req.headers());
+        let note = self.state.protocol.caller_metadata(req.headers());
         let own = async {
             match started {
                 Some(mut started) if started.uri == *req.uri() && started.note == note => {
                     tokio::select! {
                         answer = &mut started.task => answer.ok().flatten(),
-                        () = self.disconnect.gone() => None,
+                        () = self.disconnect.closed() => None,
                     }
                 }
                 other => {
@@ -169,8 +169,8 @@
     async fn look_ahead(&self) {
         loop {
             self.start_waiting();
-            self.disconnect.more().await;
-            if self.disconnect.is_gone() {
+            self.disconnect.data_arrived().await;
+            if self.disconnect.is_closed() {
                 // Who serves the request notices too, and ends.
                 std::future::pending::<()>().await;
             }
@@ -194,11 +194,11 @@
             if !exchange::may_start_ahead(&self.state, &head) {
                 return;
             }
-            let note = self.state.protocol.caller(&head.headers);
+            let note = self.state.protocol.caller_metadata(&head.headers);
             let uri = head.uri.clone();
             let req = Request::from_parts(head, exchange::Body::None);
             // If the caller leaves, `Started` is dropped and ends the task.
-            let serve = exchange::serve(self.state.clone(), Disconnect::assumed(), req);
+            let serve = exchange::serve(self.state.clone(), Disconnect::never(), req);
             started.push_back(Started { note, task: tokio::task::spawn_local(serve), uri });
         }
     }
@@ -241,7 +241,7 @@
 
 /// The answer to a question for readiness.
 pub fn ready(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
-    if !state.protocol.asks_ready(req.uri()) {
+    if !state.protocol.is_readiness_request(req.uri()) {
         return status(StatusCode::NOT_FOUND);
     }
     let knows = state.view().is_some_and(|view| view.declared.is_some());
@@ -251,16 +251,16 @@
 
 /// The answer to a look-up.
 pub fn look_up(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let Some(place) = state.protocol.lookup(req.uri()) else {
+    let Some(place) = state.protocol.parse_lookup(req.uri()) else {
         return status(StatusCode::NOT_FOUND);
     };
     let Some(view) = state.view() else { return status(StatusCode::SERVICE_UNAVAILABLE) };
-    let found = lookup::addresses(&view.hosts, &place);
+    let found = lookup::host_addresses(&view.hosts, &place);
     if found.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
     let ttl = LOOKUP_TTL.min(state.bounds().lookup_ttl);
-    let mut answer = Response::new(Full::new(state.protocol.found(&found, ttl)));
+    let mut answer = Response::new(Full::new(state.protocol.encode_lookup_response(&found, ttl)));
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
     answer
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -111,7 +111,7 @@
     }
 
     /// Whether the settings name this region.
-    pub fn is_region(&self, region: &RegionId) -> bool {
+    pub fn has_region(&self, region: &RegionId) -> bool {
         *region == self.region || self.zones.values().any(|known| known == region)
     }
 
--- a/src/entry/settings_file.rs
+++ b/src/entry/settings_file.rs
@@ -13,13 +13,13 @@
 pub struct SettingsFile {
     path: PathBuf,
     /// Why the file could not be read last time.
-    problem: Option<String>,
+    last_error: Option<String>,
     text: String,
 }
 
 /// What a look at the file has found.
 #[derive(Debug)]
-pub enum Look {
+pub enum SettingsChange {
     /// New settings that can be read.
     Changed(Box<EntrySettings>),
     /// It can't be read, and why; the settings in force stand.
@@ -32,38 +32,38 @@
     pub fn open(path: &Path) -> Result<(Self, EntrySettings)> {
         let text = yaml::read_file(path, MAX_FILE)?;
         let settings = yaml::decode(&text, &path.display().to_string())?;
-        Ok((Self { path: path.to_owned(), problem: None, text }, settings))
+        Ok((Self { path: path.to_owned(), last_error: None, text }, settings))
     }
 
     /// Looks whether the text has changed. What is wrong is told once.
-    pub fn look(&mut self) -> Look {
+    pub fn check(&mut self) -> SettingsChange {
         let text = match yaml::read_file(&self.path, MAX_FILE) {
             Ok(text) => text,
-            Err(problem) => return self.unreadable(problem.to_string()),
+            Err(problem) => return self.report_read_error(problem.to_string()),
         };
-        self.problem = None;
+        self.last_error = None;
         if text == self.text {
-            return Look::Unchanged;
+            return SettingsChange::Unchanged;
         }
         self.text = text;
         match yaml::decode(&self.text, &self.path.display().to_string()) {
-            Ok(settings) => Look::Changed(Box::new(settings)),
-            Err(problem) => Look::Unreadable(problem.to_string()),
+            Ok(settings) => SettingsChange::Changed(Box::new(settings)),
+            Err(problem) => SettingsChange::Unreadable(problem.to_string()),
         }
     }
 
-    fn unreadable(&mut self, problem: String) -> Look {
-        if self.problem.as_ref() == Some(&problem) {
-            return Look::Unchanged;
+    fn report_read_error(&mut self, problem: String) -> SettingsChange {
+        if self.last_error.as_ref() == Some(&problem) {
+            return SettingsChange::Unchanged;
         }
-        self.problem = Some(problem.clone());
-        Look::Unreadable(problem)
+        self.last_error = Some(problem.clone());
+        SettingsChange::Unreadable(problem)
     }
 }
 
 /// The event of settings that were read again. `at_next_start` names fields that have changed and
 /// stay as they were until the next start.
-pub fn reloaded(end: ReloadEnd, at_next_start: &[&str]) -> Event {
+pub fn reload_event(end: ReloadEnd, at_next_start: &[&str]) -> Event {
     let detail = match at_next_start {
         [] => String::new(),
         fields => format!("at the next start: {}", fields.join(", ")),
--- a/src/entry/part.rs
+++ b/src/entry/store_part.rs
@@ -5,13 +5,14 @@
 /// Which objects of the store something is about.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Part {
+pub enum StorePart {
     Declared,
     Evacuations,
     Targets,
 }
 
-impl Part {
+impl StorePart {
     /// Every part.
-    pub const ALL: [Part; 3] = [Part::Declared, Part::Evacuations, Part::Targets];
+    pub const ALL: [StorePart; 3] =
+        [StorePart::Declared, StorePart::Evacuations, StorePart::Targets];
 }
--- a/src/entry/strain.rs
+++ b/src/entry/strain.rs
@@ -8,35 +8,35 @@
 use crate::prelude::*;
 
 /// Mean delay of ticks from which on a host is strained: callers' objectives are a few times that.
-const STRAINED_FROM: Duration = Duration::from_millis(150);
+const STRAINED_ABOVE: Duration = Duration::from_millis(150);
 
 /// Mean delay below which it no longer is; well below, so that a host at the edge stays on one side.
-const STRAINED_TO: Duration = Duration::from_millis(40);
+const RECOVERED_BELOW: Duration = Duration::from_millis(40);
 
 /// Weight of the newest tick in the mean: a second's ticks carry two thirds.
-const NEWEST: f64 = 0.1;
+const EMA_WEIGHT: f64 = 0.1;
 
 /// Most that one tick counts: a host that was frozen for seconds is well again when it wakes.
-const DELAY_MOST: Duration = Duration::from_millis(600);
+const MAX_TICK_DELAY: Duration = Duration::from_millis(600);
 
 /// The delay of a host's ticks.
 #[derive(Debug, Default)]
-pub struct Strain {
+pub struct StrainDetector {
     /// Mean, in seconds.
-    delay: f64,
+    mean_delay_s: f64,
     is_strained: bool,
-    last: Option<Moment>,
+    last_tick: Option<Moment>,
 }
 
-impl Strain {
+impl StrainDetector {
     /// A tick came that was due `every` after the last one; tells whether that changes anything.
-    pub fn ticked(&mut self, every: Duration, now: Moment) -> bool {
-        let Some(last) = self.last.replace(now) else { return false };
-        let delay = now.saturating_sub(last).saturating_sub(every).min(DELAY_MOST);
-        self.delay += (delay.as_secs_f64() - self.delay) * NEWEST;
+    pub fn record_tick(&mut self, interval: Duration, now: Moment) -> bool {
+        let Some(last) = self.last_tick.replace(now) else { return false };
+        let delay = now.saturating_sub(last).saturating_sub(interval).min(MAX_TICK_DELAY);
+        self.mean_delay_s += (delay.as_secs_f64() - self.mean_delay_s) * EMA_WEIGHT;
         let before = self.is_strained;
-        let bound = if before { STRAINED_TO } else { STRAINED_FROM };
-        self.is_strained = bound.as_secs_f64() <= self.delay;
+        let threshold = if before { RECOVERED_BELOW } else { STRAINED_ABOVE };
+        self.is_strained = threshold.as_secs_f64() <= self.mean_delay_s;
         before != self.is_strained
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Mean delay of its ticks.
-    pub fn delay(&self) -> Duration {
-        Duration::from_secs_f64(self.delay)
+    pub fn mean_delay(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_delay_s)
     }
 }
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -7,7 +7,7 @@
 pub struct TargetEntry {
     pub addr: SocketAddr,
     /// Time that it stays cold, from when the entry was written.
-    pub cold: Duration,
+    pub cold_for: Duration,
     pub id: TargetId,
     /// It takes new work.
     pub ready: bool,
--- a/src/entry/team.rs
+++ b/src/entry/team.rs
@@ -99,7 +99,7 @@
     /// Rank of its requests, which replaces that of the route; 0 goes first.
     pub priority: Option<u32>,
     /// Regions that may serve its requests; empty for all.
-    pub regions: Vec<RegionId>,
+    pub allowed_regions: Vec<RegionId>,
 }
 
 impl Team {
@@ -162,7 +162,7 @@
     /// Checks that all regions named by teams exist.
     pub fn check_regions(&self, is_region: impl Fn(&RegionId) -> bool) -> Result<()> {
         for team in &self.all {
-            if let Some(region) = team.regions.iter().find(|region| !is_region(region)) {
+            if let Some(region) = team.allowed_regions.iter().find(|region| !is_region(region)) {
                 let (region, team) = (region.clone(), team.name.clone());
                 return Err(TeamError::UnknownRegion { region, team });
             }
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -17,7 +17,7 @@
 fn entry(id: &str, zone: &str) -> TargetEntry {
     TargetEntry {
         addr: "127.0.0.1:1".parse().expect("an address"),
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         id: id.into(),
         ready: true,
         service: "desk".into(),
--- a/src/entry/tests/access.rs
+++ b/src/entry/tests/access.rs
@@ -7,8 +7,8 @@
 use crate::{
     base::ManualClock,
     entry::{
-        Access, Bounds, CallerKey, Declared, KeyDigest, Repeat, Route, Team, TeamError, TeamLimit,
-        Teams, TrafficState, View,
+        Access, Bounds, CallerKey, Declaration, Idempotency, KeyDigest, Route, Team, TeamError,
+        TeamLimit, Teams, TrafficState, View,
     },
     event_log::NoEvents,
     platform::{PlatformProtocol, standin::loopback_settings},
@@ -16,29 +16,29 @@
 };
 
 fn team(name: &str) -> Team {
-    Team { limit: None, name: name.into(), priority: None, regions: Vec::new() }
+    Team { limit: None, name: name.into(), priority: None, allowed_regions: Vec::new() }
 }
 
 fn key(text: &str) -> CallerKey {
     CallerKey::One(KeyDigest::of(text.as_bytes()))
 }
 
-fn declared() -> Declared {
+fn declared() -> Declaration {
     let keys = |all: &[&str]| all.iter().map(|key| KeyDigest::of(key.as_bytes())).collect();
     let teams = vec![(team("lyra"), keys(&["k-1", "k-2"])), (team("vega"), keys(&["k-3"]))];
-    Declared { teams: Teams::new(teams).expect("distinct keys"), ..Declared::default() }
+    Declaration { teams: Teams::new(teams).expect("distinct keys"), ..Declaration::default() }
 }
 
 fn route(public: bool) -> Route {
     Route {
-        attempts: 1,
+        max_attempts: 1,
         key: "x/".into(),
         prefix: "/".into(),
         objective: secs(1.0),
         priority: 0,
         public,
-        regions: Vec::new(),
-        repeat: Repeat::Once,
+        allowed_regions: Vec::new(),
+        idempotency: Idempotency::NonIdempotent,
         split: Vec::new(),
         sticky: false,
         timeout: secs(1.0),
@@ -94,7 +94,7 @@
     assert_eq!(public(&CallerKey::Missing), Access::Granted(None));
     assert_eq!(public(&key("k-4")), Access::Granted(None));
     assert_matches!(public(&key("k-3")), Access::Granted(Some(team)) if &*team.name == "vega");
-    let none = Declared::default();
+    let none = Declaration::default();
     let granted = Access::check(&none, &route(false), &CallerKey::Missing, None, &bounds());
     assert_eq!(granted, Access::Granted(None));
 }
@@ -139,7 +139,7 @@
     let view = |version, limit| {
         let teams = Teams::new(vec![(Team { limit, ..team("lyra") }, Vec::new())]);
         let teams = teams.expect("one team");
-        let declared = Declared { teams, version, ..Declared::default() };
+        let declared = Declaration { teams, version, ..Declaration::default() };
         View { declared: Some(Arc::new(declared)), ..View::default() }
     };
     let older = view(1, Some(TeamLimit { burst: 0.0, rate: 0.001 }));
--- a/src/entry/tests/hosts.rs
+++ b/src/entry/tests/hosts.rs
@@ -5,12 +5,12 @@
 use super::secs;
 use crate::{
     entry::{
-        LiveHost, LookupPlace, Part, Revisions, Stamp,
-        lookup::addresses,
-        questions::{QuestionEnd, Questions},
+        CallerLocation, LiveHost, Revisions, Stamp, StorePart,
+        lookup::host_addresses,
+        peer_queries::{PeerQueries, QueryOutcome},
         records::{HostRecord, Records},
-        sync::{AnswerCache, Difference, RawObjects, ReceivedState, since},
-        watchers::WatcherElection,
+        sync::{RawObjects, ReceivedState, ResponseCache, StateDiff, parse_revisions},
+        watcher_election::WatcherElection,
     },
     fleet::{HostNote, Informed, Load, Peer},
     prelude::*,
@@ -49,9 +49,9 @@
         zone: "x".into(),
     };
     let hosts = [host("a", "north", 1), host("b", "south", 2), host("c", "north", 3)];
-    let place = |region: &str| LookupPlace { region: region.into(), zone: "x".into() };
-    assert_eq!(addresses(&hosts, &place("north")), [addr(1), addr(3)]);
-    assert_eq!(addresses(&hosts, &place("west")), [addr(1), addr(2), addr(3)]);
+    let place = |region: &str| CallerLocation { region: region.into(), zone: "x".into() };
+    assert_eq!(host_addresses(&hosts, &place("north")), [addr(1), addr(3)]);
+    assert_eq!(host_addresses(&hosts, &place("west")), [addr(1), addr(2), addr(3)]);
 }
 
 fn peer(host: &str, region: &str, reaches_store: bool) -> Peer {
@@ -93,7 +93,9 @@
     let hosts: Vec<LiveHost> = (0..170).map(host).collect();
     let named = |hosts: &[LiveHost], zone: u16| -> BTreeSet<SocketAddr> {
         let zone = format!("north-{zone}").into();
-        addresses(hosts, &LookupPlace { region: "north".into(), zone }).into_iter().collect()
+        host_addresses(hosts, &CallerLocation { region: "north".into(), zone })
+            .into_iter()
+            .collect()
     };
     let parts: Vec<BTreeSet<SocketAddr>> = (0..3).map(|zone| named(&hosts, zone)).collect();
     assert!(parts.iter().all(|part| part.len() == 64));
@@ -115,7 +117,7 @@
             zone: "x".into(),
         };
         let hosts: Vec<LiveHost> = (0..4).map(host).collect();
-        addresses(&hosts, &LookupPlace { region: "north".into(), zone: "x".into() }).len()
+        host_addresses(&hosts, &CallerLocation { region: "north".into(), zone: "x".into() }).len()
     };
     assert_eq!([0, 1, 2, 3, 4].map(named), [4, 3, 2, 4, 4]);
 }
@@ -144,7 +146,7 @@
         let peers: Vec<Peer> = names.iter().map(|name| peer(name, "north", true)).collect();
         let mut election = WatcherElection::default();
         election.decide(&(**host).into(), &"north".into(), peers.iter(), secs(1.0));
-        !election.is_second()
+        !election.is_standby()
     };
     assert_eq!(names.iter().filter(first).count(), 1, "one of them fetches changes at once");
     let two = watchers(None);
@@ -186,12 +188,12 @@
 fn a_host_without_the_store_says_so() {
     let mut election = WatcherElection::default();
     assert!(election.reaches_store(secs(1.0)));
-    election.lost(secs(1.0));
-    election.lost(secs(5.0));
+    election.store_failed(secs(1.0));
+    election.store_failed(secs(5.0));
     assert!(!election.reaches_store(secs(8.9)));
     assert!(election.reaches_store(secs(9.1)));
-    election.lost(secs(10.0));
-    election.reached();
+    election.store_failed(secs(10.0));
+    election.store_answered();
     assert!(election.reaches_store(secs(10.0)));
 }
 
@@ -203,28 +205,28 @@
         ((part, Arc::from(name)), (revision, bytes::Bytes::from(revision.to_string())))
     };
     let old: RawObjects = [
-        object(Part::Targets, "t-1", 1),
-        object(Part::Targets, "t-2", 2),
-        object(Part::Declared, "main", 3),
+        object(StorePart::Targets, "t-1", 1),
+        object(StorePart::Targets, "t-2", 2),
+        object(StorePart::Declared, "main", 3),
     ]
     .into();
     let new: RawObjects = [
-        object(Part::Targets, "t-2", 2),
-        object(Part::Targets, "t-3", 7),
-        object(Part::Declared, "main", 3),
+        object(StorePart::Targets, "t-2", 2),
+        object(StorePart::Targets, "t-3", 7),
+        object(StorePart::Declared, "main", 3),
     ]
     .into();
     let at = |revision| Revisions { declared: 3, evacuations: 0, targets: revision };
-    let told = Difference::of(&new, at(7), at(2));
+    let told = StateDiff::of(&new, at(7), at(2));
     let text = serde_json::to_string(&told.parts).expect("JSON");
-    let told = Difference { parts: serde_json::from_str(&text).expect("a difference") };
+    let told = StateDiff { parts: serde_json::from_str(&text).expect("a difference") };
     assert!(!text.contains("\"text\":\"2\"") && text.contains("\"text\":\"7\""));
-    let all = told.applied(Part::Targets, &old);
+    let all = told.apply_to(StorePart::Targets, &old);
     let names: Vec<&str> = all.iter().map(|(name, _, _)| &**name).collect();
     assert_eq!(names, ["t-2", "t-3"]);
-    assert_eq!(told.applied(Part::Declared, &old).len(), 1);
-    assert_eq!(since(Some("3-0-2")), at(2));
-    assert_eq!(since(Some("x")), Revisions::default());
+    assert_eq!(told.apply_to(StorePart::Declared, &old).len(), 1);
+    assert_eq!(parse_revisions(Some("3-0-2")), at(2));
+    assert_eq!(parse_revisions(Some("x")), Revisions::default());
 }
 
 /// A stamp of a later version says more only where it says something else: a listing tells the
@@ -238,9 +240,9 @@
         revisions: Revisions { declared: 1, evacuations: 1, targets: revision },
     };
     assert!(stamp(9, 1, 1).parts_ahead_of(&stamp(5, 1, 1)).is_empty());
-    assert_eq!(stamp(9, 1, 1).parts_ahead_of(&stamp(5, 2, 1)), [Part::Targets]);
+    assert_eq!(stamp(9, 1, 1).parts_ahead_of(&stamp(5, 2, 1)), [StorePart::Targets]);
     assert!(stamp(5, 2, 1).parts_ahead_of(&stamp(9, 1, 1)).is_empty());
-    assert_eq!(stamp(1, 1, 4).parts_ahead_of(&stamp(9, 1, 3)), [Part::Declared]);
+    assert_eq!(stamp(1, 1, 4).parts_ahead_of(&stamp(9, 1, 3)), [StorePart::Declared]);
 }
 
 /// One of two hosts that know more does not answer: the other is asked at once, and this host
@@ -253,21 +255,21 @@
         (RegionId::from(region), Informed { control: addr(port), stamp })
     };
     let others = [ahead(1, "south"), ahead(2, "north")];
-    let mut questions = Questions::new(addr(3));
-    let next = |it: &mut Questions, now| {
+    let mut questions = PeerQueries::new(addr(3));
+    let next = |it: &mut PeerQueries, now| {
         let others = others.iter().map(|(region, informed)| (region, informed.clone()));
-        it.next(&Stamp::default(), others, &region, false, secs(now))
+        it.next_peer(&Stamp::default(), others, &region, false, secs(now))
     };
     assert_eq!(next(&mut questions, 1.0), Some(addr(2)));
     assert_eq!(next(&mut questions, 1.1), None, "one question at a time");
-    questions.ended(addr(2), QuestionEnd::Failed, secs(1.2));
+    questions.record_outcome(addr(2), QueryOutcome::Failed, secs(1.2));
     assert!(questions.is_unanswered(secs(1.2)));
     assert_eq!(next(&mut questions, 1.2), Some(addr(1)));
-    questions.ended(addr(1), QuestionEnd::Failed, secs(1.3));
+    questions.record_outcome(addr(1), QueryOutcome::Failed, secs(1.3));
     assert_eq!(next(&mut questions, 1.3), None);
     assert_eq!(next(&mut questions, 1.4), None, "both failed: a pause");
     assert_eq!(next(&mut questions, 1.9), Some(addr(2)));
-    questions.ended(addr(2), QuestionEnd::Answered, secs(2.0));
+    questions.record_outcome(addr(2), QueryOutcome::Answered, secs(2.0));
     assert!(!questions.is_unanswered(secs(2.0)));
 }
 
@@ -277,17 +279,17 @@
     let region = RegionId::from("north");
     let stamp = Stamp { declared: 2, ..Stamp::default() };
     let informed = [(&region, Informed { control: addr(1), stamp })];
-    let mut questions = Questions::new(addr(3));
+    let mut questions = PeerQueries::new(addr(3));
     for at in [1.0, 1.6, 2.2] {
-        let next = |it: &mut Questions, now| {
-            it.next(&Stamp::default(), informed.clone().into_iter(), &region, false, secs(now))
+        let next = |it: &mut PeerQueries, now| {
+            it.next_peer(&Stamp::default(), informed.clone().into_iter(), &region, false, secs(now))
         };
         assert_eq!(next(&mut questions, at), Some(addr(1)));
-        questions.ended(addr(1), QuestionEnd::Busy, secs(at));
+        questions.record_outcome(addr(1), QueryOutcome::Busy, secs(at));
         assert!(!questions.is_unanswered(secs(at)));
         assert_eq!(next(&mut questions, at), None, "a pause");
     }
-    questions.ended(addr(1), QuestionEnd::Busy, secs(2.5));
+    questions.record_outcome(addr(1), QueryOutcome::Busy, secs(2.5));
     assert!(questions.is_unanswered(secs(2.5)), "busy for too long");
 }
 
@@ -299,8 +301,9 @@
     let informed = (1..=4).map(|port| (&region, Informed { control: addr(port), stamp }));
     let mut asked: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for asker in 100..200 {
-        let mut questions = Questions::new(addr(asker));
-        let next = questions.next(&Stamp::default(), informed.clone(), &region, false, secs(1.0));
+        let mut questions = PeerQueries::new(addr(asker));
+        let next =
+            questions.next_peer(&Stamp::default(), informed.clone(), &region, false, secs(1.0));
         *asked.entry(next.expect("one that knows more")).or_default() += 1;
     }
     assert_eq!(asked.len(), 4, "{asked:?}");
@@ -317,7 +320,10 @@
             r#"{{"metadata":{{"name":"i-{:010x}","revision":{at}}},"spec":{{}},"info":{{"service":"s","slots":3}},"status":{{"state":"ready","sequence":{at}}}}}"#,
             at.wrapping_mul(2_654_435_761)
         );
-        raw.insert((Part::Targets, format!("i-{at}").into()), (u64::from(at) + 1, entry.into()));
+        raw.insert(
+            (StorePart::Targets, format!("i-{at}").into()),
+            (u64::from(at) + 1, entry.into()),
+        );
     }
     let rule = |at: u32| {
         format!(
@@ -327,38 +333,35 @@
     };
     let rules: Vec<String> = (0..1_900).map(rule).collect();
     let declared = format!(r#"{{"spec":{{"rules":[{}]}}}}"#, rules.join(","));
-    raw.insert((Part::Declared, "main".into()), (900, declared.into()));
+    raw.insert((StorePart::Declared, "main".into()), (900, declared.into()));
     let known = Revisions { declared: 900, evacuations: 0, targets: 900 };
-    let plain = Difference::of(&raw, known, Revisions::default());
-    let mut last = AnswerCache::default();
-    let packed = last.packed(&raw, known, Revisions::default()).expect("it can be packed");
+    let plain = StateDiff::of(&raw, known, Revisions::default());
+    let mut last = ResponseCache::default();
+    let packed = last.response(&raw, known, Revisions::default()).expect("it can be packed");
     let size = serde_json::to_vec(&plain.parts).expect("it has a form").len();
     assert!(packed.len() * 5 < size, "{} of {size}", packed.len());
-    assert_eq!(ReceivedState::unpack(&packed).expect("it can be read").difference, plain);
-    assert!(ReceivedState::unpack(&packed[..packed.len() / 2]).is_err(), "a cut answer is none");
-    let bytes = last.packed_bytes();
-    let again = last.packed(&raw, known, Revisions::default()).expect("it can be packed");
+    assert_eq!(ReceivedState::decode(&packed).expect("it can be read").diff, plain);
+    assert!(ReceivedState::decode(&packed[..packed.len() / 2]).is_err(), "a cut answer is none");
+    let bytes = last.compressed_bytes();
+    let again = last.response(&raw, known, Revisions::default()).expect("it can be packed");
     assert_eq!(again, packed);
-    assert_eq!(last.packed_bytes(), bytes, "packed once");
-    let newer = last.packed(&raw, known, known).expect("it can be packed");
+    assert_eq!(last.compressed_bytes(), bytes, "packed once");
+    let newer = last.response(&raw, known, known).expect("it can be packed");
     assert!(newer.len() < packed.len());
-    assert_eq!(
-        ReceivedState::unpack(&newer).expect("it can be read").difference,
-        Difference::default()
-    );
+    assert_eq!(ReceivedState::decode(&newer).expect("it can be read").diff, StateDiff::default());
 }
 
 proptest::proptest! {
     /// A damaged or foreign answer of another host is no difference, and ends nothing.
     #[test]
     fn damaged_answers_are_refused(bytes in proptest::collection::vec(0_u8..=255, 0..400), at in 0..200_usize) {
-        proptest::prop_assert!(ReceivedState::unpack(&bytes).is_err());
-        let raw = RawObjects::from([((Part::Targets, "t-1".into()), (3, "{}".into()))]);
+        proptest::prop_assert!(ReceivedState::decode(&bytes).is_err());
+        let raw = RawObjects::from([((StorePart::Targets, "t-1".into()), (3, "{}".into()))]);
         let known = Revisions { targets: 3, ..Revisions::default() };
-        let whole = AnswerCache::default().packed(&raw, known, Revisions::default());
+        let whole = ResponseCache::default().response(&raw, known, Revisions::default());
         let mut packed = whole.expect("it can be packed").to_vec();
         let at = at % packed.len();
         packed.truncate(at);
-        proptest::prop_assert!(ReceivedState::unpack(&packed).is_err());
+        proptest::prop_assert!(ReceivedState::decode(&packed).is_err());
     }
 }
--- a/src/entry/tests/known_state.rs
+++ b/src/entry/tests/known_state.rs
@@ -3,7 +3,7 @@
 use super::{entry, secs};
 use crate::{
     entry::{
-        Declared, KnownState, KnownTarget, ServiceRules, TargetEntry,
+        Declaration, KnownState, KnownTarget, ServiceRules, TargetEntry,
         known_state::{Removal, TargetChanges},
     },
     prelude::*,
@@ -18,7 +18,7 @@
 }
 
 fn usable_targets(known_state: &mut KnownState) -> Vec<Arc<KnownTarget>> {
-    let usable = known_state.usable().values();
+    let usable = known_state.usable_targets().values();
     usable.flat_map(|targets| targets.iter().cloned()).collect()
 }
 
@@ -31,12 +31,12 @@
 #[test]
 fn a_declaration_only_rises() {
     let mut known_state = KnownState::default();
-    let of = |version| Declared { version, ..Declared::default() };
-    assert!(known_state.declare(of(4)));
-    assert!(!known_state.declare(of(4)));
-    assert!(!known_state.declare(of(3)));
+    let of = |version| Declaration { version, ..Declaration::default() };
+    assert!(known_state.apply_declaration(of(4)));
+    assert!(!known_state.apply_declaration(of(4)));
+    assert!(!known_state.apply_declaration(of(3)));
     assert_eq!(known_state.stamp().declared, 4);
-    assert!(known_state.declare(of(9)));
+    assert!(known_state.apply_declaration(of(9)));
 }
 
 /// The store was away for seconds and lost entries whose targets could not write. Dropped at once,
@@ -44,14 +44,14 @@
 #[test]
 fn entries_that_lapsed_with_the_store_are_used_a_little_longer() {
     let mut known_state = KnownState::default();
-    known_state.list(listed(&["t-1", "t-2"]), secs(1.0));
-    known_state.lost(secs(10.0));
-    known_state.lost(secs(14.0));
-    known_state.list(listed(&["t-1"]), secs(15.0));
+    known_state.apply_target_listing(listed(&["t-1", "t-2"]), secs(1.0));
+    known_state.store_failed(secs(10.0));
+    known_state.store_failed(secs(14.0));
+    known_state.apply_target_listing(listed(&["t-1"]), secs(15.0));
     assert_eq!(usable(&mut known_state), ["t-1", "t-2"]);
-    known_state.tick(secs(17.0));
+    known_state.expire_lapsed(secs(17.0));
     assert_eq!(usable(&mut known_state), ["t-1", "t-2"]);
-    known_state.tick(secs(17.3));
+    known_state.expire_lapsed(secs(17.3));
     assert_eq!(usable(&mut known_state), ["t-1"]);
 }
 
@@ -60,13 +60,13 @@
 #[test]
 fn an_entry_that_comes_back_stays() {
     let mut known_state = KnownState::default();
-    known_state.list(listed(&["t-1", "t-2"]), secs(1.0));
-    known_state.lost(secs(10.0));
-    known_state.list(listed(&[]), secs(15.0));
-    known_state.write(entry("t-2", "north-a"), region(), secs(16.0));
-    known_state.lost(secs(16.1));
-    known_state.list(listed(&["t-2"]), secs(16.2));
-    known_state.tick(secs(17.3));
+    known_state.apply_target_listing(listed(&["t-1", "t-2"]), secs(1.0));
+    known_state.store_failed(secs(10.0));
+    known_state.apply_target_listing(listed(&[]), secs(15.0));
+    known_state.apply_target(entry("t-2", "north-a"), region(), secs(16.0));
+    known_state.store_failed(secs(16.1));
+    known_state.apply_target_listing(listed(&["t-2"]), secs(16.2));
+    known_state.expire_lapsed(secs(17.3));
     assert_eq!(usable(&mut known_state), ["t-2"]);
 }
 
@@ -75,11 +75,11 @@
 #[test]
 fn without_an_outage_a_missing_entry_is_gone_at_once() {
     let mut known_state = KnownState::default();
-    known_state.list(listed(&["t-1", "t-2"]), secs(1.0));
-    known_state.list(listed(&["t-1"]), secs(5.0));
+    known_state.apply_target_listing(listed(&["t-1", "t-2"]), secs(1.0));
+    known_state.apply_target_listing(listed(&["t-1"]), secs(5.0));
     assert_eq!(usable(&mut known_state), ["t-1"]);
-    known_state.lost(secs(6.0));
-    known_state.list(listed(&[]), secs(6.5));
+    known_state.store_failed(secs(6.0));
+    known_state.apply_target_listing(listed(&[]), secs(6.5));
     assert!(usable(&mut known_state).is_empty());
 }
 
@@ -87,10 +87,10 @@
 #[test]
 fn a_removal_is_not_waited_for() {
     let mut known_state = KnownState::default();
-    known_state.list(listed(&["t-1"]), secs(1.0));
-    known_state.lost(secs(10.0));
-    known_state.list(listed(&[]), secs(15.0));
-    assert_eq!(known_state.remove(&"t-1".into(), secs(20.0)), Removal::Gone);
+    known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
+    known_state.store_failed(secs(10.0));
+    known_state.apply_target_listing(listed(&[]), secs(15.0));
+    assert_eq!(known_state.remove_target(&"t-1".into(), secs(20.0)), Removal::Gone);
     assert!(usable(&mut known_state).is_empty());
 }
 
@@ -98,17 +98,17 @@
 #[test]
 fn draining_and_evacuated_targets_are_not_usable() {
     let mut known_state = KnownState::default();
-    known_state.list(listed(&["t-1"]), secs(1.0));
-    known_state.write(entry("t-2", "north-b"), region(), secs(1.0));
+    known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
+    known_state.apply_target(entry("t-2", "north-b"), region(), secs(1.0));
     let before = known_state.stamp();
     let draining = crate::entry::TargetEntry { ready: false, ..entry("t-1", "north-a") };
-    assert!(known_state.write(draining, region(), secs(2.0)));
+    assert!(known_state.apply_target(draining, region(), secs(2.0)));
     assert_eq!(usable(&mut known_state), ["t-2"]);
-    assert!(known_state.evacuate("north-b".into(), true, secs(1.0)));
+    assert!(known_state.set_evacuated("north-b".into(), true, secs(1.0)));
     assert!(usable(&mut known_state).is_empty());
     assert_ne!(known_state.stamp().targets, before.targets);
     assert_ne!(known_state.stamp().evacuations, before.evacuations);
-    assert!(known_state.evacuate("north-b".into(), false, secs(2.0)));
+    assert!(known_state.set_evacuated("north-b".into(), false, secs(2.0)));
     assert_eq!(usable(&mut known_state), ["t-2"]);
 }
 
@@ -116,11 +116,11 @@
 #[test]
 fn the_same_id_started_again_is_another_target() {
     let mut known_state = KnownState::default();
-    known_state.list(listed(&["t-1"]), secs(1.0));
+    known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
     let tag = |known_state: &mut KnownState| usable_targets(known_state)[0].tag;
     let before = tag(&mut known_state);
     let again = crate::entry::TargetEntry { started: 2, ..entry("t-1", "north-a") };
-    assert!(known_state.write(again, region(), secs(2.0)));
+    assert!(known_state.apply_target(again, region(), secs(2.0)));
     assert_ne!(tag(&mut known_state), before);
 }
 
@@ -129,16 +129,19 @@
 #[test]
 fn an_entry_that_is_read_again_stays_cold_no_longer() {
     let mut known_state = KnownState::default();
-    let cold = crate::entry::TargetEntry { cold: secs(3.0), ..entry("t-1", "north-a") };
+    let cold = crate::entry::TargetEntry { cold_for: secs(3.0), ..entry("t-1", "north-a") };
     let is_cold = |known_state: &mut KnownState, now| usable_targets(known_state)[0].is_cold(now);
-    known_state.list(vec![(cold.clone(), region())], secs(1.0));
+    known_state.apply_target_listing(vec![(cold.clone(), region())], secs(1.0));
     assert_eq!(
-        known_state.list(vec![(cold.clone(), region())], secs(3.0)),
+        known_state.apply_target_listing(vec![(cold.clone(), region())], secs(3.0)),
         TargetChanges::default()
     );
     assert!(is_cold(&mut known_state, secs(3.9)) && !is_cold(&mut known_state, secs(4.0)));
-    let colder = crate::entry::TargetEntry { cold: secs(2.0), ..cold };
-    assert_eq!(known_state.list(vec![(colder, region())], secs(5.0)), TargetChanges::default());
+    let colder = crate::entry::TargetEntry { cold_for: secs(2.0), ..cold };
+    assert_eq!(
+        known_state.apply_target_listing(vec![(colder, region())], secs(5.0)),
+        TargetChanges::default()
+    );
     assert!(is_cold(&mut known_state, secs(6.9)) && !is_cold(&mut known_state, secs(7.0)));
 }
 
@@ -147,35 +150,39 @@
 /// taken for cold, however a host learns of the return.
 #[test]
 fn targets_of_a_zone_that_was_taken_back_are_taken_for_cold() {
-    let rules = ServiceRules { cold_rate: 4.7, cold_start: Some(secs(2.5)), connections: 9 };
+    let rules = ServiceRules { cold_rate: 4.7, cold_start: Some(secs(2.5)), max_connections: 9 };
     let services = BTreeMap::from([("desk".into(), rules)]);
     type Return = fn(&mut KnownState);
     let ways: [Return; 2] = [
-        |known_state| assert!(known_state.evacuate("north-a".into(), false, secs(9.0))),
+        |known_state| assert!(known_state.set_evacuated("north-a".into(), false, secs(9.0))),
         |known_state| {
-            let changes = known_state.evacuations(Default::default(), secs(9.0));
+            let changes = known_state.apply_evacuation_listing(Default::default(), secs(9.0));
             assert_eq!(changes.taken_back, [ZoneId::from("north-a")]);
         },
     ];
     for take_back in ways {
         let mut known_state = KnownState::default();
-        known_state.declare(Declared {
+        known_state.apply_declaration(Declaration {
             services: services.clone(),
             version: 1,
-            ..Declared::default()
+            ..Declaration::default()
         });
-        known_state.list(listed(&["t-1"]), secs(1.0));
-        known_state.write(entry("t-2", "north-b"), region(), secs(1.0));
+        known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
+        known_state.apply_target(entry("t-2", "north-b"), region(), secs(1.0));
         let cold = |known_state: &mut KnownState, now| -> Vec<String> {
             let usable = usable_targets(known_state);
             let cold = usable.iter().filter(|known| known.is_cold(now));
             cold.map(|known| known.entry.id.to_string()).collect()
         };
-        assert!(known_state.evacuate("north-a".into(), true, secs(2.0)));
+        assert!(known_state.set_evacuated("north-a".into(), true, secs(2.0)));
         take_back(&mut known_state);
         assert_eq!(cold(&mut known_state, secs(9.0)), ["t-1"]);
         // An older word that says nothing of cold does not end it.
-        known_state.write(TargetEntry { slots: 4, ..entry("t-1", "north-a") }, region(), secs(9.5));
+        known_state.apply_target(
+            TargetEntry { slots: 4, ..entry("t-1", "north-a") },
+            region(),
+            secs(9.5),
+        );
         assert_eq!(cold(&mut known_state, secs(11.4)), ["t-1"]);
         assert!(cold(&mut known_state, secs(11.6)).is_empty());
     }
@@ -187,22 +194,22 @@
 #[test]
 fn a_removal_right_after_an_outage_waits() {
     let mut known_state = KnownState::default();
-    known_state.list(listed(&["t-1", "t-2", "t-3"]), secs(1.0));
-    known_state.lost(secs(10.0));
-    assert!(known_state.reached(secs(15.0)));
+    known_state.apply_target_listing(listed(&["t-1", "t-2", "t-3"]), secs(1.0));
+    known_state.store_failed(secs(10.0));
+    assert!(known_state.store_answered(secs(15.0)));
     for id in ["t-1", "t-2"] {
-        assert_eq!(known_state.remove(&id.into(), secs(15.1)), Removal::Kept);
+        assert_eq!(known_state.remove_target(&id.into(), secs(15.1)), Removal::Kept);
     }
-    known_state.write(entry("t-1", "north-a"), region(), secs(16.9));
+    known_state.apply_target(entry("t-1", "north-a"), region(), secs(16.9));
     assert_eq!(usable(&mut known_state), ["t-1", "t-2", "t-3"]);
-    assert_eq!(known_state.tick(secs(17.3)), [TargetId::from("t-2")]);
+    assert_eq!(known_state.expire_lapsed(secs(17.3)), [TargetId::from("t-2")]);
     assert_eq!(usable(&mut known_state), ["t-1", "t-3"]);
-    assert_eq!(known_state.remove(&"t-3".into(), secs(17.3)), Removal::Gone);
-    assert_eq!(known_state.remove(&"t-9".into(), secs(17.3)), Removal::Unknown);
+    assert_eq!(known_state.remove_target(&"t-3".into(), secs(17.3)), Removal::Gone);
+    assert_eq!(known_state.remove_target(&"t-9".into(), secs(17.3)), Removal::Unknown);
     // A short silence can't have let an entry lapse.
-    known_state.lost(secs(20.0));
-    assert!(!known_state.reached(secs(21.0)));
-    assert_eq!(known_state.remove(&"t-1".into(), secs(21.0)), Removal::Gone);
+    known_state.store_failed(secs(20.0));
+    assert!(!known_state.store_answered(secs(21.0)));
+    assert_eq!(known_state.remove_target(&"t-1".into(), secs(21.0)), Removal::Gone);
 }
 
 /// Hundreds of targets, one of which drains, and the host looks at all of them ten times a second.
@@ -213,13 +220,13 @@
     let ids: Vec<String> = (0..900).map(|at| format!("t-{at:03}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut known_state = KnownState::default();
-    known_state.list(listed(&ids), secs(1.0));
+    known_state.apply_target_listing(listed(&ids), secs(1.0));
     let other = TargetEntry { service: "hall".into(), ..entry("u-1", "north-a") };
-    known_state.write(other, region(), secs(1.0));
-    let before = known_state.usable().clone();
+    known_state.apply_target(other, region(), secs(1.0));
+    let before = known_state.usable_targets().clone();
     let draining = TargetEntry { ready: false, ..entry("t-500", "north-a") };
-    known_state.write(draining.clone(), region(), secs(2.0));
-    let after = known_state.usable().clone();
+    known_state.apply_target(draining.clone(), region(), secs(2.0));
+    let after = known_state.usable_targets().clone();
     let hall = ServiceId::from("hall");
     assert!(Arc::ptr_eq(&before[&hall], &after[&hall]), "a service without a change is kept");
     let kept = |known: &&Arc<KnownTarget>| {
@@ -231,14 +238,14 @@
     // Whatever the order in which hosts hear of targets, the same targets give the same stamp.
     let mut backwards = KnownState::default();
     for id in ids.iter().rev().filter(|id| **id != "t-500") {
-        backwards.write(entry(id, "north-a"), region(), secs(1.0));
+        backwards.apply_target(entry(id, "north-a"), region(), secs(1.0));
     }
-    backwards.write(
+    backwards.apply_target(
         TargetEntry { service: "hall".into(), ..entry("u-1", "north-a") },
         region(),
         secs(1.0),
     );
     assert_ne!(backwards.stamp(), known_state.stamp());
-    backwards.write(draining, region(), secs(1.0));
+    backwards.apply_target(draining, region(), secs(1.0));
     assert_eq!(backwards.stamp(), known_state.stamp());
 }
--- a/src/entry/tests/propagation.rs
+++ b/src/entry/tests/propagation.rs
@@ -8,9 +8,9 @@
 use super::secs;
 use crate::{
     entry::{
-        Part, Revisions, Stamp,
-        questions::{QuestionEnd, Questions},
-        sync::{ANSWERS_MOST, AnswerCache, QUERY_TIMEOUT, RawObjects, ReceivedState},
+        Revisions, Stamp, StorePart,
+        peer_queries::{PeerQueries, QueryOutcome},
+        sync::{MAX_CONCURRENT_RESPONSES, QUERY_TIMEOUT, RawObjects, ReceivedState, ResponseCache},
     },
     fleet::Informed,
     prelude::*,
@@ -40,7 +40,7 @@
     at: Moment,
     name: Arc<str>,
     object: bytes::Bytes,
-    part: Part,
+    part: StorePart,
     revision: u64,
 }
 
@@ -58,12 +58,12 @@
 }
 
 struct Host {
-    answers: AnswerCache,
+    answers: ResponseCache,
     busy_until: Moment,
     incoming: VecDeque<Answer>,
     link_free: Moment,
     queries: VecDeque<Query>,
-    questions: Questions,
+    questions: PeerQueries,
     /// Arrival times of its answers in transit.
     sending: Vec<Moment>,
     raw: RawObjects,
@@ -86,21 +86,21 @@
         self.saw(change.part, change.revision);
     }
 
-    fn saw(&mut self, part: Part, revision: u64) {
+    fn saw(&mut self, part: StorePart, revision: u64) {
         match part {
-            Part::Declared => self.revisions.declared = revision,
-            Part::Evacuations => self.revisions.evacuations = revision,
-            Part::Targets => self.revisions.targets = revision,
+            StorePart::Declared => self.revisions.declared = revision,
+            StorePart::Evacuations => self.revisions.evacuations = revision,
+            StorePart::Targets => self.revisions.targets = revision,
         }
     }
 
     fn learn(&mut self, received: &ReceivedState, since: Revisions) {
-        for difference in &received.difference.parts {
+        for difference in &received.diff.parts {
             let (part, revision) = (difference.part, difference.revision);
             if revision <= self.revisions.of(part) {
                 continue;
             }
-            let objects = difference.applied(&self.raw);
+            let objects = difference.apply_to(&self.raw);
             self.raw.retain(|(kept, _), _| *kept != part);
             for (name, version, object) in objects {
                 self.raw.insert((part, name), (version, object));
@@ -113,9 +113,9 @@
     /// Answers the next query; returns it with the answer and the time of its arrival.
     fn answer_next(&mut self, now: Moment) -> Option<(Query, Moment, bytes::Bytes)> {
         let query = self.queries.pop_front()?;
-        let before = self.answers.packed_bytes();
-        let packed = self.answers.packed(&self.raw, self.revisions, query.since).expect("packed");
-        let work = (self.answers.packed_bytes() - before) as f64 / PACKED_PER_S;
+        let before = self.answers.compressed_bytes();
+        let packed = self.answers.response(&self.raw, self.revisions, query.since).expect("packed");
+        let work = (self.answers.compressed_bytes() - before) as f64 / PACKED_PER_S;
         self.busy_until = now + Duration::from_secs_f64(work);
         let sent = Duration::from_secs_f64(packed.len() as f64 / LINK_PER_S);
         self.link_free = self.link_free.max(self.busy_until) + sent;
@@ -138,12 +138,12 @@
 impl Region {
     fn new(count: usize, changes: Vec<Change>) -> Self {
         let host = |at| Host {
-            answers: AnswerCache::default(),
+            answers: ResponseCache::default(),
             busy_until: Moment::ZERO,
             incoming: VecDeque::new(),
             link_free: Moment::ZERO,
             queries: VecDeque::new(),
-            questions: Questions::new(addr(at)),
+            questions: PeerQueries::new(addr(at)),
             raw: RawObjects::new(),
             revisions: Revisions::default(),
             sending: Vec::new(),
@@ -161,7 +161,7 @@
         let (near, far): (Vec<usize>, Vec<usize>) =
             (0..self.hosts.len()).filter(|at| *at != of).partition(|at| at % 2 == of % 2);
         let mut informed: Vec<Informed> = near.into_iter().map(informed_host).collect();
-        for part in [Part::Declared, Part::Targets] {
+        for part in [StorePart::Declared, StorePart::Targets] {
             let most = far.iter().max_by_key(|at| self.hosts[**at].announced.revisions.of(part));
             informed.extend(most.map(|at| informed_host(*at)));
         }
@@ -205,19 +205,19 @@
             }
             host.pending = None;
             let end = match answer.packed {
-                Some(_) => QuestionEnd::Answered,
-                None => QuestionEnd::Busy,
+                Some(_) => QueryOutcome::Answered,
+                None => QueryOutcome::Busy,
             };
-            host.questions.ended(addr(answer.from), end, now);
+            host.questions.record_outcome(addr(answer.from), end, now);
             if let Some(packed) = answer.packed {
-                host.learn(&ReceivedState::unpack(&packed).expect("an answer"), answer.since);
+                host.learn(&ReceivedState::decode(&packed).expect("an answer"), answer.since);
             }
         }
         if let Some((queried, since)) = host.pending
             && QUERY_TIMEOUT <= now.saturating_sub(since)
         {
             host.pending = None;
-            host.questions.ended(addr(queried), QuestionEnd::Failed, now);
+            host.questions.record_outcome(addr(queried), QueryOutcome::Failed, now);
         }
     }
 
@@ -238,7 +238,8 @@
         let informed = self.informed(at);
         let others = informed.into_iter().map(|informed| (&region, informed));
         let (mine, watches, now) = (self.hosts[at].stamp(), at < WATCHERS.len(), self.now);
-        let Some(queried) = self.hosts[at].questions.next(&mine, others, &region, watches, now)
+        let Some(queried) =
+            self.hosts[at].questions.next_peer(&mine, others, &region, watches, now)
         else {
             return;
         };
@@ -246,7 +247,7 @@
         self.hosts[at].pending = Some((queried, now));
         let other = &mut self.hosts[queried];
         other.sending.retain(|arrives| now < *arrives);
-        if ANSWERS_MOST <= other.queries.len() + other.sending.len() {
+        if MAX_CONCURRENT_RESPONSES <= other.queries.len() + other.sending.len() {
             let since = mine.revisions;
             let refusal = Answer { at: now + STEP, from: queried, since, packed: None };
             return self.hosts[at].incoming.push_back(refusal);
@@ -287,14 +288,14 @@
         at: secs(2.0) + Duration::from_millis(500 * at),
         name: format!("t-{at}").into(),
         object: format!(r#"{{"name":"t-{at}","state":"ready","slots":4}}"#).into(),
-        part: Part::Targets,
+        part: StorePart::Targets,
         revision: 10 + at,
     };
     let declare = |at: f64, revision| Change {
         at: secs(at),
         name: "main".into(),
         object: declared(revision),
-        part: Part::Declared,
+        part: StorePart::Declared,
         revision,
     };
     (0..30).map(target).chain([declare(1.0, 1), declare(6.25, 22), declare(8.6, 27)]).collect()
--- a/src/entry/tests/settings_file.rs
+++ b/src/entry/tests/settings_file.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 
 use crate::{
-    entry::{Look, SettingsFile, reloaded},
+    entry::{SettingsChange, SettingsFile, reload_event},
     event_log::{Event, ReloadEnd},
     prelude::*,
 };
@@ -28,30 +28,30 @@
     let path = TempFile(std::env::temp_dir().join(name));
     fs::write(&path.0, &text).expect("a temporary file");
     let (mut file, before) = SettingsFile::open(&path.0).expect("the example is read");
-    assert_matches!(file.look(), Look::Unchanged);
+    assert_matches!(file.check(), SettingsChange::Unchanged);
 
     let changed = text.replace("max_shift: 0.15", "max_shift: 0.25");
     assert_ne!(changed, text, "the example names the bound");
     fs::write(&path.0, &changed).expect("a temporary file");
-    let after = assert_matches!(file.look(), Look::Changed(settings) => settings);
+    let after = assert_matches!(file.check(), SettingsChange::Changed(settings) => settings);
     assert_eq!((before.bounds.max_shift, after.bounds.max_shift), (0.15, 0.25));
     assert!(after.fixed_changes(&before).is_empty());
-    assert_matches!(file.look(), Look::Unchanged);
+    assert_matches!(file.check(), SettingsChange::Unchanged);
 
     fs::write(&path.0, "host: [").expect("a temporary file");
-    assert_matches!(file.look(), Look::Unreadable(_));
-    assert_matches!(file.look(), Look::Unchanged);
+    assert_matches!(file.check(), SettingsChange::Unreadable(_));
+    assert_matches!(file.check(), SettingsChange::Unchanged);
     fs::remove_file(&path.0).expect("the file is there");
-    assert_matches!(file.look(), Look::Unreadable(_));
-    assert_matches!(file.look(), Look::Unchanged);
+    assert_matches!(file.check(), SettingsChange::Unreadable(_));
+    assert_matches!(file.check(), SettingsChange::Unchanged);
     fs::write(&path.0, &changed).expect("a temporary file");
-    assert_matches!(file.look(), Look::Changed(_));
+    assert_matches!(file.check(), SettingsChange::Changed(_));
 }
 
 /// The line names what counts at the next start only.
 #[test]
 fn what_waits_for_the_next_start_is_named() {
-    let event = reloaded(ReloadEnd::InForce, &["listen", "zone"]);
+    let event = reload_event(ReloadEnd::InForce, &["listen", "zone"]);
     let detail = assert_matches!(event, Event::Reloaded { detail, .. } => detail);
     assert_eq!(detail, Arc::from("at the next start: listen, zone"));
 }
--- a/src/entry/tests/targets.rs
+++ b/src/entry/tests/targets.rs
@@ -4,7 +4,7 @@
 use crate::{
     admission::RetryBudget,
     base::ManualClock,
-    entry::{CrashSuspects, LiveHost, Repeat, Route, TrafficState, traffic_state::allowance},
+    entry::{CrashSuspects, Idempotency, LiveHost, Route, TrafficState, traffic_state::allowance},
     event_log::NoEvents,
     placement::{ColdRates, Condition, Ended, Slowness, is_sender},
     platform::{PlatformProtocol, standin::loopback_settings},
@@ -198,14 +198,14 @@
     let (protocol, events) = (Arc::new(PlatformProtocol), Arc::new(NoEvents));
     let state = TrafficState::open(Arc::new(settings), bounds, clock, protocol, view, events);
     let route = |host: &str, weights: [f64; 2]| Route {
-        attempts: 1,
+        max_attempts: 1,
         key: format!("{host}/a/").into(),
         objective: secs(1.0),
         prefix: "/a/".into(),
         priority: 0,
         public: false,
-        regions: Vec::new(),
-        repeat: Repeat::Idempotent,
+        allowed_regions: Vec::new(),
+        idempotency: Idempotency::Idempotent,
         split: vec![("s".into(), weights[0]), ("t".into(), weights[1])],
         sticky: true,
         timeout: secs(1.0),
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwap;
 
 use super::{
-    Bounds, CrashSuspects, DeclaredVersion, EntrySettings, KnownTarget, Pool, Protocol, Route,
+    Bounds, CrashSuspects, DeclarationVersion, EntrySettings, KnownTarget, Pool, Protocol, Route,
     Team, View, ViewCell, bodies::BodyMemory, place::region_loads, service_state::ServiceState,
     upstream::connect,
 };
@@ -67,7 +67,7 @@
     pub pool: RefCell<Pool>,
     quota: RefCell<Box<dyn Quota>>,
     /// Version of the declaration whose limits are in force, and time of the view last applied.
-    quota_version: Cell<DeclaredVersion>,
+    quota_version: Cell<DeclarationVersion>,
     quota_view_at: Cell<Moment>,
     /// Fingerprints of requests in attempt, by target.
     running: RefCell<HashMap<u32, Vec<u64>>>,
@@ -205,8 +205,8 @@
             let limits = declared.teams.iter().filter_map(limit).collect();
             self.quota.borrow_mut().set_limits(&limits, now);
         }
-        if self.quota_view_at.get() < view.at {
-            self.quota_view_at.set(view.at);
+        if self.quota_view_at.get() < view.published_at {
+            self.quota_view_at.set(view.published_at);
             let live_hosts = view.hosts.len().max(1);
             let peers = PeerState {
                 started_earlier: view.peers_started_earlier,
@@ -332,12 +332,12 @@
 
     /// Takes in what other hosts told of the objects that they asked targets for.
     fn hear_runs(&self, view: &View) {
-        if view.at <= self.heard_runs.get() || !self.tuning.told_runs {
+        if view.published_at <= self.heard_runs.get() || !self.tuning.told_runs {
             return;
         }
-        self.heard_runs.set(view.at);
+        self.heard_runs.set(view.published_at);
         let mut held = self.held.borrow_mut();
-        for (target, object) in &view.runs {
+        for (target, object) in &view.recent_objects {
             held.touched(*target, *object);
         }
     }
@@ -419,7 +419,7 @@
         let now = self.clock.now();
         let sent = self.sent.borrow_mut().counts(now);
         let view = self.view();
-        let told = |tag| view.as_ref().and_then(|view| view.slow.get(tag).copied());
+        let told = |tag| view.as_ref().and_then(|view| view.slow_targets.get(tag).copied());
         let slow =
             conditions.iter().filter_map(|(tag, it)| Some((*tag, it.slowness(told(tag), now)?)));
         let slow = slow.collect();
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -4,7 +4,7 @@
 
 use arc_swap::ArcSwapOption;
 
-use super::{Declared, UsableTargets};
+use super::{Declaration, UsableTargets};
 use crate::{
     placement::{NameTag, ObjectTag, RegionSent, Slowness, TargetTag},
     prelude::*,
@@ -15,8 +15,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// When it was published.
-    pub at: Moment,
-    pub declared: Option<Arc<Declared>>,
+    pub published_at: Moment,
+    pub declared: Option<Arc<Declaration>>,
     /// When the declaration was last confirmed to be the latest in the store; `None` if it never was,
     /// or another host knows a later one.
     pub declared_checked_at: Option<Moment>,
@@ -27,17 +27,17 @@
     /// Other living hosts and this one, by region and name.
     pub hosts: Vec<LiveHost>,
     /// Requests that other hosts have in attempt, by target's tag.
-    pub elsewhere: HashMap<u32, u32>,
+    pub in_flight_elsewhere: HashMap<u32, u32>,
     /// Busy slots asked for, by region and hash of the service; this host's share is left out.
     pub demand: HashMap<(RegionId, u32), f64>,
     /// Crashes that other hosts saw, by fingerprint.
     pub crashes: HashMap<u64, u8>,
     /// Objects that other hosts lately asked targets for.
-    pub runs: Vec<(TargetTag, ObjectTag)>,
+    pub recent_objects: Vec<(TargetTag, ObjectTag)>,
     /// What other hosts of the own region sent to each region.
     pub sent: RegionSent,
     /// What other hosts tell of slow targets.
-    pub slow: HashMap<TargetTag, Slowness>,
+    pub slow_targets: HashMap<TargetTag, Slowness>,
     pub targets: UsableTargets,
     /// Requests of teams that other hosts reported.
     pub team_counts: BTreeMap<NameTag, TeamCounts>,
--- a/src/entry/watchers.rs
+++ b/src/entry/watcher_election.rs
@@ -9,32 +9,32 @@
 use crate::{fleet::Peer, prelude::*};
 
 /// Watchers in a region: while one is lost unnoticed, the other still tells.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_REGION: usize = 2;
 
 /// Time for which a host goes on watching when others seem to be enough: who lives changes often
 /// right after a start.
-const LINGER: Duration = Duration::from_secs(3);
+const STEP_DOWN_DELAY: Duration = Duration::from_secs(3);
 
 /// Time after a start in which it does not go on: all that start at once would watch.
-const NEW: Duration = Duration::from_millis(1_500);
+const STARTUP_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Time after which a host that did not reach the store may be chosen again.
-const UNREACHED: Duration = Duration::from_secs(8);
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(8);
 
 /// Whether this host watches.
 #[derive(Debug, Default)]
 pub struct WatcherElection {
-    is_on: bool,
-    is_second: bool,
-    lost_at: Option<Moment>,
-    spare_since: Option<Moment>,
-    started: Moment,
+    is_watcher: bool,
+    is_standby: bool,
+    store_lost_at: Option<Moment>,
+    surplus_since: Option<Moment>,
+    started_at: Moment,
 }
 
 impl WatcherElection {
     /// A host that starts now.
     pub fn new(now: Moment) -> Self {
-        Self { started: now, ..Self::default() }
+        Self { started_at: now, ..Self::default() }
     }
 
     /// Decides anew; `peers` are the living hosts of all regions.
@@ -45,44 +45,44 @@
         peers: impl Iterator<Item = &'a Peer>,
         now: Moment,
     ) -> bool {
-        let weight = |host: &HostId| (xxh3_64(host.as_bytes()), host.clone());
-        let own = weight(host);
-        let before = peers.filter(|peer| {
-            peer.region == *region && peer.note.reaches_store && own < weight(&peer.note.host)
+        let rank = |host: &HostId| (xxh3_64(host.as_bytes()), host.clone());
+        let own = rank(host);
+        let ahead = peers.filter(|peer| {
+            peer.region == *region && peer.note.reaches_store && own < rank(&peer.note.host)
         });
-        let better = before.take(WATCHERS).count();
-        let needed = better < WATCHERS;
-        self.is_second = 0 < better;
-        if needed {
-            self.is_on = true;
-            self.spare_since = None;
-        } else if self.is_on {
-            let since = *self.spare_since.get_or_insert(now);
-            let is_new = now.saturating_sub(self.started) < NEW;
-            self.is_on = !is_new && now.saturating_sub(since) < LINGER;
+        let ranked_ahead = ahead.take(WATCHERS_PER_REGION).count();
+        let is_elected = ranked_ahead < WATCHERS_PER_REGION;
+        self.is_standby = 0 < ranked_ahead;
+        if is_elected {
+            self.is_watcher = true;
+            self.surplus_since = None;
+        } else if self.is_watcher {
+            let since = *self.surplus_since.get_or_insert(now);
+            let is_starting = now.saturating_sub(self.started_at) < STARTUP_PERIOD;
+            self.is_watcher = !is_starting && now.saturating_sub(since) < STEP_DOWN_DELAY;
         }
-        self.is_on
+        self.is_watcher
     }
 
     /// Whether another host of the region watches in the first place. It stands by for the first
     /// one's loss and may be later with all that it is told.
-    pub fn is_second(&self) -> bool {
-        self.is_second
+    pub fn is_standby(&self) -> bool {
+        self.is_standby
     }
 
     /// The store answered.
-    pub fn reached(&mut self) {
-        self.lost_at = None;
+    pub fn store_answered(&mut self) {
+        self.store_lost_at = None;
     }
 
     /// The store did not answer.
-    pub fn lost(&mut self, now: Moment) {
-        self.lost_at.get_or_insert(now);
+    pub fn store_failed(&mut self, now: Moment) {
+        self.store_lost_at.get_or_insert(now);
     }
 
     /// Whether the store is thought to answer this host.
     pub fn reaches_store(&self, now: Moment) -> bool {
-        let long_ago = |at: Moment| UNREACHED <= now.saturating_sub(at) && !self.is_on;
-        self.lost_at.is_none_or(long_ago)
+        let long_ago = |at: Moment| STORE_RETRY_DELAY <= now.saturating_sub(at) && !self.is_watcher;
+        self.store_lost_at.is_none_or(long_ago)
     }
 }
--- a/src/event_log/event.rs
+++ b/src/event_log/event.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     base::{ErrorKind, Ran},
-    entry::{DeclaredVersion, Part},
+    entry::{DeclarationVersion, StorePart},
     prelude::*,
 };
 
@@ -65,17 +65,17 @@
     CrashCounted { crashes: u8, fingerprint: u64, target: TargetId },
     /// A declaration took the place of an older one.
     DeclarationInForce {
-        before: DeclaredVersion,
+        before: DeclarationVersion,
         routes: usize,
         source: Source,
         /// The store's version up to which declarations are known.
         store_version: u64,
-        version: DeclaredVersion,
+        version: DeclarationVersion,
     },
     /// A declaration was not taken, since a newer one is in force.
-    DeclarationStale { known: DeclaredVersion, source: Source, version: DeclaredVersion },
+    DeclarationStale { known: DeclarationVersion, source: Source, version: DeclarationVersion },
     /// An object of the store could not be read.
-    EntryUnreadable { name: Arc<str>, part: Part, reason: Arc<str>, source: Source },
+    EntryUnreadable { name: Arc<str>, part: StorePart, reason: Arc<str>, source: Source },
     /// Another host was heard, first or again.
     HostHeard { peer: HostId, zone: ZoneId },
     /// Another host fell silent.
@@ -95,7 +95,7 @@
         /// The target that it should have gone to, which is too crowded.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         crowded: Option<TargetId>,
-        declaration: DeclaredVersion,
+        declaration: DeclarationVersion,
         error: ErrorKind,
         /// Expected time of the answer there.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -119,7 +119,7 @@
     },
     /// A request was refused before a target was looked for.
     Refused {
-        declaration: DeclaredVersion,
+        declaration: DeclarationVersion,
         error: ErrorKind,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         retry_after_ms: Option<u64>,
@@ -138,7 +138,7 @@
         /// Which attempt it is, from 1.
         attempt: u32,
         cold: bool,
-        declaration: DeclaredVersion,
+        declaration: DeclarationVersion,
         /// Expected time of the answer.
         expected_ms: u64,
         /// How likely the target was taken to know the object, in percent; 100 without an object.
@@ -164,9 +164,9 @@
     /// A planned stop begins.
     Stopping { grace_ms: u64, open: usize },
     /// The store does not answer.
-    StoreLost { part: Part, reason: Arc<str> },
+    StoreLost { part: StorePart, reason: Arc<str> },
     /// The store answers again.
-    StoreRegained { away_ms: u64, part: Part },
+    StoreRegained { away_ms: u64, part: StorePart },
     /// The host gets too little of its processor, or enough again.
     StrainChanged { delay_ms: u64, is_strained: bool },
     /// A large answer broke off after its head had gone out.
@@ -174,7 +174,7 @@
     /// A request was accepted.
     Taken {
         body_bytes: usize,
-        declaration: DeclaredVersion,
+        declaration: DeclarationVersion,
         /// Hash of method, path and body: the same for a caller's copies.
         fingerprint: u64,
         idempotent: bool,
--- a/src/event_log/tests.rs
+++ b/src/event_log/tests.rs
@@ -180,7 +180,7 @@
 /// The name in a line is the kind's.
 #[test]
 fn a_line_names_its_kind() {
-    let event = Event::StoreRegained { away_ms: 5, part: crate::entry::Part::Targets };
+    let event = Event::StoreRegained { away_ms: 5, part: crate::entry::StorePart::Targets };
     let kind = event.kind().name();
     let value = serde_json::to_value(&event).expect("it has a form");
     assert_eq!(value["event"], kind);
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -7,7 +7,7 @@
     Rotation, ZoneReport,
 };
 use crate::{
-    entry::{DeclaredVersion, Part, Stamp},
+    entry::{DeclarationVersion, Stamp, StorePart},
     prelude::*,
 };
 
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DeclaredCheck {
     pub at: Moment,
-    pub version: DeclaredVersion,
+    pub version: DeclarationVersion,
 }
 
 impl DeclaredCheck {
@@ -383,7 +383,7 @@
     fn best_informed(&self, now: Moment) -> Vec<Informed> {
         let own = Informed { control: self.parts.control, stamp: self.own.stamp };
         let mut best: Vec<Informed> = Vec::new();
-        for part in Part::ALL {
+        for part in StorePart::ALL {
             let others = self.zone_peers(now).filter_map(|peer| {
                 Some(Informed { control: peer.note.control, stamp: peer.stamp? })
             });
--- a/src/fleet/messages.rs
+++ b/src/fleet/messages.rs
@@ -2,7 +2,7 @@
 
 use super::Load;
 use crate::{
-    entry::{DeclaredVersion, Stamp},
+    entry::{DeclarationVersion, Stamp},
     prelude::*,
 };
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DeclaredCheckAge {
     pub age_ms: u32,
-    pub version: DeclaredVersion,
+    pub version: DeclarationVersion,
 }
 
 /// What a host tells those of its zone, several times a second; to a host of another zone it is a
--- a/src/measure/placement.rs
+++ b/src/measure/placement.rs
@@ -10,7 +10,7 @@
 use crate::{
     base::ManualClock,
     entry::{
-        KnownTarget, PlacementRequest, Repeat, Route, Search, TargetEntry, TrafficState, View,
+        Idempotency, KnownTarget, PlacementRequest, Route, Search, TargetEntry, TrafficState, View,
     },
     event_log::NoEvents,
     placement::Forecast,
@@ -73,7 +73,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..(targets as f64 * RUNNING_A_TARGET) as usize {
             let at = rng.random_range(0..targets);
-            *view.elsewhere.entry(known[at].tag).or_default() += 1;
+            *view.in_flight_elsewhere.entry(known[at].tag).or_default() += 1;
         }
         view.targets.insert(service(), known);
         let objects = (targets as f64 * OBJECTS_A_TARGET).ceil() as u32;
@@ -139,7 +139,7 @@
 fn target(at: usize) -> Arc<KnownTarget> {
     let entry = TargetEntry {
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         id: format!("t-{at}").into(),
         ready: true,
         service: service(),
@@ -154,14 +154,14 @@
 
 fn route() -> Route {
     Route {
-        attempts: 2,
+        max_attempts: 2,
         key: "host/desk/".into(),
         objective: Duration::from_millis(800),
         prefix: "/desk/".into(),
         priority: 0,
         public: false,
-        regions: Vec::new(),
-        repeat: Repeat::Idempotent,
+        allowed_regions: Vec::new(),
+        idempotency: Idempotency::Idempotent,
         split: vec![(service(), 1.0)],
         sticky: true,
         timeout: Duration::from_secs(2),
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -22,7 +22,7 @@
 fn known(id: &str, region: &str) -> Arc<KnownTarget> {
     let entry = TargetEntry {
         addr: "127.0.0.1:1".parse().expect("an address"),
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         id: id.into(),
         ready: true,
         service: "desk".into(),
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -3,8 +3,8 @@
 use crate::{
     base::span_text,
     entry::{
-        Declared, KeyDigest, Repeat, Route, ServiceRules, Team, TeamError, TeamLimit, Teams,
-        Unreadable,
+        Declaration, DecodeError, Idempotency, KeyDigest, Route, ServiceRules, Team, TeamError,
+        TeamLimit, Teams,
     },
     prelude::*,
 };
@@ -120,12 +120,12 @@
 }
 
 /// Reads the configuration.
-pub fn read(object: &[u8]) -> Result<Declared, Unreadable> {
+pub fn read(object: &[u8]) -> Result<Declaration, DecodeError> {
     let object: Object =
-        serde_json::from_slice(object).map_err(|error| Unreadable(error.to_string().into()))?;
+        serde_json::from_slice(object).map_err(|error| DecodeError(error.to_string().into()))?;
     let config = object.spec;
     let version = u64::from_str_radix(&config.version, 16)
-        .map_err(|_| Unreadable(format!("`{}` is no version", config.version).into()))?;
+        .map_err(|_| DecodeError(format!("`{}` is no version", config.version).into()))?;
     let mut hosts: BTreeMap<Arc<str>, Vec<Arc<Route>>> = BTreeMap::new();
     for listener in config.listeners {
         let name = listener.hostname.clone();
@@ -137,28 +137,28 @@
         let rules = ServiceRules {
             cold_rate: cluster.cold_per_s,
             cold_start: cluster.cold_start,
-            connections: cluster.max_connections,
+            max_connections: cluster.max_connections,
         };
         (cluster.name, rules)
     };
-    Ok(Declared {
-        body_bytes: config.limits.max_body_bytes,
-        hosts,
-        idle: config.limits.idle_timeout,
+    Ok(Declaration {
+        max_body_bytes: config.limits.max_body_bytes,
+        routes: hosts,
+        idle_timeout: config.limits.idle_timeout,
         services: config.clusters.into_iter().map(rules).collect(),
         teams: teams(config.tenants)?,
         version,
     })
 }
 
-fn teams(tenants: Vec<serde_json::Value>) -> Result<Teams, Unreadable> {
+fn teams(tenants: Vec<serde_json::Value>) -> Result<Teams, DecodeError> {
     let teams = tenants.iter().map(team).collect::<Result<_, _>>()?;
     Teams::new(teams).map_err(unreadable)
 }
 
-fn team(tenant: &serde_json::Value) -> Result<(Team, Vec<KeyDigest>), Unreadable> {
+fn team(tenant: &serde_json::Value) -> Result<(Team, Vec<KeyDigest>), DecodeError> {
     let name: Option<TeamId> = field(tenant, "name", "?")?;
-    let name = name.ok_or_else(|| Unreadable("a team has no `name`".into()))?;
+    let name = name.ok_or_else(|| DecodeError("a team has no `name`".into()))?;
     let api_keys: Vec<String> = field(tenant, "apiKeys", &name)?.unwrap_or_default();
     // Objects received from other hosts hold digests in place of keys.
     let key_digests: Vec<String> = field(tenant, "keyDigests", &name)?.unwrap_or_default();
@@ -171,26 +171,26 @@
     }
     let digest = |text: &String| {
         KeyDigest::parse(text)
-            .ok_or_else(|| Unreadable(format!("team `{name}`: invalid key digest").into()))
+            .ok_or_else(|| DecodeError(format!("team `{name}`: invalid key digest").into()))
     };
     let mut keys: Vec<KeyDigest> = key_digests.iter().map(digest).collect::<Result<_, _>>()?;
     keys.extend(api_keys.iter().map(|key| KeyDigest::of(key.as_bytes())));
     let limit = TeamLimit::new(&name, rate, burst).map_err(unreadable)?;
-    Ok((Team { limit, name, priority, regions }, keys))
+    Ok((Team { limit, name, priority, allowed_regions: regions }, keys))
 }
 
-fn field<T>(tenant: &serde_json::Value, field: &str, team: &str) -> Result<Option<T>, Unreadable>
+fn field<T>(tenant: &serde_json::Value, field: &str, team: &str) -> Result<Option<T>, DecodeError>
 where
     T: serde::de::DeserializeOwned,
 {
     let Some(value) = tenant.get(field) else { return Ok(None) };
     T::deserialize(value)
         .map(Some)
-        .map_err(|_| Unreadable(format!("team `{team}`: `{field}` has the wrong type").into()))
+        .map_err(|_| DecodeError(format!("team `{team}`: `{field}` has the wrong type").into()))
 }
 
-fn unreadable(error: TeamError) -> Unreadable {
-    Unreadable(error.to_string().into())
+fn unreadable(error: TeamError) -> DecodeError {
+    DecodeError(error.to_string().into())
 }
 
 fn route(host: &str, rule: Rule) -> Route {
@@ -201,14 +201,14 @@
     };
     let idempotent = matches!(rule.kind.as_str(), "safe" | "download");
     Route {
-        attempts: action.max_attempts,
+        max_attempts: action.max_attempts,
         key: format!("{host}{}", rule.matches.path_prefix).into(),
         objective: rule.target_latency,
         prefix: rule.matches.path_prefix,
         priority: rule.priority,
         public: rule.public,
-        regions: action.allowed_regions,
-        repeat: if idempotent { Repeat::Idempotent } else { Repeat::Once },
+        allowed_regions: action.allowed_regions,
+        idempotency: if idempotent { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
         split,
         sticky: rule.session_affinity,
         timeout: action.timeout,
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -3,7 +3,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header};
 
 use crate::{
-    entry::{CallerKey, CallerNote, KeyDigest, ReplyNote},
+    entry::{CallerKey, CallerMetadata, KeyDigest, ReplyMetadata},
     prelude::*,
 };
 
@@ -29,10 +29,10 @@
 const OBJECT_COOKIE: &str = "Lavenderplank-Affinity-Key";
 
 /// Reads what a caller says.
-pub fn caller(headers: &HeaderMap) -> CallerNote {
+pub fn caller(headers: &HeaderMap) -> CallerMetadata {
     let left = text(headers, &TIME_LEFT).and_then(|text| text.trim().parse().ok());
-    CallerNote {
-        attempt: text(headers, &ATTEMPT).map(Arc::from),
+    CallerMetadata {
+        attempt_id: text(headers, &ATTEMPT).map(Arc::from),
         key: key(headers),
         object: object(headers),
         time_left: left.map(Duration::from_millis),
@@ -40,13 +40,13 @@
 }
 
 /// Reads what a target says.
-pub fn reply(status: StatusCode, headers: &HeaderMap) -> ReplyNote {
-    ReplyNote {
-        attempt: text(headers, &ATTEMPT).map(Arc::from),
-        cold: text(headers, &COLD).and_then(crate::base::span_text::parse),
+pub fn reply(status: StatusCode, headers: &HeaderMap) -> ReplyMetadata {
+    ReplyMetadata {
+        attempt_id: text(headers, &ATTEMPT).map(Arc::from),
+        cold_for: text(headers, &COLD).and_then(crate::base::span_text::parse),
         load: text(headers, &LOAD).and_then(load),
         not_run: headers.contains_key(&NOT_RUN),
-        other_target: status == StatusCode::MISDIRECTED_REQUEST,
+        wrong_target: status == StatusCode::MISDIRECTED_REQUEST,
         signed: headers.contains_key(&SEAL),
     }
 }
@@ -65,8 +65,8 @@
 }
 
 /// Marks an answer of the host's own.
-pub fn mark_own(headers: &mut HeaderMap, note: &CallerNote) {
-    if let Some(value) = note.attempt.as_ref().and_then(|id| HeaderValue::from_str(id).ok()) {
+pub fn mark_own(headers: &mut HeaderMap, note: &CallerMetadata) {
+    if let Some(value) = note.attempt_id.as_ref().and_then(|id| HeaderValue::from_str(id).ok()) {
         headers.insert(ATTEMPT, value);
     }
 }
--- a/src/platform/keys.rs
+++ b/src/platform/keys.rs
@@ -4,7 +4,7 @@
 use serde_json::value::RawValue;
 
 use crate::{
-    entry::{KeyDigest, Unreadable},
+    entry::{DecodeError, KeyDigest},
     prelude::*,
 };
 
@@ -22,7 +22,7 @@
 }
 
 /// Replaces the keys of all teams by their digests. An object without keys is returned unchanged.
-pub fn without_keys(object: Bytes) -> Result<Bytes, Unreadable> {
+pub fn without_keys(object: Bytes) -> Result<Bytes, DecodeError> {
     let read: Object<'_> = serde_json::from_slice(&object).map_err(unreadable)?;
     let Some(tenants) = read.spec.get("tenants") else { return Ok(object) };
     let tenants: Vec<BTreeMap<&str, &RawValue>> =
@@ -41,8 +41,8 @@
     Ok(serde_json::to_vec(&object).map_err(unreadable)?.into())
 }
 
-fn tenant_without_keys(tenant: Fields<'_>) -> Result<Box<RawValue>, Unreadable> {
-    let texts = |name: &str| -> Result<Vec<String>, Unreadable> {
+fn tenant_without_keys(tenant: Fields<'_>) -> Result<Box<RawValue>, DecodeError> {
+    let texts = |name: &str| -> Result<Vec<String>, DecodeError> {
         let Some(texts) = tenant.get(name) else { return Ok(Vec::new()) };
         serde_json::from_str(texts.get()).map_err(unreadable)
     };
@@ -56,7 +56,7 @@
 }
 
 /// Reports only the position of the error, since the content may be a key.
-fn unreadable(error: serde_json::Error) -> Unreadable {
+fn unreadable(error: serde_json::Error) -> DecodeError {
     let (line, column) = (error.line(), error.column());
-    Unreadable(format!("line {line}, column {column}: invalid JSON or wrong type").into())
+    DecodeError(format!("line {line}, column {column}: invalid JSON or wrong type").into())
 }
--- a/src/platform/protocol.rs
+++ b/src/platform/protocol.rs
@@ -7,7 +7,8 @@
 use crate::{
     base::span_text,
     entry::{
-        CallerNote, Declared, LookupPlace, Protocol, ReplyNote, StoreKeys, TargetEntry, Unreadable,
+        CallerLocation, CallerMetadata, Declaration, DecodeError, Protocol, ReplyMetadata,
+        StorePrefixes, TargetEntry,
     },
     prelude::*,
 };
@@ -19,7 +20,7 @@
 const READY: &str = "/api/ready";
 
 /// Keys in the store. The hosts' kind is the product's own.
-const KEYS: StoreKeys = StoreKeys {
+const KEYS: StorePrefixes = StorePrefixes {
     declared: "config/",
     evacuations: "evacuations/",
     hosts: "lavenderplank-hosts/",
@@ -47,15 +48,15 @@
 }
 
 impl Protocol for PlatformProtocol {
-    fn caller(&self, headers: &HeaderMap) -> CallerNote {
+    fn caller_metadata(&self, headers: &HeaderMap) -> CallerMetadata {
         headers::caller(headers)
     }
 
-    fn reply(&self, status: StatusCode, headers: &HeaderMap) -> ReplyNote {
+    fn reply_metadata(&self, status: StatusCode, headers: &HeaderMap) -> ReplyMetadata {
         headers::reply(status, headers)
     }
 
-    fn mark(
+    fn add_target_headers(
         &self,
         headers: &mut HeaderMap,
         target: &TargetId,
@@ -65,11 +66,11 @@
         headers::mark(headers, target, team, left);
     }
 
-    fn mark_own(&self, headers: &mut HeaderMap, note: &CallerNote) {
+    fn add_own_response_headers(&self, headers: &mut HeaderMap, note: &CallerMetadata) {
         headers::mark_own(headers, note);
     }
 
-    fn lookup(&self, uri: &Uri) -> Option<LookupPlace> {
+    fn parse_lookup(&self, uri: &Uri) -> Option<CallerLocation> {
         if uri.path() != RESOLVE {
             return None;
         }
@@ -77,42 +78,42 @@
             let mut pairs = uri.query().unwrap_or_default().split('&');
             pairs.find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')).unwrap_or_default()
         };
-        Some(LookupPlace { region: value("region").into(), zone: value("zone").into() })
+        Some(CallerLocation { region: value("region").into(), zone: value("zone").into() })
     }
 
-    fn found(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes {
+    fn encode_lookup_response(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes {
         let found = Found { addresses: callers, ttl: span_text::format(ttl) };
         serde_json::to_vec(&found).expect("addresses and a text can be encoded").into()
     }
 
-    fn asks_ready(&self, uri: &Uri) -> bool {
+    fn is_readiness_request(&self, uri: &Uri) -> bool {
         uri.path() == READY
     }
 
-    fn keys(&self) -> StoreKeys {
+    fn store_prefixes(&self) -> StorePrefixes {
         KEYS
     }
 
-    fn declared(&self, object: &[u8]) -> Result<Declared, Unreadable> {
+    fn decode_declaration(&self, object: &[u8]) -> Result<Declaration, DecodeError> {
         config::read(object)
     }
 
-    fn without_keys(&self, object: Bytes) -> Result<Bytes, Unreadable> {
+    fn replace_keys_by_digests(&self, object: Bytes) -> Result<Bytes, DecodeError> {
         keys::without_keys(object)
     }
 
-    fn target(&self, id: &str, object: &[u8]) -> Result<TargetEntry, Unreadable> {
+    fn decode_target(&self, id: &str, object: &[u8]) -> Result<TargetEntry, DecodeError> {
         server::read(id, object)
     }
 
-    fn host_object(&self, gossip: SocketAddr) -> Bytes {
+    fn encode_host(&self, gossip: SocketAddr) -> Bytes {
         let spec = HostSpec { gossip };
         serde_json::to_vec(&spec).expect("an address can be encoded").into()
     }
 
-    fn host(&self, object: &[u8]) -> Result<SocketAddr, Unreadable> {
-        let host: HostObject =
-            serde_json::from_slice(object).map_err(|error| Unreadable(error.to_string().into()))?;
+    fn decode_host(&self, object: &[u8]) -> Result<SocketAddr, DecodeError> {
+        let host: HostObject = serde_json::from_slice(object)
+            .map_err(|error| DecodeError(error.to_string().into()))?;
         Ok(host.spec.gossip)
     }
 }
--- a/src/platform/server.rs
+++ b/src/platform/server.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     base::span_text,
-    entry::{TargetEntry, Unreadable},
+    entry::{DecodeError, TargetEntry},
     prelude::*,
 };
 
@@ -45,8 +45,8 @@
 }
 
 /// Reads one entry. One with anything missing, of another type or unknown names no target to use.
-pub fn read(id: &str, object: &[u8]) -> Result<TargetEntry, Unreadable> {
-    let bad = |text: String| Unreadable(text.into());
+pub fn read(id: &str, object: &[u8]) -> Result<TargetEntry, DecodeError> {
+    let bad = |text: String| DecodeError(text.into());
     let object: Object = serde_json::from_slice(object).map_err(|error| bad(error.to_string()))?;
     let server = object.spec.ok_or_else(|| bad("it says nothing".into()))?;
     let status = object.status.or(server.status).ok_or_else(|| bad("it has no state".into()))?;
@@ -55,7 +55,7 @@
     }
     Ok(TargetEntry {
         addr: server.address,
-        cold: status.cold_remaining,
+        cold_for: status.cold_remaining,
         id: id.into(),
         ready: status.state == State::Ready,
         service: server.info.service,
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -9,7 +9,9 @@
 
 use super::PlatformProtocol;
 use crate::{
-    entry::{CallerKey, CallerNote, KeyDigest, LookupPlace, Protocol, Repeat, TeamLimit},
+    entry::{
+        CallerKey, CallerLocation, CallerMetadata, Idempotency, KeyDigest, Protocol, TeamLimit,
+    },
     prelude::*,
 };
 
@@ -52,11 +54,11 @@
 
 #[test]
 fn a_targets_entry_is_read() {
-    let entry = PlatformProtocol.target("i-1", &bytes(&server())).expect("an entry");
+    let entry = PlatformProtocol.decode_target("i-1", &bytes(&server())).expect("an entry");
     assert_eq!(entry.addr, "10.1.0.9:8080".parse().expect("an address"));
     assert_eq!((&*entry.id, &*entry.service, &*entry.zone), ("i-1", "desk", "north-a"));
     assert_eq!((entry.slots, entry.started, entry.ready), (3, 1_700_000_000_000, true));
-    assert_eq!(entry.cold, Duration::from_millis(2500));
+    assert_eq!(entry.cold_for, Duration::from_millis(2500));
 }
 
 /// Another writer left fields out, gave them another type, or named a state or zone that there is
@@ -66,7 +68,7 @@
     let without = |pointer: &str, value: Value| {
         let mut entry = server();
         *entry.pointer_mut(pointer).expect("a field") = value;
-        PlatformProtocol.target("i-1", &bytes(&entry))
+        PlatformProtocol.decode_target("i-1", &bytes(&entry))
     };
     for (pointer, value) in [
         ("/spec/address", json!("nowhere")),
@@ -83,20 +85,23 @@
     ] {
         assert!(without(pointer, value.clone()).is_err(), "{pointer} = {value}");
     }
-    assert!(PlatformProtocol.target("i-1", b"\xff\x00").is_err());
+    assert!(PlatformProtocol.decode_target("i-1", b"\xff\x00").is_err());
 }
 
 #[test]
 fn a_configuration_is_read() {
-    let declared = PlatformProtocol.declared(&bytes(&config())).expect("a configuration");
+    let declared = PlatformProtocol.decode_declaration(&bytes(&config())).expect("a configuration");
     assert_eq!(declared.version, 0x1c);
-    assert_eq!(declared.body_bytes, 1000);
+    assert_eq!(declared.max_body_bytes, 1000);
     let long = declared.route("a.example:80", "/a/b/c").expect("a route");
-    assert_eq!((long.repeat, long.attempts), (Repeat::Once, 1));
+    assert_eq!((long.idempotency, long.max_attempts), (Idempotency::NonIdempotent, 1));
     assert_eq!(long.split, [("t".into(), 1.0)]);
     let short = declared.route("a.example", "/a/c").expect("a route");
-    assert_eq!((short.repeat, short.attempts, short.sticky), (Repeat::Idempotent, 2, true));
-    assert_eq!(short.regions, ["north".into()]);
+    assert_eq!(
+        (short.idempotency, short.max_attempts, short.sticky),
+        (Idempotency::Idempotent, 2, true)
+    );
+    assert_eq!(short.allowed_regions, ["north".into()]);
     assert_eq!(short.split.len(), 2);
     assert_eq!(&*short.key, "a.example/a/");
     assert!(declared.route("a.example", "/other").is_none());
@@ -111,34 +116,41 @@
     headers.insert("lavenderplank-attempt-id", HeaderValue::from_static("x1"));
     headers.insert("lavenderplank-time-remaining", HeaderValue::from_static("1500"));
     headers.insert("cookie", HeaderValue::from_static("a=b; Lavenderplank-Affinity-Key=17"));
-    let note = PlatformProtocol.caller(&headers);
-    let wanted = CallerNote {
-        attempt: Some("x1".into()),
+    let note = PlatformProtocol.caller_metadata(&headers);
+    let wanted = CallerMetadata {
+        attempt_id: Some("x1".into()),
         key: CallerKey::Missing,
         object: Some("17".into()),
         time_left: Some(Duration::from_millis(1500)),
     };
     assert_eq!(note, wanted);
-    PlatformProtocol.mark(&mut headers, &"i-1".into(), None, Duration::from_millis(900));
+    PlatformProtocol.add_target_headers(
+        &mut headers,
+        &"i-1".into(),
+        None,
+        Duration::from_millis(900),
+    );
     assert_eq!(headers["lavenderplank-expected-instance"], "i-1");
     assert_eq!(headers["lavenderplank-time-remaining"], "900");
     let mut reply = HeaderMap::new();
     reply.insert("lavenderplank-not-executed", HeaderValue::from_static("1"));
     reply.insert("lavenderplank-server-load", HeaderValue::from_static("3,1,8"));
-    let note = PlatformProtocol.reply(StatusCode::SERVICE_UNAVAILABLE, &reply);
-    assert!(note.not_run && !note.signed && !note.other_target);
+    let note = PlatformProtocol.reply_metadata(StatusCode::SERVICE_UNAVAILABLE, &reply);
+    assert!(note.not_run && !note.signed && !note.wrong_target);
     assert_eq!(note.load, Some((3, 1)));
-    assert!(PlatformProtocol.reply(StatusCode::MISDIRECTED_REQUEST, &reply).other_target);
+    assert!(PlatformProtocol.reply_metadata(StatusCode::MISDIRECTED_REQUEST, &reply).wrong_target);
 }
 
 #[test]
 fn look_ups_are_read_and_answered() {
     let uri: Uri = "/api/resolve?name=a&region=north&zone=north-a".parse().expect("a path");
-    let place = LookupPlace { region: "north".into(), zone: "north-a".into() };
-    assert_eq!(PlatformProtocol.lookup(&uri), Some(place));
-    assert_eq!(PlatformProtocol.lookup(&"/other".parse().expect("a path")), None);
-    let found = PlatformProtocol
-        .found(&["10.0.0.1:80".parse().expect("an address")], Duration::from_secs(2));
+    let place = CallerLocation { region: "north".into(), zone: "north-a".into() };
+    assert_eq!(PlatformProtocol.parse_lookup(&uri), Some(place));
+    assert_eq!(PlatformProtocol.parse_lookup(&"/other".parse().expect("a path")), None);
+    let found = PlatformProtocol.encode_lookup_response(
+        &["10.0.0.1:80".parse().expect("an address")],
+        Duration::from_secs(2),
+    );
     let found: Value = serde_json::from_slice(&found).expect("JSON");
     assert_eq!(found, json!({ "addresses": ["10.0.0.1:80"], "ttl": "2000ms" }));
 }
@@ -150,11 +162,16 @@
     headers.insert("lavenderplank-key", HeaderValue::from_static("k-1"));
     headers.append("lavenderplank-tenant", HeaderValue::from_static("vega"));
     headers.append("lavenderplank-tenant", HeaderValue::from_static("lyra"));
-    let key = PlatformProtocol.caller(&headers).key;
+    let key = PlatformProtocol.caller_metadata(&headers).key;
     assert_eq!(key, CallerKey::One(KeyDigest::of(b"k-1")));
     let mark = |headers: &mut HeaderMap, team: Option<&str>| {
         let team = team.map(TeamId::from);
-        PlatformProtocol.mark(headers, &"i-1".into(), team.as_ref(), Duration::from_secs(1));
+        PlatformProtocol.add_target_headers(
+            headers,
+            &"i-1".into(),
+            team.as_ref(),
+            Duration::from_secs(1),
+        );
     };
     let mut named = headers.clone();
     mark(&mut named, Some("altair"));
@@ -166,7 +183,7 @@
     let mut multiple = HeaderMap::new();
     multiple.append("lavenderplank-key", HeaderValue::from_static("k-1"));
     multiple.append("lavenderplank-key", HeaderValue::from_static("k-1"));
-    assert_eq!(PlatformProtocol.caller(&multiple).key, CallerKey::Multiple);
+    assert_eq!(PlatformProtocol.caller_metadata(&multiple).key, CallerKey::Multiple);
 }
 
 fn with_teams(teams: Value) -> Vec<u8> {
@@ -179,11 +196,11 @@
 fn teams_are_read() {
     let team = json!([{ "name": "lyra", "apiKeys": ["k-1", "k-2"], "priority": 0, "ratePerS": 367,
         "burst": 36.5, "allowedRegions": ["north"] }, { "name": "vega" }]);
-    let declared = PlatformProtocol.declared(&with_teams(team)).expect("a configuration");
+    let declared = PlatformProtocol.decode_declaration(&with_teams(team)).expect("a configuration");
     let lyra = declared.teams.find_by_key(&KeyDigest::of(b"k-2")).expect("a team");
     assert_eq!((&*lyra.name, lyra.priority), ("lyra", Some(0)));
     assert_eq!(lyra.limit, Some(TeamLimit { burst: 36.5, rate: 367.0 }));
-    assert_eq!(lyra.regions, ["north".into()]);
+    assert_eq!(lyra.allowed_regions, ["north".into()]);
     let names: Vec<&str> = declared.teams.iter().map(|team| &*team.name).collect();
     assert_eq!(names, ["lyra", "vega"]);
     let route = declared.route("a.example", "/a/").expect("a route");
@@ -204,12 +221,12 @@
         ("allowedRegions", json!("north")),
     ] {
         let teams = json!([{ "name": "lyra", field: value.clone() }]);
-        let error = PlatformProtocol.declared(&with_teams(teams)).expect_err("an error");
+        let error = PlatformProtocol.decode_declaration(&with_teams(teams)).expect_err("an error");
         assert!(error.0.contains("`lyra`") && !error.0.contains("secret"), "{field}: {error}");
     }
     let shared = json!([{ "name": "a", "apiKeys": ["k-secret"] },
         { "name": "b", "apiKeys": ["k-secret"] }]);
-    let error = PlatformProtocol.declared(&with_teams(shared)).expect_err("an error");
+    let error = PlatformProtocol.decode_declaration(&with_teams(shared)).expect_err("an error");
     assert!(error.0.contains("`a` and `b`") && !error.0.contains("secret"), "{error}");
 }
 
@@ -218,14 +235,19 @@
 fn keys_are_replaced_by_digests() {
     let teams = json!([{ "name": "lyra", "apiKeys": ["k-secret"], "priority": 1 }]);
     let object = with_teams(teams);
-    let digested = PlatformProtocol.without_keys(object.clone().into()).expect("an object");
+    let digested =
+        PlatformProtocol.replace_keys_by_digests(object.clone().into()).expect("an object");
     assert!(!String::from_utf8_lossy(&digested).contains("secret"));
-    let read = |object: &[u8]| PlatformProtocol.declared(object).expect("a configuration");
+    let read =
+        |object: &[u8]| PlatformProtocol.decode_declaration(object).expect("a configuration");
     assert_eq!(read(&digested), read(&object));
-    assert_eq!(PlatformProtocol.without_keys(digested.clone()).expect("an object"), digested);
+    assert_eq!(
+        PlatformProtocol.replace_keys_by_digests(digested.clone()).expect("an object"),
+        digested
+    );
     let plain: bytes::Bytes = bytes(&config()).into();
-    assert_eq!(PlatformProtocol.without_keys(plain.clone()).expect("an object"), plain);
-    let error = PlatformProtocol.without_keys(with_teams(json!("k-secret")).into());
+    assert_eq!(PlatformProtocol.replace_keys_by_digests(plain.clone()).expect("an object"), plain);
+    let error = PlatformProtocol.replace_keys_by_digests(with_teams(json!("k-secret")).into());
     assert!(!error.expect_err("an error").0.contains("secret"));
 }
 
@@ -243,18 +265,18 @@
             let at = at.index(text.len());
             let end = (at + cut).min(text.len());
             text.splice(at..end, put);
-            let _ = PlatformProtocol.target("i-1", &text);
-            let _ = PlatformProtocol.declared(&text);
-            let _ = PlatformProtocol.without_keys(text.clone().into());
-            let _ = PlatformProtocol.host(&text);
+            let _ = PlatformProtocol.decode_target("i-1", &text);
+            let _ = PlatformProtocol.decode_declaration(&text);
+            let _ = PlatformProtocol.replace_keys_by_digests(text.clone().into());
+            let _ = PlatformProtocol.decode_host(&text);
             let mut headers = HeaderMap::new();
             for name in ["cookie", "lavenderplank-time-remaining", "lavenderplank-server-load"] {
                 if let Ok(value) = HeaderValue::from_bytes(&text[at..(at + 20).min(text.len())]) {
                     headers.insert(HeaderName::from_static(name), value);
                 }
             }
-            let _ = PlatformProtocol.caller(&headers);
-            let _ = PlatformProtocol.reply(StatusCode::OK, &headers);
+            let _ = PlatformProtocol.caller_metadata(&headers);
+            let _ = PlatformProtocol.reply_metadata(StatusCode::OK, &headers);
             Ok(())
         })
         .expect("no panic");
--- a/src/why/tests.rs
+++ b/src/why/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::{
-    entry::Part,
+    entry::StorePart,
     event_log::{AttemptEnd, AttemptReason, End, Event, Line, PauseReason, RequestKey, Source},
     prelude::*,
 };
@@ -241,7 +241,7 @@
 #[test]
 fn context_is_bounded() {
     let lost = |at| {
-        let event = Event::StoreLost { part: Part::Targets, reason: "away".into() };
+        let event = Event::StoreLost { part: StorePart::Targets, reason: "away".into() };
         line("a", at, None, event)
     };
     let mut lines: Vec<Line> = (0..5_000).map(lost).collect();
