--- a/src/entry/control/messages.rs
+++ b/src/entry/control/messages.rs
@@ -3,7 +3,7 @@
 use crate::{
     entry::{
         EntrySettings, Revisions, StorePart,
-        records::HostRecord,
+        stale_records::HostRecord,
         sync::{self, ReceivedState},
     },
     prelude::*,
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -6,7 +6,7 @@
 
 use super::{EntryControl, HEARTBEAT, HostsListed, Registered, StateAnswer, wall_ms};
 use crate::{
-    entry::{Protocol, peer_queries::QueryOutcome, records::HostRecord},
+    entry::{Protocol, peer_queries::QueryOutcome, stale_records::HostRecord},
     event_log::Event,
     fleet::{Load, Outgoing, OwnState},
     prelude::*,
@@ -78,7 +78,7 @@
         let mine = self.known_state.stamp();
         let region = &self.parts.settings.region;
         let watches = !self.followers.is_empty();
-        let informed = self.fleet.informed(now);
+        let informed = self.fleet.state_sources(now);
         let Some(addr) = self.questions.next_peer(&mine, informed, region, watches, now) else {
             return;
         };
@@ -103,7 +103,7 @@
         let now = self.now();
         let keys = self.parts.protocol.store_prefixes();
         let store = self.parts.store.clone();
-        if RECORDED_HOSTS <= self.fleet.place(now) {
+        if RECORDED_HOSTS <= self.fleet.rank_in_zone(now) {
             return;
         }
         if self.register_at.is_some_and(|at| at <= now) {
@@ -151,8 +151,8 @@
         if !records.iter().any(|record| record.gossip == own) {
             self.register_at.get_or_insert(now);
         }
-        let heard = self.fleet.live(now).map(|peer| peer.note.gossip).collect();
-        for record in self.records.stale(records, &heard, own, now) {
+        let heard = self.fleet.live(now).map(|peer| peer.info.gossip).collect();
+        for record in self.records.find_stale(records, &heard, own, now) {
             let store = self.parts.store.clone();
             tokio::spawn(async move {
                 let expect = Expect::Version(record.version);
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -21,7 +21,10 @@
 use super::{
     EntryControl, EntrySettings, Listen, Protocol, TrafficState, ViewCell,
     control::{ControlParts, Datagram, HEARTBEAT, Leave, Reload, StateQuery, Tick},
-    serve::{accept, callers, look_up, ready, small, status},
+    listeners::{
+        accept, lookup_response, readiness_response, serve_caller, serve_platform_connection,
+        status_response,
+    },
     strain::StrainDetector,
     sync::{MAX_CONCURRENT_RESPONSES, PeerClient, QUERY_TIMEOUT, STATE_PATH, parse_revisions},
     traffic_state::BoundsCell,
@@ -232,9 +235,12 @@
         async move {
             let answer = async |req| match &permit {
                 Some(_) => answer_state_query(&control, req).await,
-                None => status(StatusCode::SERVICE_UNAVAILABLE),
+                None => status_response(StatusCode::SERVICE_UNAVAILABLE),
             };
-            if tokio::time::timeout(QUERY_TIMEOUT, small(stream, answer)).await.is_err() {
+            if tokio::time::timeout(QUERY_TIMEOUT, serve_platform_connection(stream, answer))
+                .await
+                .is_err()
+            {
                 log::debug!("a query of another host timed out");
             }
         }
@@ -247,7 +253,7 @@
     req: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     if req.uri().path() != STATE_PATH {
-        return status(StatusCode::NOT_FOUND);
+        return status_response(StatusCode::NOT_FOUND);
     }
     let answer = control.send(StateQuery(parse_revisions(req.uri().query()))).await;
     let answer = answer.map_err(|error| error.to_string());
@@ -255,7 +261,7 @@
         Ok(packed) => Response::new(Full::new(packed)),
         Err(error) => {
             log::error!("encoding this host's state failed: {error}");
-            status(StatusCode::INTERNAL_SERVER_ERROR)
+            status_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
@@ -268,7 +274,9 @@
 ) {
     accept(listener, |stream| {
         let (metrics, events) = (metrics.clone(), events.clone());
-        async move { small(stream, async |req| scrape(&req, &metrics, &*events)).await }
+        async move {
+            serve_platform_connection(stream, async |req| scrape(&req, &metrics, &*events)).await
+        }
     })
     .await;
 }
@@ -279,7 +287,7 @@
     events: &dyn EventSink,
 ) -> Response<Full<Bytes>> {
     if req.uri().path() != METRICS_PATH {
-        return status(StatusCode::NOT_FOUND);
+        return status_response(StatusCode::NOT_FOUND);
     }
     match metrics.text(events.dropped()) {
         Ok(text) => {
@@ -290,7 +298,7 @@
         }
         Err(error) => {
             log::error!("the metrics can't be written: {error}");
-            status(StatusCode::INTERNAL_SERVER_ERROR)
+            status_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
@@ -327,7 +335,7 @@
         let callers_listener = TcpListener::from_std(self.listeners.callers)?;
         let ready_listener = TcpListener::from_std(self.listeners.ready)?;
         let lookup_listener = TcpListener::from_std(self.listeners.lookups)?;
-        let state = TrafficState::open(
+        let state = TrafficState::new(
             self.settings.clone(),
             self.bounds,
             self.clock,
@@ -338,17 +346,22 @@
         let leaving = self.leaving.clone();
         let at = state.clone();
         tokio::task::spawn_local(accept(callers_listener, move |stream| {
-            callers(at.clone(), stream, leaving.clone())
+            serve_caller(at.clone(), stream, leaving.clone())
         }));
         let at = state.clone();
         tokio::task::spawn_local(accept(ready_listener, move |stream| {
             let state = at.clone();
-            async move { small(stream, async |req| ready(&state, &req)).await }
+            async move {
+                serve_platform_connection(stream, async |req| readiness_response(&state, &req))
+                    .await
+            }
         }));
         let at = state.clone();
         tokio::task::spawn_local(accept(lookup_listener, move |stream| {
             let state = at.clone();
-            async move { small(stream, async |req| look_up(&state, &req)).await }
+            async move {
+                serve_platform_connection(stream, async |req| lookup_response(&state, &req)).await
+            }
         }));
         tokio::task::spawn_local(tick_traffic(state.clone(), self.load, self.metrics));
         tokio::task::spawn_local(monitor_strain(state.clone(), self.strained));
@@ -390,17 +403,17 @@
 /// Waits until nothing is being served, or the process is about to be killed.
 async fn wait_until_idle(state: &TrafficState) {
     let since = state.clock.now();
-    state.leaving.set(Some(since));
+    state.shutdown_started_at.set(Some(since));
     let grace_ms = state.bounds().grace.as_millis() as u64;
-    state.events.record(None, Event::Stopping { grace_ms, open: state.open.get() });
+    state.events.record(None, Event::Stopping { grace_ms, open: state.open_connections.get() });
     let last = since + state.bounds().grace.saturating_sub(KILL_MARGIN);
     loop {
         tokio::time::sleep(TICK_INTERVAL).await;
         let now = state.clock.now();
-        let idle = state.open.get() == 0 && MIN_STOP_TIME <= now.saturating_sub(since);
+        let idle = state.open_connections.get() == 0 && MIN_STOP_TIME <= now.saturating_sub(since);
         if idle || last <= now {
             let took_ms = now.saturating_sub(since).as_millis() as u64;
-            let open = state.open.get();
+            let open = state.open_connections.get();
             return state.events.record(None, Event::Stopped { open, took_ms });
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -6,27 +6,27 @@
 //! nor do I/O; the rest of the slice carries them out.
 
 mod access;
-mod answer;
 mod attempt;
-mod bodies;
+mod body_memory;
 mod caller_io;
 mod control;
 mod crash_suspects;
 mod declaration;
-mod exchange;
 mod host;
 mod known_state;
+mod listeners;
 mod lookup;
 mod peer_queries;
-mod pipeline;
+mod pipelining;
 mod place;
 mod protocol;
-mod records;
+mod request_handler;
 mod request_log;
-mod serve;
+mod response;
 mod service_state;
 mod settings;
 mod settings_file;
+mod stale_records;
 mod store_part;
 mod strain;
 mod sync;
@@ -56,6 +56,6 @@
     target::{KnownTarget, TargetEntry},
     team::{CallerKey, KeyDigest, Team, TeamError, TeamLimit, Teams},
     traffic_state::{BoundsCell, TrafficState},
-    upstream::Pool,
+    upstream::ConnectionPool,
     view::{LiveHost, View, ViewCell},
 };
--- a/src/entry/peer_queries.rs
+++ b/src/entry/peer_queries.rs
@@ -10,7 +10,7 @@
     Stamp, StorePart,
     sync::{self, QueryError},
 };
-use crate::{fleet::Informed, prelude::*};
+use crate::{fleet::StateSource, prelude::*};
 
 /// A watcher that knows less than another host for longer asks it: the store's own word takes less
 /// time where it comes at all. Hosts that do not watch ask at once.
@@ -98,12 +98,12 @@
     pub fn next_peer<'a>(
         &mut self,
         own: &Stamp,
-        others: impl Iterator<Item = (&'a RegionId, Informed)>,
+        others: impl Iterator<Item = (&'a RegionId, StateSource)>,
         region: &RegionId,
         watches: bool,
         now: Moment,
     ) -> Option<SocketAddr> {
-        let is_ahead = |informed: &Informed| {
+        let is_ahead = |informed: &StateSource| {
             StorePart::ALL.iter().any(|part| informed.stamp.is_ahead_of(own, *part))
         };
         let ahead: Vec<_> = others.filter(|(_, informed)| is_ahead(informed)).collect();
@@ -123,7 +123,8 @@
         }
         let candidates = ahead.iter().filter(|(_, it)| !self.failed_peers.contains(&it.control));
         // The nearest ones answer soonest.
-        let nearest = |(of, it): &&(&RegionId, Informed)| (*of == region, self.weight(it.control));
+        let nearest =
+            |(of, it): &&(&RegionId, StateSource)| (*of == region, self.weight(it.control));
         let Some((_, informed)) = candidates.max_by_key(nearest) else {
             self.failed_peers.clear();
             self.not_before = now + ROUND_PAUSE;
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -3,21 +3,22 @@
 use super::{KnownTarget, Route, Team, TrafficState, View, service_state::ServiceState};
 use crate::{
     placement::{
-        Candidate, Choice, Condition, Forecast, HeldObjects, NameTag, ObjectTag, Offer,
-        PlacementQuery, RegionLoad, Shares, TargetIndex, Wanted, choose, is_sender, name_tag,
+        CachedObjects, Candidate, CandidateEstimate, Choice, Forecast, NameTag, ObjectTag,
+        PlacementQuery, RegionLoad, RegionShares, ShortlistQuery, TargetHealth, TargetIndex,
+        choose, is_cold_sender, name_tag,
     },
     prelude::*,
 };
 
 /// Usual slots of a cold target, as a part of a warm one's.
-const COLD_SLOTS: f64 = 0.3;
+const COLD_SLOT_FRACTION: f64 = 0.3;
 
 /// How many targets are looked at.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Search {
     All,
     /// A shortlist, and all where that has none to send to.
-    Few,
+    Shortlist,
 }
 
 /// What a request is, as far as placement goes.
@@ -28,13 +29,13 @@
     pub route: Arc<Route>,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
-    pub tried: Vec<u32>,
+    pub tried_targets: Vec<u32>,
 }
 
 impl PlacementRequest {
     /// Whether it may go to the target, and has not been there yet.
     fn allows(&self, target: &KnownTarget) -> bool {
-        self.allows_region(&target.region) && !self.tried.contains(&target.tag)
+        self.allows_region(&target.region) && !self.tried_targets.contains(&target.tag)
     }
 
     fn allows_region(&self, region: &RegionId) -> bool {
@@ -45,7 +46,7 @@
 
     /// Regions with a target that it may go to.
     fn open_regions(&self, index: &TargetIndex) -> Vec<RegionId> {
-        let open = index.open_regions(&self.tried);
+        let open = index.untried_regions(&self.tried_targets);
         open.filter(|region| self.allows_region(region)).cloned().collect()
     }
 }
@@ -80,10 +81,10 @@
 
 impl Placement {
     /// There is no target at all.
-    fn none(region: &RegionId) -> Self {
+    fn no_targets(region: &RegionId) -> Self {
         Self {
             candidates: 0,
-            choice: Choice::Nothing,
+            choice: Choice::NoTargets,
             cold: 0,
             crowded: None,
             free_elsewhere: 0,
@@ -100,107 +101,115 @@
 
 fn is_free_elsewhere(candidate: &Candidate<'_>, region: &RegionId) -> bool {
     let target = candidate.target;
-    target.region != *region && !candidate.shut && candidate.load < f64::from(target.entry.slots)
+    target.region != *region
+        && !candidate.unavailable
+        && candidate.load < f64::from(target.entry.slots)
 }
 
 impl TrafficState {
     /// Chooses a target: among the few that are likely to be the best, and among all before it
     /// refuses.
-    pub fn place(&self, view: &View, wanted: &PlacementRequest) -> Placement {
-        self.place_by(Search::Few, view, wanted)
+    pub fn place(&self, view: &View, request: &PlacementRequest) -> Placement {
+        self.place_with_search(Search::Shortlist, view, request)
     }
 
     /// Chooses a target by one way of looking.
-    pub fn place_by(&self, search: Search, view: &View, wanted: &PlacementRequest) -> Placement {
+    pub fn place_with_search(
+        &self,
+        search: Search,
+        view: &View,
+        request: &PlacementRequest,
+    ) -> Placement {
         let home = &self.settings.region;
-        let Some(targets) = view.targets.get(&wanted.service) else {
-            return Placement::none(home);
+        let Some(targets) = view.targets.get(&request.service) else {
+            return Placement::no_targets(home);
         };
         let mut services = self.services.borrow_mut();
-        let state = services.entry(wanted.service.clone()).or_default();
-        state.index.follow(targets);
-        let seed = wanted.object.unwrap_or_else(rand::random);
-        let open = wanted.open_regions(&state.index);
-        let Some(region) = self.region(view, state, wanted, seed, &open) else {
-            return Placement::none(home);
+        let state = services.entry(request.service.clone()).or_default();
+        state.target_index.update(targets);
+        let seed = request.object.unwrap_or_else(rand::random);
+        let open = request.open_regions(&state.target_index);
+        let Some(region) = self.pick_region(view, state, request, seed, &open) else {
+            return Placement::no_targets(home);
         };
-        let held = self.held.borrow();
-        if search == Search::Few {
+        let held = self.held_objects.borrow();
+        if search == Search::Shortlist {
             let near = [region.clone()];
-            let shortlist = state.index.shortlist(&Wanted {
-                holders: wanted.object.map_or(&[], |object| held.holders(object)),
-                object: wanted.object,
+            let shortlist = state.target_index.shortlist(&ShortlistQuery {
+                holders: request.object.map_or(&[], |object| held.holders(object)),
+                object: request.object,
                 regions: if may_spill(state) { &open } else { &near },
                 spread: rand::random(),
             });
-            let few = shortlist.into_iter().map(|at| &targets[at]);
-            let few = self.candidates(view, wanted, few, &held);
-            let placement = self.weigh(&few, state, wanted, seed, &region);
+            let shortlisted = shortlist.into_iter().map(|at| &targets[at]);
+            let shortlisted = self.candidates(view, request, shortlisted, &held);
+            let placement = self.choose_among(&shortlisted, state, request, seed, &region);
             if placement.target.is_some() {
                 return placement;
             }
         }
-        let all = self.candidates(view, wanted, targets.iter(), &held);
-        self.weigh(&all, state, wanted, seed, &region)
+        let all = self.candidates(view, request, targets.iter(), &held);
+        self.choose_among(&all, state, request, seed, &region)
     }
 
     /// The region that the request should run in.
-    fn region(
+    fn pick_region(
         &self,
         view: &View,
         state: &mut ServiceState,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         seed: ObjectTag,
         open: &[RegionId],
     ) -> Option<RegionId> {
         let home = &self.settings.region;
         if state.shares.is_none() {
             let now = self.clock.now();
-            let targets = state.index.targets();
-            let loads = region_loads(view, targets, &wanted.service, state.demand, home, now);
-            let sent = self.region_sent.borrow().parts(name_tag(&wanted.service));
-            let begun = Shares::begin(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
-            state.shares = Some(begun);
+            let targets = state.target_index.targets();
+            let loads = region_loads(view, targets, &request.service, state.demand, home, now);
+            let sent = self.region_sent.borrow().shares(name_tag(&request.service));
+            let shares =
+                RegionShares::resume(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
+            state.shares = Some(shares);
         }
         let shares = state.shares.as_ref()?;
-        region(shares, seed, open, home, &self.held_regions.borrow())
+        region_for_seed(shares, seed, open, home, &self.regions_at_shift_limit.borrow())
     }
 
     fn candidates<'a>(
         &self,
         view: &View,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         targets: impl Iterator<Item = &'a Arc<KnownTarget>>,
-        held: &HeldObjects,
+        held: &CachedObjects,
     ) -> Vec<Candidate<'a>> {
         let now = self.clock.now();
         let services = view.declared.as_ref().map(|declared| &declared.services);
-        let rules = services.and_then(|services| services.get(&wanted.service));
+        let rules = services.and_then(|services| services.get(&request.service));
         let rate = rules.map_or(1.0, |rules| rules.cold_rate);
-        let allowed = targets.filter(|target| wanted.allows(target));
+        let allowed = targets.filter(|target| request.allows(target));
         let candidate = |target: &'a Arc<KnownTarget>| {
-            let depth = wanted.object.and_then(|object| held.depth(target.tag, object));
+            let depth = request.object.and_then(|object| held.depth(target.tag, object));
             self.candidate(view, target, rate, depth, now)
         };
         allowed.map(candidate).collect()
     }
 
     /// Chooses among the candidates, and tells what decided it.
-    fn weigh(
+    fn choose_among(
         &self,
         candidates: &[Candidate<'_>],
         state: &mut ServiceState,
-        wanted: &PlacementRequest,
+        request: &PlacementRequest,
         seed: ObjectTag,
         region: &RegionId,
     ) -> Placement {
         let query = PlacementQuery {
-            home: &self.settings.region,
-            learnt: state.learnt,
-            left: wanted.deadline.saturating_sub(self.clock.now()),
+            home_region: &self.settings.region,
+            estimates: state.learnt,
+            time_left: request.deadline.saturating_sub(self.clock.now()),
             may_spill: may_spill(state),
-            object: wanted.object,
-            objective: wanted.route.objective,
+            object: request.object,
+            objective: request.route.objective,
             region,
             tuning: self.tuning,
             zone: &self.settings.zone,
@@ -208,20 +217,20 @@
         let choice = choose(candidates, &query, seed);
         let (chosen, forecast) = match &choice {
             Choice::Send(offer) => {
-                state.learnt.work.sent(offer.work);
-                let candidate = &candidates[offer.at];
-                (Some(candidate), forecast(offer, candidate, wanted.object))
+                state.learnt.work.record_sent(offer.work);
+                let candidate = &candidates[offer.index];
+                (Some(candidate), forecast(offer, candidate, request.object))
             }
             _ => (None, Forecast::default()),
         };
         let crowded = match &choice {
-            Choice::Busy { crowded: Some(offer), .. } => {
-                Some((candidates[offer.at].target.entry.id.clone(), offer.expected()))
+            Choice::Busy { best: Some(offer), .. } => {
+                Some((candidates[offer.index].target.entry.id.clone(), offer.expected()))
             }
             _ => None,
         };
         if chosen.is_some_and(|chosen| chosen.target.region != *region) {
-            state.spill -= 1.0;
+            state.spill_credit -= 1.0;
         }
         Placement {
             candidates: candidates.len(),
@@ -233,9 +242,9 @@
             load: chosen.map_or(0, |chosen| chosen.load as u32),
             forecast,
             region: region.clone(),
-            shut: candidates.iter().filter(|candidate| candidate.shut).count(),
+            shut: candidates.iter().filter(|candidate| candidate.unavailable).count(),
             target: chosen.map(|chosen| chosen.target.clone()),
-            work: query.learnt.work.mean(),
+            work: query.estimates.work.mean(),
         }
     }
 
@@ -251,63 +260,75 @@
         let condition = conditions.get(&target.tag);
         let own = condition.map_or(0, |condition| condition.in_flight);
         let elsewhere = view.in_flight_elsewhere.get(&target.tag).copied().unwrap_or_default();
-        let told = view.slow_targets.get(&target.tag).copied().filter(|_| self.tuning.told_slow);
+        let reported = view
+            .slow_targets
+            .get(&target.tag)
+            .copied()
+            .filter(|_| self.tuning.use_reported_slowness);
         let cold = target.is_cold(now);
         let cold_shut = cold
-            && (!is_sender(target, &self.settings.host, &view.hosts)
-                || !self.cold.borrow_mut().may_send(target, cold_rate, now));
+            && (!is_cold_sender(target, &self.settings.host, &view.hosts)
+                || !self.cold_rates.borrow_mut().has_token(target, cold_rate, now));
         let shut = condition.is_some_and(|condition| {
             condition.is_paused(now)
                 || condition.is_full(now)
-                || (condition.is_on_trial(now) && 0 < own)
+                || (condition.is_half_open(now) && 0 < own)
         });
         Candidate {
             cold,
             depth,
             load: f64::from(own + elsewhere),
-            shut: shut || cold_shut,
-            stretch: condition.unwrap_or(&Condition::default()).stretch_told(told, now),
+            unavailable: shut || cold_shut,
+            slowdown: condition
+                .unwrap_or(&TargetHealth::default())
+                .slowdown_with_report(reported, now),
             target,
-            trip: self.trips.borrow().to(&target.region, &self.settings.region),
+            round_trip: self.round_trips.borrow().get(&target.region, &self.settings.region),
         }
     }
 }
 
 /// Whether a request may leave the region that the shares name.
 fn may_spill(state: &ServiceState) -> bool {
-    1.0 <= state.spill
+    1.0 <= state.spill_credit
 }
 
 /// The region that the shares name for an object, the home region if nothing more may be moved
 /// there, or else the one with the largest share of those that are open.
-fn region(
-    shares: &Shares,
+fn region_for_seed(
+    shares: &RegionShares,
     seed: ObjectTag,
     open: &[RegionId],
     home: &RegionId,
-    held: &[NameTag],
+    at_shift_limit: &[NameTag],
 ) -> Option<RegionId> {
-    let named = shares.pick(f64::from(seed) / f64::from(ObjectTag::MAX));
-    let named = named.map(|region| match held.contains(&name_tag(region)) && open.contains(home) {
-        true => home,
-        false => region,
+    let named = shares.region_at(f64::from(seed) / f64::from(ObjectTag::MAX));
+    let named = named.map(|region| {
+        match at_shift_limit.contains(&name_tag(region)) && open.contains(home) {
+            true => home,
+            false => region,
+        }
     });
     if let Some(region) = named.filter(|region| open.contains(region)) {
         return Some(region.clone());
     }
-    open.iter().max_by(|a, b| shares.of(a).total_cmp(&shares.of(b))).cloned()
+    open.iter().max_by(|a, b| shares.get(a).total_cmp(&shares.get(b))).cloned()
 }
 
-fn forecast(offer: &Offer, candidate: &Candidate<'_>, object: Option<ObjectTag>) -> Forecast {
+fn forecast(
+    offer: &CandidateEstimate,
+    candidate: &Candidate<'_>,
+    object: Option<ObjectTag>,
+) -> Forecast {
     let slots = f64::from(candidate.target.entry.slots);
     Forecast {
         depth: candidate.depth,
-        expected: offer.expected().div_f64(candidate.stretch),
-        finds_slot: candidate.load < slots && !candidate.cold,
-        is_home_guess: offer.is_home_guess,
-        knows: offer.knows,
+        expected: offer.expected().div_f64(candidate.slowdown),
+        has_free_slot: candidate.load < slots && !candidate.cold,
+        is_primary_guess: offer.is_primary_guess,
+        hit_probability: offer.hit_probability,
         object,
-        trip: candidate.trip,
+        round_trip: candidate.round_trip,
     }
 }
 
@@ -325,13 +346,13 @@
         slots.entry(&host.region).or_default();
     }
     for target in targets {
-        let part = if target.is_cold(now) { COLD_SLOTS } else { 1.0 };
-        *slots.entry(&target.region).or_default() += f64::from(target.entry.slots) * part;
+        let fraction = if target.is_cold(now) { COLD_SLOT_FRACTION } else { 1.0 };
+        *slots.entry(&target.region).or_default() += f64::from(target.entry.slots) * fraction;
     }
     let tag = name_tag(service);
     let demand = |region: &RegionId| {
-        let told = view.demand.get(&(region.clone(), tag)).copied().unwrap_or_default();
-        let sum = if region == home { told + own_demand } else { told };
+        let reported = view.demand.get(&(region.clone(), tag)).copied().unwrap_or_default();
+        let sum = if region == home { reported + own_demand } else { reported };
         (0.0 < sum).then_some(sum)
     };
     slots
--- a/src/entry/tests/hosts.rs
+++ b/src/entry/tests/hosts.rs
@@ -8,11 +8,11 @@
         CallerLocation, LiveHost, Revisions, Stamp, StorePart,
         lookup::host_addresses,
         peer_queries::{PeerQueries, QueryOutcome},
-        records::{HostRecord, Records},
+        stale_records::{HostRecord, StaleRecordTracker},
         sync::{RawObjects, ReceivedState, ResponseCache, StateDiff, parse_revisions},
         watcher_election::WatcherElection,
     },
-    fleet::{HostNote, Informed, Load, Peer},
+    fleet::{HostInfo, Load, Peer, StateSource},
     prelude::*,
 };
 
@@ -28,14 +28,17 @@
         |port| HostRecord { gossip: addr(port), key: format!("hosts/{port}").into(), version: 1 };
     let listed = [record(1), record(2), record(3)];
     let (own, heard) = (addr(1), [addr(2)].into());
-    let mut records = Records::default();
-    assert!(records.stale(&listed, &heard, own, secs(0.0)).is_empty());
-    assert!(records.stale(&listed, &heard, own, secs(599.0)).is_empty());
-    assert!(records.stale(&listed, &Default::default(), own, secs(601.0)).is_empty());
-    assert_eq!(records.stale(&listed, &heard, own, secs(601.0)), [record(3)]);
+    let mut records = StaleRecordTracker::default();
+    assert!(records.find_stale(&listed, &heard, own, secs(0.0)).is_empty());
+    assert!(records.find_stale(&listed, &heard, own, secs(599.0)).is_empty());
+    assert!(records.find_stale(&listed, &Default::default(), own, secs(601.0)).is_empty());
+    assert_eq!(records.find_stale(&listed, &heard, own, secs(601.0)), [record(3)]);
     let all = [addr(2), addr(3)].into();
-    assert!(records.stale(&listed, &all, own, secs(660.0)).is_empty());
-    assert!(records.stale(&listed, &heard, own, secs(720.0)).is_empty(), "it was heard meanwhile");
+    assert!(records.find_stale(&listed, &all, own, secs(660.0)).is_empty());
+    assert!(
+        records.find_stale(&listed, &heard, own, secs(720.0)).is_empty(),
+        "it was heard meanwhile"
+    );
 }
 
 /// Callers are sent to all hosts of their region, and to the others only where that has none.
@@ -55,23 +58,23 @@
 }
 
 fn peer(host: &str, region: &str, reaches_store: bool) -> Peer {
-    let note = HostNote {
+    let info = HostInfo {
         callers: addr(1),
         control: addr(2),
         gossip: addr(3),
         host: host.into(),
         leaving: false,
         reaches_store,
-        start: 1,
+        start_ms: 1,
         strained: false,
-        turn: 1,
+        sequence: 1,
     };
     Peer {
         declared_check: None,
-        heard: secs(1.0),
+        last_heard: secs(1.0),
         is_lost: false,
         load: Load::default(),
-        note,
+        info,
         region: region.into(),
         stamp: None,
         zone: "north-a".into(),
@@ -252,7 +255,7 @@
     let region = RegionId::from("north");
     let ahead = |port, region: &str| {
         let stamp = Stamp { declared: 2, ..Stamp::default() };
-        (RegionId::from(region), Informed { control: addr(port), stamp })
+        (RegionId::from(region), StateSource { control: addr(port), stamp })
     };
     let others = [ahead(1, "south"), ahead(2, "north")];
     let mut questions = PeerQueries::new(addr(3));
@@ -278,7 +281,7 @@
 fn a_busy_host_is_asked_again_before_the_store() {
     let region = RegionId::from("north");
     let stamp = Stamp { declared: 2, ..Stamp::default() };
-    let informed = [(&region, Informed { control: addr(1), stamp })];
+    let informed = [(&region, StateSource { control: addr(1), stamp })];
     let mut questions = PeerQueries::new(addr(3));
     for at in [1.0, 1.6, 2.2] {
         let next = |it: &mut PeerQueries, now| {
@@ -298,7 +301,7 @@
 fn hosts_that_lack_the_same_ask_different_ones() {
     let region = RegionId::from("north");
     let stamp = Stamp { declared: 2, ..Stamp::default() };
-    let informed = (1..=4).map(|port| (&region, Informed { control: addr(port), stamp }));
+    let informed = (1..=4).map(|port| (&region, StateSource { control: addr(port), stamp }));
     let mut asked: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for asker in 100..200 {
         let mut questions = PeerQueries::new(addr(asker));
--- a/src/entry/watcher_election.rs
+++ b/src/entry/watcher_election.rs
@@ -48,7 +48,7 @@
         let rank = |host: &HostId| (xxh3_64(host.as_bytes()), host.clone());
         let own = rank(host);
         let ahead = peers.filter(|peer| {
-            peer.region == *region && peer.note.reaches_store && own < rank(&peer.note.host)
+            peer.region == *region && peer.info.reaches_store && own < rank(&peer.info.host)
         });
         let ranked_ahead = ahead.take(WATCHERS_PER_REGION).count();
         let is_elected = ranked_ahead < WATCHERS_PER_REGION;
