--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    CallerNote, KnownTarget, ReplyNote, Team, TrafficState,
+    CallerMetadata, KnownTarget, ReplyMetadata, Team, TrafficState,
     body_memory::BodyReservation,
     response::{
         CallerResponse, ResponseBody, StreamCompletion, StreamingBody, remove_hop_by_hop_headers,
@@ -49,7 +49,7 @@
     pub head: Parts,
     /// Names it in the log.
     pub key: RequestKey,
-    pub note: CallerNote,
+    pub note: CallerMetadata,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
 }
@@ -97,11 +97,11 @@
         Err(error) => return guard.not_sent(&error),
     };
     guard.first_byte = Some(guard.elapsed());
-    let note = state.protocol.reply(response.status(), response.headers());
-    if note.not_run || note.other_target {
+    let note = state.protocol.reply_metadata(response.status(), response.headers());
+    if note.not_run || note.wrong_target {
         return guard.refused(&note, response, connection).await;
     }
-    let is_mismatched = note.attempt != request.note.attempt;
+    let is_mismatched = note.attempt_id != request.note.attempt_id;
     if is_mismatched || (response.status().is_success() && !note.signed) {
         // A response to an earlier request, or one that no target gave. Whatever comes on this
         // connection next can't be told from it, so the connection is closed.
@@ -138,7 +138,7 @@
     headers.remove(header::EXPECT);
     let left = request.deadline.saturating_sub(state.clock.now());
     let team = request.team.as_ref().map(|team| &team.name);
-    state.protocol.mark(headers, &target.entry.id, team, left);
+    state.protocol.add_target_headers(headers, &target.entry.id, team, left);
     req
 }
 
@@ -213,11 +213,11 @@
 
     async fn refused(
         &mut self,
-        note: &ReplyNote,
+        note: &ReplyMetadata,
         response: Response<Incoming>,
         connection: TargetConnection,
     ) -> AttemptOutcome {
-        if note.other_target {
+        if note.wrong_target {
             // The address has a new owner: the entry is out of date.
             self.record_end(
                 HealthSignal::Unreachable,
@@ -237,7 +237,7 @@
 
     async fn receive_response(
         &mut self,
-        note: ReplyNote,
+        note: ReplyMetadata,
         response: Response<Incoming>,
         connection: TargetConnection,
         in_flight: InFlight,
--- a/src/entry/listeners.rs
+++ b/src/entry/listeners.rs
@@ -14,7 +14,7 @@
 };
 
 use super::{
-    CallerNote, TrafficState,
+    CallerMetadata, TrafficState,
     caller_io::{CallerIo, Disconnect},
     lookup,
     pipelining::{self, PipelineScanner, ScannedRequest},
@@ -73,7 +73,7 @@
     let _open_connection = OpenConnection::new(&state);
     let (io, disconnect) = CallerIo::new(stream);
     let idle = state.view().and_then(|view| view.declared.clone());
-    let idle = idle.map_or(DEFAULT_IDLE_TIMEOUT, |declared| declared.idle + IDLE_SLACK);
+    let idle = idle.map_or(DEFAULT_IDLE_TIMEOUT, |declared| declared.idle_timeout + IDLE_SLACK);
     let early_requests = RefCell::default();
     let caller = Rc::new(CallerConnection { state: state.clone(), disconnect, early_requests });
     let service = service_fn(|req| handle(caller.clone(), req));
@@ -127,7 +127,7 @@
 /// A request whose turn has not come; ends when dropped, since then the caller has left.
 struct EarlyRequest {
     /// What it must be when its turn comes.
-    note: CallerNote,
+    note: CallerMetadata,
     task: JoinHandle<Option<CallerResponse>>,
     uri: Uri,
 }
@@ -142,14 +142,13 @@
     async fn respond(&self, req: Request<Incoming>) -> Option<CallerResponse> {
         self.disconnect.with_scanner(PipelineScanner::take_next);
         let early_request = self.early_requests.borrow_mut().pop_front();
-        let note = self.state.protocol.caller(req.headers());
+        let note = self.state.protocol.caller_metadata(req.headers());
         let response = async {
             match early_request {
                 Some(mut early) if early.uri == *req.uri() && early.note == note => {
                     tokio::select! {
-                        response = &mut early.task => response.ok().flatten(),
-                        () = self.disconnect.gone() => None,
-                    }
+                    response =&mut early.task =>response.ok().flatten(),()=self.disconnect.closed()=>None,
+                                        }
                 }
                 other => {
                     if other.is_some() {
@@ -178,8 +177,8 @@
     async fn start_pipelined_requests(&self) {
         loop {
             self.start_waiting_requests();
-            self.disconnect.more().await;
-            if self.disconnect.is_gone() {
+            self.disconnect.data_arrived().await;
+            if self.disconnect.is_closed() {
                 // Who serves the request notices too, and ends.
                 std::future::pending::<()>().await;
             }
@@ -203,12 +202,12 @@
             if !request_handler::may_start_early(&self.state, &head) {
                 return;
             }
-            let note = self.state.protocol.caller(&head.headers);
+            let note = self.state.protocol.caller_metadata(&head.headers);
             let uri = head.uri.clone();
             let req = Request::from_parts(head, request_handler::RequestBody::None);
             // If the caller leaves, `EarlyRequest` is dropped and ends the task.
             let serve =
-                request_handler::handle_request(self.state.clone(), Disconnect::assumed(), req);
+                request_handler::handle_request(self.state.clone(), Disconnect::never(), req);
             early_requests.push_back(EarlyRequest {
                 note,
                 task: tokio::task::spawn_local(serve),
@@ -257,7 +256,7 @@
 
 /// The answer to a question for readiness.
 pub fn readiness_response(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
-    if !state.protocol.asks_ready(req.uri()) {
+    if !state.protocol.is_readiness_request(req.uri()) {
         return status_response(StatusCode::NOT_FOUND);
     }
     let knows = state.view().is_some_and(|view| view.declared.is_some());
@@ -267,16 +266,16 @@
 
 /// The answer to a look-up.
 pub fn lookup_response(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let Some(place) = state.protocol.lookup(req.uri()) else {
+    let Some(place) = state.protocol.parse_lookup(req.uri()) else {
         return status_response(StatusCode::NOT_FOUND);
     };
     let Some(view) = state.view() else { return status_response(StatusCode::SERVICE_UNAVAILABLE) };
-    let found = lookup::addresses(&view.hosts, &place);
+    let found = lookup::host_addresses(&view.hosts, &place);
     if found.is_empty() {
         return status_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let ttl = LOOKUP_TTL.min(state.bounds().lookup_ttl);
-    let mut response = Response::new(Full::new(state.protocol.found(&found, ttl)));
+    let mut response = Response::new(Full::new(state.protocol.encode_lookup_response(&found, ttl)));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -9,8 +9,8 @@
 use arc_swap::ArcSwap;
 
 use super::{
-    Bounds, ConnectionPool, CrashSuspects, DeclaredVersion, EntrySettings, KnownTarget, Protocol,
-    Route, Team, View, ViewCell, body_memory::BodyMemory, place::region_loads,
+    Bounds, ConnectionPool, CrashSuspects, DeclarationVersion, EntrySettings, KnownTarget,
+    Protocol, Route, Team, View, ViewCell, body_memory::BodyMemory, place::region_loads,
     service_state::ServiceState, upstream::connect,
 };
 use crate::{
@@ -68,7 +68,7 @@
     pub pool: RefCell<ConnectionPool>,
     quota: RefCell<Box<dyn Quota>>,
     /// Version of the declaration whose limits are in force, and time of the view last applied.
-    quota_version: Cell<DeclaredVersion>,
+    quota_version: Cell<DeclarationVersion>,
     quota_view_at: Cell<Moment>,
     /// Fingerprints of requests in attempt, by target.
     running_fingerprints: RefCell<HashMap<u32, Vec<u64>>>,
@@ -206,8 +206,8 @@
             let limits = declared.teams.iter().filter_map(limit).collect();
             self.quota.borrow_mut().set_limits(&limits, now);
         }
-        if self.quota_view_at.get() < view.at {
-            self.quota_view_at.set(view.at);
+        if self.quota_view_at.get() < view.published_at {
+            self.quota_view_at.set(view.published_at);
             let live_hosts = view.hosts.len().max(1);
             let peers = PeerState {
                 started_earlier: view.peers_started_earlier,
@@ -339,12 +339,12 @@
 
     /// Takes in what other hosts told of the objects that they asked targets for.
     fn apply_peer_runs(&self, view: &View) {
-        if view.at <= self.peer_runs_applied_at.get() || !self.tuning.use_reported_runs {
+        if view.published_at <= self.peer_runs_applied_at.get() || !self.tuning.use_reported_runs {
             return;
         }
-        self.peer_runs_applied_at.set(view.at);
+        self.peer_runs_applied_at.set(view.published_at);
         let mut held = self.held_objects.borrow_mut();
-        for (target, object) in &view.runs {
+        for (target, object) in &view.recent_objects {
             held.record_use(*target, *object);
         }
     }
@@ -426,7 +426,7 @@
         let now = self.clock.now();
         let sent = self.sent_window.borrow_mut().counts(now);
         let view = self.view();
-        let reported = |tag| view.as_ref().and_then(|view| view.slow.get(tag).copied());
+        let reported = |tag| view.as_ref().and_then(|view| view.slow_targets.get(tag).copied());
         let slow =
             conditions.iter().filter_map(|(tag, it)| Some((*tag, it.report(reported(tag), now)?)));
         let slow = slow.collect();
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -7,7 +7,7 @@
     StateSource, ZoneReport,
 };
 use crate::{
-    entry::{DeclaredVersion, Part, Stamp},
+    entry::{DeclarationVersion, Stamp, StorePart},
     prelude::*,
 };
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DeclaredCheck {
     pub at: Moment,
-    pub version: DeclaredVersion,
+    pub version: DeclarationVersion,
 }
 
 impl DeclaredCheck {
@@ -391,7 +391,7 @@
     fn best_state_sources(&self, now: Moment) -> Vec<StateSource> {
         let own = StateSource { control: self.config.control, stamp: self.own.stamp };
         let mut best: Vec<StateSource> = Vec::new();
-        for part in Part::ALL {
+        for part in StorePart::ALL {
             let others = self.zone_peers(now).filter_map(|peer| {
                 Some(StateSource { control: peer.info.control, stamp: peer.stamp? })
             });
--- a/src/fleet/messages.rs
+++ b/src/fleet/messages.rs
@@ -2,7 +2,7 @@
 
 use super::Load;
 use crate::{
-    entry::{DeclaredVersion, Stamp},
+    entry::{DeclarationVersion, Stamp},
     prelude::*,
 };
 
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DeclaredCheckAge {
     pub age_ms: u32,
-    pub version: DeclaredVersion,
+    pub version: DeclarationVersion,
 }
 
 /// State of one host, sent to the other hosts of its zone several times a second. Sent to a host of
