--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -28,7 +28,7 @@
 };
 use crate::{
     event_log::{Event, EventSink, WatchReason},
-    fleet::{DeclaredCheck, Fleet, FleetConfig, Load},
+    fleet::{DeclarationCheck, Fleet, FleetConfig, Load},
     metrics::{ControlFigures, EntryMetrics},
     prelude::*,
     store::{FollowPace, Followed, Follower, Platform},
@@ -172,7 +172,7 @@
                 *view.in_flight_elsewhere.entry(*tag).or_default() += u32::from(*count);
             }
             view.recent_objects.extend(&load.recent_objects);
-            for (tag, slowness) in &load.slow {
+            for (tag, slowness) in &load.slow_targets {
                 let sum = view.slow_targets.entry(*tag).or_default();
                 *sum = sum.merge(*slowness);
             }
@@ -182,7 +182,7 @@
             for (service, slots) in &load.demand {
                 *demand.entry((region.clone(), *service)).or_default() += f64::from(*slots);
             }
-            for (team, (arrived, admitted)) in &load.teams {
+            for (team, (arrived, admitted)) in &load.team_counts {
                 let sum = view.team_counts.entry(*team).or_default();
                 sum.0 = sum.0.saturating_add(*arrived);
                 sum.1 = sum.1.saturating_add(*admitted);
@@ -212,9 +212,9 @@
     /// `None` if it never did, or a later declaration is known.
     fn latest_declared_check(&self, now: Moment) -> Option<Moment> {
         let version = self.known_state.declared()?.version;
-        let checks = self.fleet.declared_checks(now);
+        let checks = self.fleet.declaration_checks(now);
         let mut latest = self.declared_checked_at;
-        for DeclaredCheck { at, version: known } in checks {
+        for DeclarationCheck { at, version: known } in checks {
             if version < known {
                 return None;
             }
--- a/src/entry/tests/hosts.rs
+++ b/src/entry/tests/hosts.rs
@@ -70,7 +70,7 @@
         sequence: 1,
     };
     Peer {
-        declared_check: None,
+        declaration_check: None,
         last_heard: secs(1.0),
         is_lost: false,
         load: Load::default(),
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -427,11 +427,19 @@
         let sent = self.sent_window.borrow_mut().counts(now);
         let view = self.view();
         let reported = |tag| view.as_ref().and_then(|view| view.slow_targets.get(tag).copied());
-        let slow =
+        let slow_targets =
             conditions.iter().filter_map(|(tag, it)| Some((*tag, it.report(reported(tag), now)?)));
-        let slow = slow.collect();
-        let teams = self.quota.borrow().report(now);
-        Load { crashes, demand, in_flight, recent_objects: self.recent_runs(), sent, slow, teams }
+        let slow_targets = slow_targets.collect();
+        let team_counts = self.quota.borrow().report(now);
+        Load {
+            crashes,
+            demand,
+            in_flight,
+            recent_objects: self.recent_runs(),
+            sent,
+            slow_targets,
+            team_counts,
+        }
     }
 }
 
--- a/src/fleet/contacts.rs
+++ b/src/fleet/contacts.rs
@@ -5,7 +5,7 @@
 use crate::prelude::*;
 
 /// Maximum number of stored addresses.
-const CONTACTS_MAX: usize = 4_096;
+const MAX_CONTACTS: usize = 4_096;
 
 /// Maximum number of addresses with an unknown zone in one round of probes.
 const UNKNOWN_ZONE_PROBES: usize = 16;
@@ -29,7 +29,7 @@
 impl Contacts {
     /// Adds or refreshes the address of a host in `zone`.
     pub fn add(&mut self, addr: SocketAddr, zone: ZoneId, now: Moment) {
-        if self.by_addr.len() < CONTACTS_MAX || self.by_addr.contains_key(&addr) {
+        if self.by_addr.len() < MAX_CONTACTS || self.by_addr.contains_key(&addr) {
             self.by_addr.insert(addr, Contact { last_reported: now, zone: Some(zone) });
         }
     }
@@ -38,7 +38,7 @@
     pub fn replace(&mut self, addrs: impl Iterator<Item = SocketAddr>, now: Moment) {
         let zone = |addr| self.by_addr.get(&addr).and_then(|contact| contact.zone.clone());
         let contacts = addrs
-            .take(CONTACTS_MAX)
+            .take(MAX_CONTACTS)
             .map(|addr| (addr, Contact { last_reported: now, zone: zone(addr) }));
         self.by_addr = contacts.collect();
     }
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -12,7 +12,7 @@
 };
 
 /// Maximum number of recent objects in a zone's sum. Keeps a zone report within a few packets.
-const RECENT_OBJECTS_MAX: usize = 256;
+const MAX_RECENT_OBJECTS: usize = 256;
 
 /// Requests of one host, or the sum over all hosts of a zone.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -29,9 +29,9 @@
     /// region.
     pub sent: Vec<(ServiceRegion, WindowCounts)>,
     /// Targets that respond more slowly than expected.
-    pub slow: Vec<(TargetTag, SlowdownReport)>,
+    pub slow_targets: Vec<(TargetTag, SlowdownReport)>,
     /// Arrived and admitted requests of teams with a limit, by hash of the team.
-    pub teams: Vec<(NameTag, TeamCounts)>,
+    pub team_counts: Vec<(NameTag, TeamCounts)>,
 }
 
 impl Load {
@@ -46,12 +46,15 @@
                 loads.clone().flat_map(|load| &load.in_flight),
                 u16::saturating_add,
             ),
-            recent_objects: recent_objects.into_iter().take(RECENT_OBJECTS_MAX).collect(),
+            recent_objects: recent_objects.into_iter().take(MAX_RECENT_OBJECTS).collect(),
             sent: sum_by_key(loads.clone().flat_map(|load| &load.sent), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
-            slow: sum_by_key(loads.clone().flat_map(|load| &load.slow), SlowdownReport::merge),
-            teams: sum_by_key(loads.flat_map(|load| &load.teams), |a, b| {
+            slow_targets: sum_by_key(
+                loads.clone().flat_map(|load| &load.slow_targets),
+                SlowdownReport::merge,
+            ),
+            team_counts: sum_by_key(loads.flat_map(|load| &load.team_counts), |a, b| {
                 (a.0.saturating_add(b.0), a.1.saturating_add(b.1))
             }),
         }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    Contacts, DeclaredCheckAge, Heartbeat, HostInfo, Load, Message, Peer, Peers, Reports, Rotation,
-    StateSource, ZoneReport,
+    Contacts, DeclarationCheckAge, Heartbeat, HostInfo, Load, Message, Peer, Peers, Reports,
+    Rotation, StateSource, ZoneReport,
 };
 use crate::{
     entry::{DeclarationVersion, Stamp, StorePart},
@@ -74,22 +74,22 @@
 
 /// When the store confirmed that `version` was the latest declaration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct DeclaredCheck {
+pub struct DeclarationCheck {
     pub at: Moment,
     pub version: DeclarationVersion,
 }
 
-impl DeclaredCheck {
+impl DeclarationCheck {
     /// Converts the age in a message received at `now`. Transit time is unknown and not included.
-    pub fn from_age(check: DeclaredCheckAge, now: Moment) -> Self {
+    pub fn from_age(check: DeclarationCheckAge, now: Moment) -> Self {
         let age = Duration::from_millis(u64::from(check.age_ms));
         Self { at: now.saturating_sub(age), version: check.version }
     }
 
     /// Converts the time to an age, for a message sent at `now`.
-    fn to_age(self, now: Moment) -> DeclaredCheckAge {
+    fn to_age(self, now: Moment) -> DeclarationCheckAge {
         let age = now.saturating_sub(self.at).as_millis();
-        DeclaredCheckAge { age_ms: age.try_into().unwrap_or(u32::MAX), version: self.version }
+        DeclarationCheckAge { age_ms: age.try_into().unwrap_or(u32::MAX), version: self.version }
     }
 }
 
@@ -199,14 +199,14 @@
     }
 
     /// Confirmations of the declaration that other hosts have sent.
-    pub fn declared_checks(&self, now: Moment) -> impl Iterator<Item = DeclaredCheck> {
-        let direct = self.peers.live(now).filter_map(|peer| peer.declared_check);
-        direct.chain(self.reports.declared_checks(now))
+    pub fn declaration_checks(&self, now: Moment) -> impl Iterator<Item = DeclarationCheck> {
+        let direct = self.peers.live(now).filter_map(|peer| peer.declaration_check);
+        direct.chain(self.reports.declaration_checks(now))
     }
 
-    fn own_declared_check(&self) -> Option<DeclaredCheck> {
+    fn own_declaration_check(&self) -> Option<DeclarationCheck> {
         let at = self.own.declared_checked_at?;
-        Some(DeclaredCheck { at, version: self.own.stamp.declared })
+        Some(DeclarationCheck { at, version: self.own.stamp.declared })
     }
 
     /// Hosts from which the state of the store can be fetched, with their regions.
@@ -352,7 +352,7 @@
         let selected = live.clone().chain(live).skip(first).take(HEARTBEAT_CONTACTS);
         Message::Heartbeat(Heartbeat {
             contacts: selected.map(|peer| (peer.info.gossip, peer.zone.clone())).collect(),
-            declared_check: self.own_declared_check().map(|check| check.to_age(now)),
+            declaration_check: self.own_declaration_check().map(|check| check.to_age(now)),
             load: self.own.load.clone(),
             info: self.info(),
             stamp: self.own.stamp,
@@ -370,14 +370,16 @@
         let others = self.zone_peers(now);
         let silent_ms = |peer: &Peer| now.saturating_sub(peer.last_heard).as_millis() as u16;
         let hosts = others.clone().map(|peer| (peer.info.clone(), silent_ms(peer)));
-        let checks =
-            others.clone().filter_map(|peer| peer.declared_check).chain(self.own_declared_check());
+        let checks = others
+            .clone()
+            .filter_map(|peer| peer.declaration_check)
+            .chain(self.own_declaration_check());
         let latest = checks.max_by_key(|check| (check.version, check.at));
         let loads = others.map(|peer| &peer.load).chain([&self.own.load]);
         ZoneReport {
             sender: self.config.host.clone(),
             contacts: Vec::new(),
-            declared_check: latest.map(|check| check.to_age(now)),
+            declaration_check: latest.map(|check| check.to_age(now)),
             hosts: hosts.chain([(self.info(), 0)]).collect(),
             state_sources: self.best_state_sources(now),
             load: Load::sum(loads),
--- a/src/fleet/messages.rs
+++ b/src/fleet/messages.rs
@@ -44,7 +44,7 @@
 
 /// Time since the store confirmed to a host that `version` was the latest declaration.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct DeclaredCheckAge {
+pub struct DeclarationCheckAge {
     pub age_ms: u32,
     pub version: DeclarationVersion,
 }
@@ -56,7 +56,7 @@
     /// Some of the hosts that the sender considers live: gossip address and zone.
     pub contacts: Vec<(SocketAddr, ZoneId)>,
     /// `None` if the store has not confirmed the declaration to this host.
-    pub declared_check: Option<DeclaredCheckAge>,
+    pub declaration_check: Option<DeclarationCheckAge>,
     pub load: Load,
     pub info: HostInfo,
     pub stamp: Stamp,
@@ -71,7 +71,7 @@
     /// In the answer to a probe, further hosts to probe: gossip address and zone.
     pub contacts: Vec<(SocketAddr, ZoneId)>,
     /// The latest confirmation that any host of the zone received.
-    pub declared_check: Option<DeclaredCheckAge>,
+    pub declaration_check: Option<DeclarationCheckAge>,
     /// Live hosts of the zone, each with the number of milliseconds since its last heartbeat.
     pub hosts: Vec<(HostInfo, u16)>,
     /// For each part of the store's state, the host of the zone with the latest version of it.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -23,8 +23,8 @@
 pub use self::{
     contacts::Contacts,
     load::Load,
-    machine::{DeclaredCheck, Fleet, FleetConfig, Outgoing, OwnState, Received},
-    messages::{DeclaredCheckAge, Heartbeat, HostInfo, Message, StateSource, ZoneReport},
+    machine::{DeclarationCheck, Fleet, FleetConfig, Outgoing, OwnState, Received},
+    messages::{DeclarationCheckAge, Heartbeat, HostInfo, Message, StateSource, ZoneReport},
     peers::{Peer, Peers, SILENCE_TIMEOUT},
     reports::Reports,
     rotation::Rotation,
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -1,6 +1,6 @@
 //! Last known state of the other hosts, received from them directly or through other hosts.
 
-use super::{DeclaredCheck, Heartbeat, HostInfo, Load};
+use super::{DeclarationCheck, Heartbeat, HostInfo, Load};
 use crate::{entry::Stamp, prelude::*};
 
 /// A host that is silent for this time is considered lost. Reports between regions are sent every
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Taken from its heartbeat; `None` if it is known only through other hosts.
-    pub declared_check: Option<DeclaredCheck>,
+    pub declaration_check: Option<DeclarationCheck>,
     /// When the host last sent a message, as far as this host knows.
     pub last_heard: Moment,
     /// Whether `Peers::detect_lost` has reported the host since it was last live.
@@ -50,8 +50,8 @@
         region: RegionId,
         now: Moment,
     ) -> bool {
-        let Heartbeat { declared_check, load, info, stamp, zone, .. } = heartbeat;
-        let declared_check = declared_check.map(|age| DeclaredCheck::from_age(age, now));
+        let Heartbeat { declaration_check, load, info, stamp, zone, .. } = heartbeat;
+        let declaration_check = declaration_check.map(|age| DeclarationCheck::from_age(age, now));
         let known = self.peers.get(&info.host);
         if known.is_some_and(|known| is_outdated(&info, known, now)) {
             return false;
@@ -61,7 +61,7 @@
         let host = info.host.clone();
         let is_lost = false;
         let peer =
-            Peer { declared_check, last_heard: now, is_lost, load, info, region, stamp, zone };
+            Peer { declaration_check, last_heard: now, is_lost, load, info, region, stamp, zone };
         self.peers.insert(host, peer);
         is_new
     }
@@ -81,7 +81,7 @@
     ) -> bool {
         let Some(known) = self.peers.get_mut(&info.host) else {
             let peer = Peer {
-                declared_check: None,
+                declaration_check: None,
                 last_heard,
                 is_lost: false,
                 load: Load::default(),
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -1,6 +1,6 @@
 //! Latest reports of other zones.
 
-use super::{DeclaredCheck, Load, SILENCE_TIMEOUT, StateSource, ZoneReport};
+use super::{DeclarationCheck, Load, SILENCE_TIMEOUT, StateSource, ZoneReport};
 use crate::prelude::*;
 
 /// Time for which a report that covers few hosts of its zone does not replace a more complete one.
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 struct LastReport {
     received_at: Moment,
-    declared_check: Option<DeclaredCheck>,
+    declaration_check: Option<DeclarationCheck>,
     host_count: usize,
     state_sources: Vec<StateSource>,
     load: Load,
@@ -30,7 +30,7 @@
         let host_count = report.hosts.len();
         let last = self.zones.entry(report.zone.clone()).or_insert_with(|| LastReport {
             received_at: Moment::ZERO,
-            declared_check: None,
+            declaration_check: None,
             host_count: 0,
             state_sources: Vec::new(),
             load: Load::default(),
@@ -53,8 +53,8 @@
         }
         last.received_at = now;
         last.host_count = host_count;
-        let check = report.declared_check.map(|age| DeclaredCheck::from_age(age, now));
-        last.declared_check = check.or(last.declared_check);
+        let check = report.declaration_check.map(|age| DeclarationCheck::from_age(age, now));
+        last.declaration_check = check.or(last.declaration_check);
         last.state_sources.clone_from(&report.state_sources);
         last.load.clone_from(&report.load);
         true
@@ -66,8 +66,8 @@
     }
 
     /// The latest confirmation of the declaration in each zone with a recent report.
-    pub fn declared_checks(&self, now: Moment) -> impl Iterator<Item = DeclaredCheck> {
-        self.fresh(now).filter_map(|(_, last)| last.declared_check)
+    pub fn declaration_checks(&self, now: Moment) -> impl Iterator<Item = DeclarationCheck> {
+        self.fresh(now).filter_map(|(_, last)| last.declaration_check)
     }
 
     /// Hosts of other zones with the latest versions of the store's state.
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -33,7 +33,7 @@
 fn heartbeat(host: &str, start_ms: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         contacts: Vec::new(),
-        declared_check: None,
+        declaration_check: None,
         load: Load::default(),
         info: info(host, start_ms, sequence),
         stamp: Stamp::default(),
--- a/src/fleet/tests/reports.rs
+++ b/src/fleet/tests/reports.rs
@@ -11,7 +11,7 @@
     ZoneReport {
         sender: sender.into(),
         contacts: Vec::new(),
-        declared_check: None,
+        declaration_check: None,
         hosts: (0..hosts).map(|at| (info(&format!("h-{at}"), 1, sequence), 0)).collect(),
         state_sources: Vec::new(),
         load: Load { in_flight: vec![(7, in_flight)], ..Load::default() },
@@ -62,15 +62,18 @@
         in_flight: vec![(7, 2), (8, 1)],
         recent_objects: vec![(7, 11)],
         sent: vec![((5, 1), (3, 4))],
-        slow: vec![(7, SlowdownReport::single(4.0))],
-        teams: vec![(5, (3, 1))],
+        slow_targets: vec![(7, SlowdownReport::single(4.0))],
+        team_counts: vec![(5, (3, 1))],
     };
     let two = Load { in_flight: vec![(7, 3)], ..one.clone() };
     let sum = Load::sum([&one, &two].into_iter());
     assert_eq!(sum.in_flight, [(7, 5), (8, 1)]);
     assert_eq!(sum.sent, [((5, 1), (6, 8))]);
-    assert_eq!(sum.teams, [(5, (6, 2))]);
-    assert_eq!(sum.slow, [(7, SlowdownReport::single(4.0).merge(SlowdownReport::single(4.0)))]);
+    assert_eq!(sum.team_counts, [(5, (6, 2))]);
+    assert_eq!(
+        sum.slow_targets,
+        [(7, SlowdownReport::single(4.0).merge(SlowdownReport::single(4.0)))]
+    );
     assert_eq!(
         (sum.crashes, sum.demand, sum.recent_objects),
         (vec![(1, 4)], vec![(5, 1.0)], vec![(7, 11)])
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -38,11 +38,11 @@
 /// Period after the start in which a host does not rely on reports, and the minimum number of hosts
 /// among which it then divides the limit evenly.
 const STARTUP_PERIOD: Duration = Duration::from_millis(1_000);
-const STARTUP_HOSTS_MIN: usize = 64;
+const MIN_STARTUP_HOSTS: usize = 64;
 
 /// Minimum capacity, in requests. It lets a host with a small share admit single requests; a value
 /// below one keeps hosts without reports of each other from all admitting a request at once.
-const CAPACITY_MIN: f64 = 0.75;
+const MIN_CAPACITY: f64 = 0.75;
 
 /// Level to which a host fills its buckets when it joins running hosts, as a fraction of the
 /// capacity.
@@ -98,7 +98,7 @@
 
     fn inputs(&self, team: NameTag, now: Moment) -> Inputs {
         if !self.has_joined && now < self.started + STARTUP_PERIOD {
-            let hosts = self.peers.known_hosts.max(STARTUP_HOSTS_MIN);
+            let hosts = self.peers.known_hosts.max(MIN_STARTUP_HOSTS);
             return Inputs { live_hosts: 1, peer_counts: (0, 0), share: 1.0 / hosts as f64 };
         }
         let live_hosts = self.peers.live_hosts.max(1);
@@ -123,7 +123,7 @@
 impl Inputs {
     /// Maximum level of a bucket with the given limit.
     fn capacity(&self, limit: &TeamLimit) -> f64 {
-        (capacity(limit) * self.share).max(CAPACITY_MIN)
+        (capacity(limit) * self.share).max(MIN_CAPACITY)
     }
 }
 
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -20,8 +20,8 @@
 pub const REPORT_WINDOW: Duration = Duration::from_millis(500);
 
 /// Shortest and longest `Retry-After` of a rejected request.
-const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
-const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Requests of a team within the report window: arrived, and admitted.
 pub type TeamCounts = (u32, u32);
@@ -75,6 +75,6 @@
     let missing = (1.0 - level).max(0.0);
     let wait = missing / refill.max(f64::MIN_POSITIVE);
     let spread = 0.75 + draw / 2.0;
-    let max = RETRY_AFTER_MAX.as_secs_f64();
-    Duration::from_secs_f64((wait * spread).clamp(RETRY_AFTER_MIN.as_secs_f64(), max))
+    let max = MAX_RETRY_AFTER.as_secs_f64();
+    Duration::from_secs_f64((wait * spread).clamp(MIN_RETRY_AFTER.as_secs_f64(), max))
 }
--- a/src/quota/tests/share.rs
+++ b/src/quota/tests/share.rs
@@ -28,7 +28,7 @@
 const EVEN_FRACTION: f64 = 0.2;
 
 /// Minimum capacity of a host's bucket, in requests.
-const CAPACITY_MIN: f64 = 1.0;
+const MIN_CAPACITY: f64 = 1.0;
 
 /// The buckets of one host.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
         self.buckets.retain(|team, _| limits.contains_key(team));
         for (team, limit) in limits {
             let new = || Bucket {
-                level: CAPACITY_MIN,
+                level: MIN_CAPACITY,
                 limit: *limit,
                 updated: now,
                 window: CountWindow::default(),
@@ -87,7 +87,7 @@
         let refill = bucket.limit.rate * share;
         let elapsed = now.saturating_sub(bucket.updated).as_secs_f64();
         bucket.updated = bucket.updated.max(now);
-        let capacity = (bucket.limit.burst * share).max(CAPACITY_MIN);
+        let capacity = (bucket.limit.burst * share).max(MIN_CAPACITY);
         bucket.level = (bucket.level + refill * elapsed).min(capacity);
         if bucket.level < 1.0 {
             return Verdict::Limited { retry_after: retry_after(bucket.level, refill, draw) };
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -541,7 +541,7 @@
         let (contacts, load, zone) = (Vec::new(), Load::default(), "north-b".into());
         let message = Message::Heartbeat(Heartbeat {
             contacts,
-            declared_check: None,
+            declaration_check: None,
             load,
             info,
             stamp,
