--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -133,7 +133,7 @@
                 holders: wanted.object.map_or(&[], |object| held.holders(object)),
                 object: wanted.object,
                 regions: if may_spill(state) { &open } else { &near },
-                spread: rand::random(),
+                offset: rand::random(),
             });
             let few = shortlist.into_iter().map(|at| &targets[at]);
             let few = self.candidates(view, wanted, few, &held);
--- a/src/placement/cache_capacity.rs
+++ b/src/placement/cache_capacity.rs
@@ -1,45 +1,45 @@
-//! How many objects a service's targets keep before they forget.
+//! Estimate of how many objects the targets of a service cache before they evict any.
 
-/// Objects that a target is taken to keep before any run was seen. Too high an assumption costs a
-/// few runs that take longer than expected; too low a one hides targets that know the object.
-const KEEPS_ASSUMED: f64 = 24.0;
+/// Initial estimate, in objects. If it is too high, a few runs take longer than expected; if it is
+/// too low, targets that have the object cached are not used for it.
+const DEFAULT_CAPACITY: f64 = 24.0;
 
-/// Least number of objects that a target is taken to keep.
-const KEEPS_LEAST: f64 = 2.0;
+/// Lowest estimate, in objects.
+const MIN_CAPACITY: f64 = 2.0;
 
-/// How far one run moves the estimate, in objects: it settles where runs beyond it are as often fast
-/// as runs within it are slow, so that a few strange runs move it little.
-const KEEPS_STEP: f64 = 0.5;
+/// Change of the estimate by one run, in objects. The estimate settles where hits beyond it are as
+/// frequent as misses within it, so a few unusual runs change it little.
+const STEP: f64 = 0.5;
 
-/// An estimate, in objects, learnt from which runs were fast.
+/// Cache capacity of a service's targets, in objects, estimated from which runs were fast.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheCapacity(f64);
 
 impl Default for CacheCapacity {
     fn default() -> Self {
-        Self(KEEPS_ASSUMED)
+        Self(DEFAULT_CAPACITY)
     }
 }
 
 impl CacheCapacity {
-    /// Whether a target is expected to know the object that lies at this depth.
-    pub fn holds(self, depth: Option<usize>) -> bool {
+    /// Whether an object at this LRU depth is expected to be cached.
+    pub fn is_cached(self, depth: Option<usize>) -> bool {
         depth.is_some_and(|depth| (depth as f64) < self.0)
     }
 
     /// The estimate, in objects.
-    pub fn count(self) -> f64 {
+    pub fn objects(self) -> f64 {
         self.0
     }
 
-    /// A run was fast or slow; the object lay at that depth.
-    pub fn learn(&mut self, depth: usize, was_known: bool) {
-        let is_held = self.holds(Some(depth));
-        if was_known && !is_held {
-            self.0 += KEEPS_STEP;
+    /// Records whether a request for an object at this LRU depth was a cache hit.
+    pub fn record_run(&mut self, depth: usize, was_hit: bool) {
+        let is_expected_hit = self.is_cached(Some(depth));
+        if was_hit && !is_expected_hit {
+            self.0 += STEP;
         }
-        if !was_known && is_held {
-            self.0 = (self.0 - KEEPS_STEP).max(KEEPS_LEAST);
+        if !was_hit && is_expected_hit {
+            self.0 = (self.0 - STEP).max(MIN_CAPACITY);
         }
     }
 }
--- a/src/placement/cached_objects.rs
+++ b/src/placement/cached_objects.rs
@@ -1,54 +1,54 @@
-//! Which objects each target still knows.
+//! Model of the objects that each target has cached.
 //!
 //! A target that ran a request about an object runs the next one about it several times faster,
-//! until others have pushed the object out: it forgets the one that was not asked for longest. A
-//! host sees its own requests and is told of those of others, so it can keep the same order.
+//! until the object is evicted. Targets evict the least recently used object. A host knows its own
+//! requests and receives reports on those of others, so it can maintain the same LRU order.
 
 use std::collections::HashMap;
 
 use super::{ObjectTag, TargetTag};
 use crate::prelude::*;
 
-/// Objects that are remembered of one target: a bound on memory, 1 KiB a target. A target that
-/// keeps more is taken to have forgotten the rest.
-const HELD_MOST: usize = 128;
+/// Maximum number of objects recorded for one target; limits memory to 1 KiB a target. A target
+/// that caches more is assumed to have evicted the rest.
+const MAX_OBJECTS_PER_TARGET: usize = 128;
 
-/// Time for which the objects of a target that is not usable are remembered: longer than most
-/// evacuations.
-const HELD_WHILE_UNUSABLE: Duration = Duration::from_secs(30);
+/// Time for which the objects of an unusable target are kept; longer than most evacuations.
+const UNUSABLE_RETENTION: Duration = Duration::from_secs(30);
 
-/// The objects of each target, the one that was asked for last at the end.
+/// The cached objects of all targets, in LRU order with the most recently used one last.
 #[derive(Debug, Default)]
 pub struct CachedObjects {
-    /// The targets that each object was asked for at, as `targets` has it.
+    /// Reverse index of `targets`: the targets that have each object.
     holders: HashMap<ObjectTag, Vec<TargetTag>>,
     targets: HashMap<TargetTag, Vec<ObjectTag>>,
-    /// Since when targets have not been usable.
-    unusable: HashMap<TargetTag, Moment>,
+    /// Since when each unusable target has been so.
+    unusable_since: HashMap<TargetTag, Moment>,
 }
 
 impl CachedObjects {
-    /// A request about the object went to the target.
+    /// Records that a request about the object was sent to the target.
     pub fn record_use(&mut self, target: TargetTag, object: ObjectTag) {
-        let held = self.targets.entry(target).or_default();
-        if let Some(at) = held.iter().rposition(|it| *it == object) {
-            held[at..].rotate_left(1);
+        let objects = self.targets.entry(target).or_default();
+        if let Some(at) = objects.iter().rposition(|it| *it == object) {
+            objects[at..].rotate_left(1);
             return;
         }
-        if held.len() == HELD_MOST {
-            let forgotten = held.remove(0);
-            release(&mut self.holders, forgotten, target);
+        if objects.len() == MAX_OBJECTS_PER_TARGET {
+            let evicted = objects.remove(0);
+            remove_holder(&mut self.holders, evicted, target);
         }
-        held.push(object);
+        objects.push(object);
         self.holders.entry(object).or_default().push(target);
     }
 
-    /// The targets that were asked for the object and may still know it.
+    /// The targets that received requests for the object and may still have it cached.
     pub fn holders(&self, object: ObjectTag) -> &[TargetTag] {
         self.holders.get(&object).map_or(&[], Vec::as_slice)
     }
 
-    /// How many other objects were asked for there since this one; `None` if it never was.
+    /// LRU depth of the object at the target: how many other objects were requested there since.
+    /// `None` if no request for it is recorded.
     pub fn depth(&self, target: TargetTag, object: ObjectTag) -> Option<usize> {
         if !self.holders(object).contains(&target) {
             return None;
@@ -56,31 +56,36 @@
         self.targets.get(&target)?.iter().rev().position(|it| *it == object)
     }
 
-    /// Forgets targets that have not been usable for a while.
+    /// Removes targets that have been unusable for `UNUSABLE_RETENTION`.
     ///
-    /// A zone is evacuated and taken back, and its targets still know what they knew. Forgotten at
-    /// once, they would be left idle after their return, since others know their objects by then.
+    /// When an evacuated zone is taken back, its targets still have their objects cached. If they
+    /// were removed at once, they would stay idle after their return, since other targets have
+    /// cached their objects by then.
     pub fn retain(&mut self, is_usable: impl Fn(TargetTag) -> bool, now: Moment) {
-        self.unusable.retain(|tag, _| !is_usable(*tag));
+        self.unusable_since.retain(|tag, _| !is_usable(*tag));
         for tag in self.targets.keys().copied().filter(|tag| !is_usable(*tag)) {
-            self.unusable.entry(tag).or_insert(now);
+            self.unusable_since.entry(tag).or_insert(now);
         }
-        let is_gone = |since: &Moment| HELD_WHILE_UNUSABLE <= now.saturating_sub(*since);
-        let gone = self.unusable.iter().filter(|(_, since)| is_gone(since));
-        let gone: Vec<TargetTag> = gone.map(|(tag, _)| *tag).collect();
-        for target in gone {
-            self.unusable.remove(&target);
+        let is_expired = |since: &Moment| UNUSABLE_RETENTION <= now.saturating_sub(*since);
+        let expired = self.unusable_since.iter().filter(|(_, since)| is_expired(since));
+        let expired: Vec<TargetTag> = expired.map(|(tag, _)| *tag).collect();
+        for target in expired {
+            self.unusable_since.remove(&target);
             for object in self.targets.remove(&target).unwrap_or_default() {
-                release(&mut self.holders, object, target);
+                remove_holder(&mut self.holders, object, target);
             }
         }
     }
 }
 
-fn release(holders: &mut HashMap<ObjectTag, Vec<TargetTag>>, object: ObjectTag, target: TargetTag) {
-    let Some(of) = holders.get_mut(&object) else { return };
-    of.retain(|it| *it != target);
-    if of.is_empty() {
+fn remove_holder(
+    holders: &mut HashMap<ObjectTag, Vec<TargetTag>>,
+    object: ObjectTag,
+    target: TargetTag,
+) {
+    let Some(targets) = holders.get_mut(&object) else { return };
+    targets.retain(|it| *it != target);
+    if targets.is_empty() {
         holders.remove(&object);
     }
 }
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -1,273 +1,295 @@
-//! Where one request goes: the target that is expected to answer first, at the least cost to others.
+//! Selects the target of one request: the one with the lowest cost, which is the expected answer
+//! time plus the cost that the choice imposes on other requests.
 //!
-//! A target that knows an object is several times faster, so a request goes to a target that knows
-//! its object as long as the wait there is shorter than what another one would lose. Where no target
-//! is known to know it, all hosts choose the same one, by hash, without asking each other.
+//! A target that has the object cached is several times faster, so a request goes there as long as
+//! its queue is shorter than the time that a cache miss elsewhere costs. If no target is known to
+//! have the object cached, all hosts choose the same one by rendezvous hashing, without
+//! coordination.
 //!
-//! Load pattern: more requests than slots for seconds on end. What is in attempt at a target bounds
-//! the wait there; beyond the bound a request is refused at once, since it would only make those
-//! behind it late as well. Another target may have room then, and yet the request does not go there:
-//! it would keep a slot several times as long, and push out what that target knows.
+//! Under overload, with more requests than slots for several seconds, the requests in flight at a
+//! target bound the wait there. A request that would exceed its limit is refused at once, since it
+//! would only delay the requests behind it. It is not sent to another target with free slots: a
+//! cache miss there would occupy a slot several times as long and evict another object.
 
-use super::{ObjectTag, ServiceEstimates, Tuning, target_index::weight};
+use super::{ObjectTag, ServiceEstimates, Tuning, target_index::rendezvous_weight};
 use crate::{entry::KnownTarget, prelude::*};
 
-/// Work of a cold target as a multiple of a warm one's.
-const COLD: f64 = 2.0;
+/// Time of a request at a cold target, as a multiple of that at a warm one.
+const COLD_WORK_FACTOR: f64 = 2.0;
 
-/// Requests that may wait at a target, as a multiple of its slots: as many as targets queue.
-const WAITING: f64 = 3.0;
+/// Requests that may wait at a target for each of its slots; targets queue no more.
+const MAX_QUEUE_PER_SLOT: f64 = 3.0;
 
-/// Part of the time left that the expected answer may take: estimates are means.
-const CERTAIN: f64 = 0.9;
+/// Fraction of the remaining time that the expected answer may take. Estimates are means, which
+/// many answers exceed.
+const DEADLINE_FRACTION: f64 = 0.9;
 
-/// Extra time that a request to another zone of the region is charged, for the bytes between zones.
-const ZONE_CHARGE: Duration = Duration::from_millis(6);
+/// Extra cost of a target in another zone of the region, for the traffic between zones.
+const CROSS_ZONE_COST: Duration = Duration::from_millis(6);
 
-/// Extra charge for a region other than the one that the shares name: such a move counts as a
-/// shift.
-const SPILL_CHARGE: Duration = Duration::from_millis(150);
+/// Extra cost of a region other than the one selected by the shares, since it counts as a shift.
+const SPILL_COST: Duration = Duration::from_millis(150);
 
-/// Ranks that are told apart: a few targets are enough for any object.
-const RANKS: usize = 4;
+/// Rank from which the rank cost no longer rises; a few targets are enough for any object.
+const MAX_RANK: usize = 4;
 
-/// Longest wait that is told, in seconds; callers stay away for less anyway.
-const ROOM_MOST: f64 = 60.0;
+/// Cap on reported times, in seconds; callers come back sooner anyway.
+const MAX_REPORTED_SECS: f64 = 60.0;
 
-/// One target that could take the request.
+/// A target that may be selected for the request.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
     pub cold: bool,
-    /// How many other objects the target was asked for since this one; `None` if it never was, as
-    /// far as this host was told.
+    /// LRU depth of the object at the target: how many other objects were requested there since.
+    /// `None` if this host knows of no request for it.
     pub depth: Option<usize>,
-    /// Requests in attempt there, of all hosts.
+    /// Requests of all hosts in flight there.
     pub load: f64,
-    /// A cold target whose rate is used up, one that is paused or just had no room.
+    /// The target takes no requests of this host now: it is paused, full, half-open with a request
+    /// in flight, or cold without a token for this host.
     pub unavailable: bool,
-    /// See `Condition::stretch`.
+    /// See `TargetHealth::slowdown_with_report`.
     pub slowdown: f64,
     pub target: &'a Arc<KnownTarget>,
     /// Round trip to the target's region.
     pub round_trip: Duration,
 }
 
-/// What is asked.
+/// The request to select a target for.
 #[derive(Clone, Debug)]
 pub struct PlacementQuery<'a> {
     pub home_region: &'a RegionId,
     pub estimates: ServiceEstimates,
-    /// Time that the caller still waits.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
     pub may_spill: bool,
-    /// `None` where the request is about no object: any target does it as fast.
+    /// `None` if the request is about no object; all targets are then equally fast.
     pub object: Option<ObjectTag>,
-    /// Time within which the answer is worth most.
+    /// Answer time that the route aims for.
     pub objective: Duration,
-    /// The region that the shares name.
+    /// The region selected by the shares.
     pub region: &'a RegionId,
     pub tuning: Tuning,
     pub zone: &'a ZoneId,
 }
 
 impl PlacementQuery<'_> {
-    /// Longest time that an answer may be expected to take.
+    /// Maximum expected answer time.
     pub fn limit(&self) -> Duration {
-        self.objective.mul_f64(self.tuning.max_objective_multiple).min(self.patience_left())
+        self.objective.mul_f64(self.tuning.max_objective_multiple).min(self.caller_limit())
     }
 
-    /// Longest time that the caller can be expected to be there for.
-    fn patience_left(&self) -> Duration {
-        self.time_left.mul_f64(CERTAIN)
+    /// Maximum expected answer time for which the caller is still there.
+    fn caller_limit(&self) -> Duration {
+        self.time_left.mul_f64(DEADLINE_FRACTION)
     }
 
-    /// Time that knowing the object saves.
-    fn saved(&self) -> Duration {
+    /// Extra time of a cache miss compared with a hit.
+    fn miss_penalty(&self) -> Duration {
         self.estimates.work.miss().saturating_sub(self.estimates.work.hit())
     }
 
-    /// Time that it saves where it is known, as far as the targets that know it are not slow: where all
-    /// of these are, another target is better off with it after its first run.
-    fn worth_of_knowing(&self, candidates: &[Candidate<'_>]) -> Duration {
-        let near = candidates.iter().filter(|it| it.target.region == *self.region);
-        let holders = near.filter(|it| self.estimates.cache_capacity.holds(it.depth));
+    /// Time saved by using a target that has the object cached. It is lower if all of these targets
+    /// are slow: another target is then faster once it has cached the object.
+    fn hit_value(&self, candidates: &[Candidate<'_>]) -> Duration {
+        let in_region = candidates.iter().filter(|it| it.target.region == *self.region);
+        let holders = in_region.filter(|it| self.estimates.cache_capacity.is_cached(it.depth));
         let Some(slowdown) = holders.map(|it| it.slowdown).min_by(f64::total_cmp) else {
-            return self.saved();
+            return self.miss_penalty();
         };
         self.estimates.work.miss().saturating_sub(self.estimates.work.hit().mul_f64(slowdown))
     }
 
-    /// How likely a candidate is to know the object.
+    /// Probability that a candidate has the object cached.
     fn hit_probability(&self, candidate: &Candidate<'_>, is_primary_guess: bool) -> f64 {
-        if self.object.is_none() || self.estimates.cache_capacity.holds(candidate.depth) {
+        if self.object.is_none() || self.estimates.cache_capacity.is_cached(candidate.depth) {
             return 1.0;
         }
         if is_primary_guess { self.estimates.primary_hit_rate } else { 0.0 }
     }
 }
 
-/// The outcome.
+/// Result of the selection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
     Send(CandidateEstimate),
-    /// There is no room in time where the request may go; there is after about that long, as far as
-    /// it is known: a paused target's queue tells nothing. `crowded` is what it should have been
-    /// sent to.
+    /// No target that the request may use can answer in time. `best` is the candidate with the
+    /// lowest cost, if any has space in its queue. `free_in` is the expected wait for a slot; it is
+    /// unknown if all targets are unavailable, as the queue of a paused target says nothing.
     Busy {
         best: Option<CandidateEstimate>,
         free_in: Option<Duration>,
     },
-    /// No target is there at all.
+    /// There are no candidates.
     NoTargets,
 }
 
-/// What was heard of the object in the region that the shares name.
+/// Whether targets of the region selected by the shares have the object cached.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Sighting {
+enum ObjectState {
+    /// No request for it is known.
     None,
-    /// Targets were asked for it, and have forgotten it by now.
-    Forgotten,
-    /// A target is likely to know it.
-    Known,
+    /// Targets received requests for it but have probably evicted it since.
+    Evicted,
+    /// A target probably has it cached.
+    Cached,
 }
 
-impl Sighting {
+impl ObjectState {
     fn of(candidates: &[Candidate<'_>], query: &PlacementQuery<'_>) -> Self {
-        let near = || candidates.iter().filter(|it| it.target.region == *query.region);
-        if near().any(|it| query.estimates.cache_capacity.holds(it.depth)) {
-            return Self::Known;
+        let in_region = || candidates.iter().filter(|it| it.target.region == *query.region);
+        if in_region().any(|it| query.estimates.cache_capacity.is_cached(it.depth)) {
+            return Self::Cached;
         }
-        if near().any(|it| it.depth.is_some()) { Self::Forgotten } else { Self::None }
+        if in_region().any(|it| it.depth.is_some()) { Self::Evicted } else { Self::None }
     }
 }
 
-/// What sending to one candidate means.
+/// What is expected of sending the request to one candidate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CandidateEstimate {
     /// Position of the candidate.
     pub index: usize,
-    /// What the choice goes by, in seconds: the time and what else the choice costs.
-    charge: f64,
-    /// What is held against the limit, in seconds.
-    counts: f64,
-    /// Nothing was heard of the object, and the target is its first by hash.
+    /// What candidates are compared by, in seconds: the answer time plus all extra costs.
+    cost: f64,
+    /// The time compared with `PlacementQuery::limit`, in seconds.
+    limited_secs: f64,
+    /// No request for the object is known, and the target is assumed to have it cached only because
+    /// it is the object's primary target, the first in hash order.
     pub is_primary_guess: bool,
-    /// How likely the target is to know the object.
+    /// Probability that the target has the object cached.
     pub hit_probability: f64,
     /// Expected time of the answer, in seconds.
-    takes: f64,
+    answer_secs: f64,
     /// Expected wait for a slot, in seconds.
-    wait: f64,
-    /// Time that the request keeps a slot of a target of usual speed.
+    wait_secs: f64,
+    /// Time that the request occupies a slot at a target of normal speed.
     pub work: Duration,
 }
 
 impl CandidateEstimate {
     /// Expected time of the answer.
     pub fn expected(&self) -> Duration {
-        span(self.takes)
+        to_duration(self.answer_secs)
     }
 
     fn of(
         index: usize,
         candidate: &Candidate<'_>,
         rank: usize,
-        sighting: Sighting,
-        worth: Duration,
+        object_state: ObjectState,
+        hit_value: Duration,
         query: &PlacementQuery<'_>,
     ) -> Self {
-        let is_home = rank == 0 && query.object.is_some();
+        let is_primary = rank == 0 && query.object.is_some();
         let is_primary_guess = query.tuning.assume_primary_cached
-            && is_home
-            && sighting == Sighting::None
+            && is_primary
+            && object_state == ObjectState::None
             && !candidate.cold;
         let hit_probability = query.hit_probability(candidate, is_primary_guess);
-        let saved = query.saved().mul_f64(1.0 - hit_probability);
-        let cold = if candidate.cold { COLD } else { 1.0 };
-        let work = (query.estimates.work.hit() + saved).mul_f64(cold);
-        let wait = wait(candidate, query);
+        let expected_penalty = query.miss_penalty().mul_f64(1.0 - hit_probability);
+        let work_factor = if candidate.cold { COLD_WORK_FACTOR } else { 1.0 };
+        let work = (query.estimates.work.hit() + expected_penalty).mul_f64(work_factor);
+        let wait_secs = queue_wait(candidate, query);
         let round_trip = candidate.round_trip.as_secs_f64();
-        let busy = work.as_secs_f64() * candidate.slowdown;
-        let takes = wait * candidate.slowdown + busy + round_trip;
-        // Where nothing was measured, an assumption must not refuse what would be measured. And an
-        // object that no target knows must be run once: refused for the time of its first run, it
-        // would stay unknown, and all its requests would be refused. A caller that can't stay for
-        // its first run is refused all the same: nobody would hear the answer.
-        let first_run = saved.as_secs_f64() * cold * candidate.slowdown;
-        let can_stay = takes <= query.patience_left().as_secs_f64();
-        let is_first = is_home && sighting != Sighting::Known && wait <= 0.0 && can_stay;
-        let counts = match query.estimates.work.is_measured() {
-            false => takes - busy,
-            true if is_first => takes - first_run,
-            true => takes,
+        let run_secs = work.as_secs_f64() * candidate.slowdown;
+        let answer_secs = wait_secs * candidate.slowdown + run_secs + round_trip;
+        // Before the first measurement, the default must not cause refusals, or nothing would ever
+        // be measured. An object that no target has cached must run once: if requests were refused
+        // for the time of a cache miss, it would never be cached and all its requests would be
+        // refused. If the caller's deadline is too short for the miss, the request is refused all
+        // the same, since nobody would receive the answer.
+        let miss_secs = expected_penalty.as_secs_f64() * work_factor * candidate.slowdown;
+        let caller_stays = answer_secs <= query.caller_limit().as_secs_f64();
+        let is_first_run =
+            is_primary && object_state != ObjectState::Cached && wait_secs <= 0.0 && caller_stays;
+        let limited_secs = match query.estimates.work.is_measured() {
+            false => answer_secs - run_secs,
+            true if is_first_run => answer_secs - miss_secs,
+            true => answer_secs,
         };
-        let mut charge = takes + rank.min(RANKS) as f64 * query.tuning.rank_cost_secs;
-        charge += worth.as_secs_f64() * (1.0 - hit_probability) * query.tuning.miss_cost_factor;
+        let mut cost = answer_secs + rank.min(MAX_RANK) as f64 * query.tuning.rank_cost_secs;
+        cost += hit_value.as_secs_f64() * (1.0 - hit_probability) * query.tuning.miss_cost_factor;
         let region = &candidate.target.region;
         if region == query.home_region && candidate.target.entry.zone != *query.zone {
-            charge += ZONE_CHARGE.as_secs_f64();
+            cost += CROSS_ZONE_COST.as_secs_f64();
         }
         if region != query.region {
-            charge += SPILL_CHARGE.as_secs_f64();
+            cost += SPILL_COST.as_secs_f64();
+        }
+        Self {
+            index,
+            cost,
+            limited_secs,
+            is_primary_guess,
+            hit_probability,
+            answer_secs,
+            wait_secs,
+            work,
         }
-        Self { index, charge, counts, is_primary_guess, hit_probability, takes, wait, work }
     }
 }
 
-/// Chooses among the candidates. `seed` stands for the object where there is none.
+/// Selects one of the candidates. `seed` takes the place of the object if the request has none.
 pub fn choose(candidates: &[Candidate<'_>], query: &PlacementQuery<'_>, seed: ObjectTag) -> Choice {
     let ranks = ranks(candidates, query.object.unwrap_or(seed));
-    let sighting = Sighting::of(candidates, query);
-    let worth = query.worth_of_knowing(candidates);
+    let object_state = ObjectState::of(candidates, query);
+    let hit_value = query.hit_value(candidates);
     let mut best: Option<CandidateEstimate> = None;
-    let mut least_wait: Option<f64> = None;
-    for (at, candidate) in candidates.iter().enumerate() {
-        let spills = candidate.target.region != *query.region;
-        if candidate.unavailable || (spills && !query.may_spill) {
-            // Told to come back for room that it may not use, a caller would only be refused again.
+    let mut min_wait_secs: Option<f64> = None;
+    for (index, candidate) in candidates.iter().enumerate() {
+        let is_spill = candidate.target.region != *query.region;
+        if candidate.unavailable || (is_spill && !query.may_spill) {
+            // Leaves `free_in` alone: the request may not use these targets, so a caller that came
+            // back when they are free would only be refused again.
             continue;
         }
-        let estimate = CandidateEstimate::of(at, candidate, ranks[at], sighting, worth, query);
-        least_wait = Some(least_wait.map_or(estimate.wait, |least| least.min(estimate.wait)));
-        let room = f64::from(candidate.target.entry.slots) * (1.0 + WAITING);
-        if room <= candidate.load {
+        let estimate =
+            CandidateEstimate::of(index, candidate, ranks[index], object_state, hit_value, query);
+        min_wait_secs =
+            Some(min_wait_secs.map_or(estimate.wait_secs, |min| min.min(estimate.wait_secs)));
+        let capacity = f64::from(candidate.target.entry.slots) * (1.0 + MAX_QUEUE_PER_SLOT);
+        if capacity <= candidate.load {
             continue;
         }
-        if best.is_none_or(|best| estimate.charge < best.charge) {
+        if best.is_none_or(|best| estimate.cost < best.cost) {
             best = Some(estimate);
         }
     }
     let limit = query.limit().as_secs_f64();
     match best {
-        Some(estimate) if estimate.counts <= limit => Choice::Send(estimate),
+        Some(estimate) if estimate.limited_secs <= limit => Choice::Send(estimate),
         _ if candidates.is_empty() => Choice::NoTargets,
-        Some(estimate) => Choice::Busy { best: Some(estimate), free_in: Some(span(estimate.wait)) },
-        None => Choice::Busy { best: None, free_in: least_wait.map(span) },
+        Some(estimate) => {
+            Choice::Busy { best: Some(estimate), free_in: Some(to_duration(estimate.wait_secs)) }
+        }
+        None => Choice::Busy { best: None, free_in: min_wait_secs.map(to_duration) },
     }
 }
 
-fn span(secs: f64) -> Duration {
-    Duration::from_secs_f64(secs.min(ROOM_MOST))
+fn to_duration(secs: f64) -> Duration {
+    Duration::from_secs_f64(secs.min(MAX_REPORTED_SECS))
 }
 
 /// Expected wait for a slot, in seconds.
-fn wait(candidate: &Candidate<'_>, query: &PlacementQuery<'_>) -> f64 {
+fn queue_wait(candidate: &Candidate<'_>, query: &PlacementQuery<'_>) -> f64 {
     let slots = f64::from(candidate.target.entry.slots.max(1));
-    let before = (candidate.load + 1.0 - slots).max(0.0);
-    before / slots * query.estimates.work.mean().as_secs_f64()
+    let queued = (candidate.load + 1.0 - slots).max(0.0);
+    queued / slots * query.estimates.work.mean().as_secs_f64()
 }
 
-/// Rank of each candidate for an object within its region, of those that take requests; 0 comes first.
+/// Rank of each candidate for an object among the available ones of its region, by rendezvous
+/// weight; 0 is the primary target.
 fn ranks(candidates: &[Candidate<'_>], object: ObjectTag) -> Vec<usize> {
-    let weight = |at: &usize| weight(candidates[*at].target.tag, object);
-    let open = (0..candidates.len()).filter(|at| !candidates[*at].unavailable);
-    let mut order: Vec<(u64, usize)> = open.map(|at| (weight(&at), at)).collect();
+    let weight = |index: &usize| rendezvous_weight(candidates[*index].target.tag, object);
+    let available = (0..candidates.len()).filter(|index| !candidates[*index].unavailable);
+    let mut order: Vec<(u64, usize)> = available.map(|index| (weight(&index), index)).collect();
     order.sort_unstable_by(|a, b| b.cmp(a));
-    let mut before: BTreeMap<&RegionId, usize> = BTreeMap::new();
-    let mut ranks = vec![RANKS; candidates.len()];
-    for (_, at) in order {
-        let next = before.entry(&candidates[at].target.region).or_default();
-        ranks[at] = *next;
+    let mut next_ranks: BTreeMap<&RegionId, usize> = BTreeMap::new();
+    let mut ranks = vec![MAX_RANK; candidates.len()];
+    for (_, index) in order {
+        let next = next_ranks.entry(&candidates[index].target.region).or_default();
+        ranks[index] = *next;
         *next += 1;
     }
     ranks
--- a/src/placement/cold_target_limiter.rs
+++ b/src/placement/cold_target_limiter.rs
@@ -1,7 +1,8 @@
-//! The rate of requests to cold targets.
+//! Rate limit of requests to cold targets.
 //!
-//! A cold target that gets more than it takes crashes. The bound is over all hosts together, so
-//! two hosts, chosen by hash among the living, share it; all others send it nothing.
+//! A cold target crashes if it receives requests faster than its cold rate. The limit holds for all
+//! hosts together, so for each target two live hosts, selected by hash, share the rate, and all
+//! others send it nothing.
 
 use std::collections::HashMap;
 
@@ -12,14 +13,14 @@
     prelude::*,
 };
 
-/// Hosts that may send to one cold target. One alone could be cut off from it.
-const SENDERS: usize = 2;
+/// Hosts that may send to one cold target. A single one could be cut off from it.
+const SENDERS_PER_TARGET: usize = 2;
 
-/// Part of the allowed rate that the senders use together: hosts that disagree for a moment about
-/// who lives may make up to four senders, which must stay below one and a half times the rate.
-const PART: f64 = 0.7;
+/// Fraction of the cold rate that the senders use together. While hosts disagree about which hosts
+/// are live, up to four may send, and together they must stay below 1.5 times the rate.
+const RATE_FRACTION: f64 = 0.7;
 
-/// Tokens by target.
+/// Token buckets by tag of the target.
 #[derive(Debug, Default)]
 pub struct ColdTargetLimiter {
     buckets: HashMap<u32, Bucket>,
@@ -27,41 +28,48 @@
 
 #[derive(Debug)]
 struct Bucket {
-    at: Moment,
+    refilled_at: Moment,
     tokens: f64,
 }
 
 impl ColdTargetLimiter {
-    /// Whether this host may send one request to the target now.
+    /// Refills the target's bucket at this host's part of `rate`, and returns whether the host may
+    /// send it a request now.
     pub fn has_token(&mut self, target: &KnownTarget, rate: f64, now: Moment) -> bool {
-        let bucket = self.buckets.entry(target.tag).or_insert(Bucket { at: now, tokens: 1.0 });
-        let gained = now.saturating_sub(bucket.at).as_secs_f64() * rate * PART / SENDERS as f64;
+        let bucket =
+            self.buckets.entry(target.tag).or_insert(Bucket { refilled_at: now, tokens: 1.0 });
+        let gained = now.saturating_sub(bucket.refilled_at).as_secs_f64() * rate * RATE_FRACTION
+            / SENDERS_PER_TARGET as f64;
         bucket.tokens = (bucket.tokens + gained).min(1.0);
-        bucket.at = now;
+        bucket.refilled_at = now;
         1.0 <= bucket.tokens
     }
 
-    /// One was sent.
+    /// Takes a token for a request that is sent.
     pub fn take_token(&mut self, target: &KnownTarget) {
         if let Some(bucket) = self.buckets.get_mut(&target.tag) {
             bucket.tokens -= 1.0;
         }
     }
 
-    /// Forgets targets that are no longer cold.
+    /// Removes targets not checked for ten seconds, such as those that are no longer cold.
     pub fn remove_idle(&mut self, now: Moment) {
-        self.buckets.retain(|_, bucket| now.saturating_sub(bucket.at) < Duration::from_secs(10));
+        self.buckets
+            .retain(|_, bucket| now.saturating_sub(bucket.refilled_at) < Duration::from_secs(10));
     }
 }
 
-/// Whether `host` is one of the senders of a target.
+/// Whether `host` is one of the two hosts that may send to a cold target. Hosts of the target's
+/// region have precedence; if there are none, hosts of all regions are eligible.
 pub fn is_cold_sender(target: &KnownTarget, host: &HostId, hosts: &[LiveHost]) -> bool {
     let weight = |name: &HostId| xxh3_64_with_seed(name.as_bytes(), u64::from(target.tag));
     let own = weight(host);
-    let near = hosts.iter().any(|live| live.region == target.region);
+    let has_local_hosts = hosts.iter().any(|live| live.region == target.region);
     let rivals = hosts.iter().filter(|live| {
-        live.host != *host && (!near || live.region == target.region) && own < weight(&live.host)
+        live.host != *host
+            && (!has_local_hosts || live.region == target.region)
+            && own < weight(&live.host)
     });
-    let here = hosts.iter().any(|live| live.host == *host && live.region == target.region);
-    (!near || here) && rivals.count() < SENDERS
+    let is_local = hosts.iter().any(|live| live.host == *host && live.region == target.region);
+    (!has_local_hosts || is_local) && rivals.count() < SENDERS_PER_TARGET
 }
--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -1,22 +1,24 @@
-//! What an attempt is expected to be when it is sent.
+//! Expectations of an attempt at the time it is sent.
 
 use super::ObjectTag;
 use crate::prelude::*;
 
-/// Kept with an attempt until it ends, so that its end can be held against it.
+/// Expectations kept with an attempt until it ends, to compare its result with.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Forecast {
-    /// How many other objects the target was asked for since this one; `None` if it never was.
+    /// LRU depth of the object at the target: how many other objects were requested there since.
+    /// `None` if no request for it is known.
     pub depth: Option<usize>,
-    /// Time of the answer at a target of usual speed.
+    /// Answer time at a target of normal speed.
     pub expected: Duration,
-    /// It finds a free slot at a target that is not cold.
+    /// The target is not cold and has a free slot.
     pub has_free_slot: bool,
-    /// Nothing was heard of the object; the target is its first by hash.
+    /// No request for the object is known, and the target is assumed to have it cached only because
+    /// it is the object's primary target, the first in hash order.
     pub is_primary_guess: bool,
     pub object: Option<ObjectTag>,
     /// Round trip to the target's region.
     pub round_trip: Duration,
-    /// How likely the target is to know the object.
+    /// Probability that the target has the object cached.
     pub hit_probability: f64,
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,11 +1,15 @@
-//! Which target runs a request of an entry host.
+//! Chooses the target that runs a request of an entry host.
 //!
-//! Decisions only: time, load and answers come in as values, and nothing here reads clocks or does
-//! I/O. What the decisions go by is learnt from answers: how long a request takes at a target that
-//! knows its object and at one that does not (`work_time`), which objects each target still knows
-//! (`held_objects`), how far away the regions are (`round_trips`), which targets are slow or failing
-//! (`condition`). `choose` weighs the targets of a region, of which `target_index` names the few that matter; `shares` decides on the region, within what
-//! `sent` says that all hosts of the own region may still move.
+//! Pure decision logic: time, load and answers are passed in as values; nothing here reads clocks
+//! or does I/O. A target that has an object cached answers requests about it several times faster
+//! than one that does not. Hosts estimate from answers how long both kinds of request take
+//! (`work_time`), which objects each target has cached (`cached_objects`, `cache_capacity`), how
+//! far away the regions are (`round_trips`), and which targets are slow or failing
+//! (`target_health`).
+//!
+//! `region_shares` selects the region, within the traffic that all hosts of the own region may
+//! still shift (`sent_requests`). `target_index` makes a shortlist of targets, and `choose` selects
+//! one.
 
 mod cache_capacity;
 mod cached_objects;
@@ -44,13 +48,12 @@
 /// Hash of a target's id and start; the same on every host.
 pub type TargetTag = u32;
 
-/// Hash of a service's or a region's name, as hosts tell each other.
+/// Hash of a name, such as that of a service, region or team, used in messages between hosts.
 pub type NameTag = u32;
 
-/// The tag of a name.
 pub fn name_tag(name: &str) -> NameTag {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as NameTag
 }
 
-/// Hash of the object that requests are about; the same on every host.
+/// Hash of the object that a request is about; the same on every host.
 pub type ObjectTag = u32;
--- a/src/placement/round_trips.rs
+++ b/src/placement/round_trips.rs
@@ -1,36 +1,36 @@
-//! Round trips to the regions, learnt from new connections.
+//! Round-trip times to the regions, measured by opening connections.
 
 use std::collections::VecDeque;
 
 use crate::prelude::*;
 
-/// Round trip to another region before any was measured.
-const TRIP_ASSUMED: Duration = Duration::from_millis(100);
+/// Round trip assumed for another region until one is measured.
+const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(100);
 
-/// New connections that count: the shortest of these is taken, since packets that were lost and
-/// targets that were slow to accept only lengthen it.
-const SAMPLES: usize = 8;
+/// Number of recent connections considered. The estimate is the shortest of them, since lost
+/// packets and targets that are slow to accept only lengthen a measurement.
+const MAX_SAMPLES: usize = 8;
 
-/// Measured round trips.
+/// Connection times of each region.
 #[derive(Debug, Default)]
 pub struct RoundTrips {
     regions: BTreeMap<RegionId, VecDeque<Duration>>,
 }
 
 impl RoundTrips {
-    /// A connection to a target of the region took that long.
+    /// Records how long a connection to a target of the region took to open.
     pub fn record(&mut self, region: &RegionId, took: Duration) {
         let samples = self.regions.entry(region.clone()).or_default();
-        if samples.len() == SAMPLES {
+        if samples.len() == MAX_SAMPLES {
             samples.pop_front();
         }
         samples.push_back(took);
     }
 
-    /// The round trip from `home`.
+    /// The estimated round trip to `region` from a host in `home`.
     pub fn get(&self, region: &RegionId, home: &RegionId) -> Duration {
         let measured = self.regions.get(region).and_then(|samples| samples.iter().min());
-        let assumed = if region == home { Duration::ZERO } else { TRIP_ASSUMED };
+        let assumed = if region == home { Duration::ZERO } else { DEFAULT_ROUND_TRIP };
         measured.copied().unwrap_or(assumed)
     }
 }
--- a/src/placement/slowdown_report.rs
+++ b/src/placement/slowdown_report.rs
@@ -1,33 +1,33 @@
-//! What hosts saw of slow targets, and tell each other.
+//! Reports on slow targets that hosts exchange.
 
 use crate::prelude::*;
 
-/// Runs that must agree before they count in full: one may have met with something else.
-const TELLING: u16 = 3;
+/// Runs that a report needs to count in full: a single one may be slow for another reason.
+const FULL_WEIGHT_RUNS: u16 = 3;
 
-/// Most runs that count: what is seen now goes before what was seen a while ago.
-const RUNS_MOST: u16 = 8;
+/// Maximum number of runs in a report, so that new runs replace older ones.
+const MAX_RUNS: u16 = 8;
 
-/// Least mean that makes a target slow: less is the usual spread of work.
-const SLOW: f64 = 1.5;
+/// Mean ratio of actual to expected time from which a target is slow; less is normal variation.
+const SLOW_RATIO: f64 = 1.5;
 
-/// Runs at a target, and how many times the expected time they took.
+/// Recent runs at a target, and the ratio of their actual to their expected time.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlowdownReport {
     runs: u16,
-    /// Of all runs, in hundredths.
+    /// Sum of the ratios of all runs, in hundredths.
     sum: u32,
 }
 
 impl SlowdownReport {
-    /// One run.
+    /// The report of one run that took `ratio` times its expected time.
     pub fn single(ratio: f64) -> Self {
         Self { runs: 1, sum: (ratio * 100.0) as u32 }
     }
 
-    /// Further runs as well; beyond a few, those before lose weight.
+    /// Adds the runs of `other`. If there are more than `MAX_RUNS`, the runs of `self` lose weight.
     pub fn merge(self, other: Self) -> Self {
-        let kept = RUNS_MOST.saturating_sub(other.runs).min(self.runs);
+        let kept = MAX_RUNS.saturating_sub(other.runs).min(self.runs);
         let sum = u64::from(self.sum) * u64::from(kept) / u64::from(self.runs.max(1));
         let sum = other.sum.saturating_add(sum as u32);
         Self { runs: kept + other.runs, sum }
@@ -38,14 +38,14 @@
         0 < self.runs
     }
 
-    /// Whether they took longer than usual.
+    /// Whether the runs took at least `SLOW_RATIO` times their expected time on average.
     pub fn is_slow(self) -> bool {
-        SLOW <= self.mean()
+        SLOW_RATIO <= self.mean()
     }
 
-    /// What the runs make of the time of an answer.
+    /// Factor by which the target prolongs answers, judged by the runs.
     pub fn slowdown(self) -> f64 {
-        let weight = f64::from(self.runs.min(TELLING)) / f64::from(TELLING);
+        let weight = f64::from(self.runs.min(FULL_WEIGHT_RUNS)) / f64::from(FULL_WEIGHT_RUNS);
         1.0 + (self.mean() - 1.0).max(0.0) * weight
     }
 
--- a/src/placement/target_health.rs
+++ b/src/placement/target_health.rs
@@ -1,195 +1,200 @@
-//! What a host has seen of one target by its own requests.
+//! Health of one target, as a host observes it through its own requests.
 
 use super::SlowdownReport;
 use crate::prelude::*;
 
-/// First pause after failures in a row; doubles up to `LONGEST_PAUSE`.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// First pause after consecutive failures; doubles with each further pause up to `MAX_PAUSE`.
+const MIN_PAUSE: Duration = Duration::from_millis(500);
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// Failures in a row after which a target is left alone: one can be chance, as with a lost answer.
-const FAILURES: u32 = 2;
+/// Consecutive failures that pause a target. A single one can be chance, such as a lost answer.
+const FAILURES_BEFORE_PAUSE: u32 = 2;
 
-/// Time for which a target that had no room gets nothing more from this host.
+/// Time for which this host sends nothing more to a target that refused a request as full.
 const FULL_PAUSE: Duration = Duration::from_millis(80);
 
-/// Weight of the newest sample in a mean; five samples carry two thirds.
-const NEWEST: f64 = 0.2;
+/// Weight of the newest sample in an exponential mean; the last five samples carry two thirds.
+const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Time in which an unused mean loses half of its distance from the usual, so that a target that
-/// was slow or failing is tried again.
-const FORGET_HALF: f64 = 3.0;
+/// Half-life with which unused means decay to normal, so that a target that was slow or failing is
+/// tried again.
+const HALF_LIFE_SECS: f64 = 3.0;
 
-/// Shortest time that counts, in seconds: timers do not tell less apart.
-const LEAST: f64 = 0.001;
+/// Resolution of timers, in seconds: shorter expected times are rounded up to it.
+const MIN_EXPECTED_SECS: f64 = 0.001;
 
-/// Most times the expected time that one answer counts for.
-const RATIO_MOST: f64 = 10.0;
+/// Cap on the ratio of actual to expected time of one answer.
+const MAX_RATIO: f64 = 10.0;
 
-/// Time without a run after which what was seen of a target says nothing more of it.
-const FRESH: Duration = Duration::from_millis(1_500);
+/// Age at which the recorded runs of a target are discarded.
+const MAX_RUN_AGE: Duration = Duration::from_millis(1_500);
 
-/// How an attempt at a target ended, as far as the target's state goes.
+/// What the end of an attempt says about the health of its target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HealthSignal {
-    /// A whole answer, after that time.
+    /// A complete answer, after this time.
     Answered(Duration),
-    /// The target's own failure, or a broken or lost answer.
+    /// The target reported a failure, or its answer was broken or lost.
     Failed,
-    /// It refused the request since it had no room.
+    /// The target refused the request because it had no free capacity.
     Full,
-    /// Nobody could be reached at its address.
+    /// The target could not be reached at its address.
     Unreachable,
-    /// Cancelled; says nothing, or that it took at least that long.
+    /// The attempt was cancelled after this time. It counts only if that exceeds the expected time.
     Cancelled(Duration),
 }
 
-/// What an attempt's end changed.
+/// Change of a target's health caused by the end of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HealthChange {
-    /// The target gets nothing for that long, after so many failures in a row.
+    /// The target receives no requests for `pause`, after `failures` consecutive failures.
     Paused { failures: u32, pause: Duration },
-    /// It answers again after a pause.
+    /// The target answered again after a pause.
     Recovered,
 }
 
-/// The condition of one target.
+/// Health of one target.
 #[derive(Clone, Debug, Default)]
 pub struct TargetHealth {
-    failures: u32,
-    /// Share of recent attempts that failed.
-    failing: f64,
+    consecutive_failures: u32,
+    /// Exponential mean of failed attempts: 0 if none failed recently, 1 if all did.
+    failure_rate: f64,
     full_until: Moment,
-    /// Requests of this host in attempt.
+    /// Requests of this host in flight.
     pub in_flight: u32,
     paused_until: Moment,
-    pauses: u32,
-    /// Its last runs, none of them long before the next.
-    seen: SlowdownReport,
-    seen_at: Moment,
-    /// Recent time of an answer as a multiple of what was expected.
-    slow: Option<f64>,
-    touched: Moment,
+    consecutive_pauses: u32,
+    /// The latest runs, discarded when `MAX_RUN_AGE` passes without a new one.
+    runs: SlowdownReport,
+    last_run_at: Moment,
+    /// Exponential mean of answer times as multiples of the expected time.
+    time_ratio: Option<f64>,
+    updated_at: Moment,
 }
 
 impl TargetHealth {
-    /// An attempt ended; `expected` is the time that an answer usually takes there.
+    /// Records the end of an attempt; `expected` is the usual time of an answer from this target.
     pub fn record_attempt(
         &mut self,
-        ended: HealthSignal,
+        signal: HealthSignal,
         expected: Duration,
         now: Moment,
     ) -> Option<HealthChange> {
-        match ended {
+        match signal {
             HealthSignal::Answered(took) => {
-                let was_paused = 0 < self.pauses;
-                self.failures = 0;
-                self.pauses = 0;
+                let was_paused = 0 < self.consecutive_pauses;
+                self.consecutive_failures = 0;
+                self.consecutive_pauses = 0;
                 self.paused_until = Moment::ZERO;
-                self.sample(0.0, now);
-                self.paced(ratio(took, expected), now);
+                self.record_failure_sample(0.0, now);
+                self.record_ratio(time_ratio(took, expected), now);
                 return was_paused.then_some(HealthChange::Recovered);
             }
             HealthSignal::Cancelled(took) if expected < took => {
-                self.paced(ratio(took, expected), now)
+                self.record_ratio(time_ratio(took, expected), now)
             }
             HealthSignal::Cancelled(_) => {}
             HealthSignal::Full => self.full_until = now + FULL_PAUSE,
-            HealthSignal::Failed => return self.failed(1, now),
-            HealthSignal::Unreachable => return self.failed(FAILURES, now),
+            HealthSignal::Failed => return self.record_failures(1, now),
+            HealthSignal::Unreachable => return self.record_failures(FAILURES_BEFORE_PAUSE, now),
         }
         None
     }
 
-    /// How much the time of an answer is stretched here, for slowness and failures.
+    /// Factor by which slowness and failures prolong answers of this target.
     pub fn slowdown(&self, now: Moment) -> f64 {
-        let keep = self.keep(now);
-        let slow = 1.0 + (self.slow.unwrap_or(1.0).max(1.0) - 1.0) * keep;
-        let failing = (self.failing * keep).min(0.9);
+        let decay = self.decay_factor(now);
+        let slow = 1.0 + (self.time_ratio.unwrap_or(1.0).max(1.0) - 1.0) * decay;
+        let failing = (self.failure_rate * decay).min(0.9);
         slow / ((1.0 - failing) * (1.0 - failing))
     }
 
-    /// The same, with what all hosts saw of the target lately: each host of a large fleet meets a
-    /// target too seldom to learn by itself that it has turned slow.
-    pub fn slowdown_with_report(&self, told: Option<SlowdownReport>, now: Moment) -> f64 {
+    /// The same, including the recent reports of other hosts: in a large fleet, one host sends too
+    /// few requests to a target to detect by itself that it has become slow.
+    pub fn slowdown_with_report(&self, reported: Option<SlowdownReport>, now: Moment) -> f64 {
         let own = self.slowdown(now);
-        match told {
-            Some(told) => own.max(told.merge(self.seen(now)).slowdown()),
+        match reported {
+            Some(reported) => own.max(reported.merge(self.recent_runs(now)).slowdown()),
             None => own,
         }
     }
 
-    /// What other hosts are told of the target: that it is slow, or, where others say so, what this
-    /// host saw, be it slow or not.
-    pub fn report(&self, told: Option<SlowdownReport>, now: Moment) -> Option<SlowdownReport> {
-        let seen = self.seen(now);
-        (seen.is_slow() || (seen.has_runs() && told.is_some())).then_some(seen)
+    /// The report for other hosts: the recent runs if they were slow or, when others reported the
+    /// target as slow, at whatever speed they were.
+    pub fn report(&self, reported: Option<SlowdownReport>, now: Moment) -> Option<SlowdownReport> {
+        let runs = self.recent_runs(now);
+        (runs.is_slow() || (runs.has_runs() && reported.is_some())).then_some(runs)
     }
 
-    /// A run that had not to wait for a slot took that part of the usual time. Others say little:
-    /// where all targets have queues, all of them would look slow.
+    /// Records the time of a run that found a free slot. Callers leave out queued runs: with queues
+    /// everywhere, all targets would look slow.
     pub fn record_run(&mut self, took: Duration, expected: Duration, now: Moment) {
-        let ratio = ratio(took, expected);
-        self.seen = self.seen(now).merge(SlowdownReport::single(ratio));
-        self.seen_at = now;
+        let ratio = time_ratio(took, expected);
+        self.runs = self.recent_runs(now).merge(SlowdownReport::single(ratio));
+        self.last_run_at = now;
     }
 
-    /// The runs of the last moments.
-    fn seen(&self, now: Moment) -> SlowdownReport {
-        if now.saturating_sub(self.seen_at) < FRESH { self.seen } else { SlowdownReport::default() }
+    fn recent_runs(&self, now: Moment) -> SlowdownReport {
+        if now.saturating_sub(self.last_run_at) < MAX_RUN_AGE {
+            self.runs
+        } else {
+            SlowdownReport::default()
+        }
     }
 
-    /// Whether it is to be left alone for now.
+    /// Whether the target receives no requests for now.
     pub fn is_paused(&self, now: Moment) -> bool {
         now < self.paused_until
     }
 
-    /// A target whose pause is over gets one request at a time until it answers.
+    /// Whether the pause is over but the target has not answered yet; until then it receives one
+    /// request at a time.
     pub fn is_half_open(&self, now: Moment) -> bool {
-        FAILURES <= self.failures && !self.is_paused(now)
+        FAILURES_BEFORE_PAUSE <= self.consecutive_failures && !self.is_paused(now)
     }
 
-    /// Whether it just said that it has no room.
+    /// Whether the target refused a request as full within `FULL_PAUSE`.
     pub fn is_full(&self, now: Moment) -> bool {
         now < self.full_until
     }
 
-    fn failed(&mut self, count: u32, now: Moment) -> Option<HealthChange> {
-        self.sample(1.0, now);
-        self.failures = self.failures.saturating_add(count);
-        if self.failures < FAILURES {
+    fn record_failures(&mut self, count: u32, now: Moment) -> Option<HealthChange> {
+        self.record_failure_sample(1.0, now);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(count);
+        if self.consecutive_failures < FAILURES_BEFORE_PAUSE {
             return None;
         }
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.pauses.min(8)).min(LONGEST_PAUSE);
+        let pause = MIN_PAUSE.saturating_mul(1 << self.consecutive_pauses.min(8)).min(MAX_PAUSE);
         self.paused_until = now + pause;
-        self.pauses += 1;
-        Some(HealthChange::Paused { failures: self.failures, pause })
+        self.consecutive_pauses += 1;
+        Some(HealthChange::Paused { failures: self.consecutive_failures, pause })
     }
 
-    fn keep(&self, now: Moment) -> f64 {
-        0.5_f64.powf(now.saturating_sub(self.touched).as_secs_f64() / FORGET_HALF)
+    fn decay_factor(&self, now: Moment) -> f64 {
+        0.5_f64.powf(now.saturating_sub(self.updated_at).as_secs_f64() / HALF_LIFE_SECS)
     }
 
-    fn sample(&mut self, failed: f64, now: Moment) {
-        self.fade(now);
-        self.failing = self.failing * (1.0 - NEWEST) + failed * NEWEST;
+    fn record_failure_sample(&mut self, failed: f64, now: Moment) {
+        self.decay(now);
+        self.failure_rate = self.failure_rate * (1.0 - SAMPLE_WEIGHT) + failed * SAMPLE_WEIGHT;
     }
 
-    fn paced(&mut self, ratio: f64, now: Moment) {
-        self.fade(now);
-        self.slow = Some(self.slow.map_or(ratio, |slow| slow + (ratio - slow) * NEWEST));
+    fn record_ratio(&mut self, ratio: f64, now: Moment) {
+        self.decay(now);
+        self.time_ratio =
+            Some(self.time_ratio.map_or(ratio, |slow| slow + (ratio - slow) * SAMPLE_WEIGHT));
     }
 
-    /// Takes the time since the last sample off both means, which then run from now.
-    fn fade(&mut self, now: Moment) {
-        let keep = self.keep(now);
-        self.failing *= keep;
-        self.slow = self.slow.map(|slow| 1.0 + (slow - 1.0) * keep);
-        self.touched = now;
+    /// Applies the decay since the last update to both means.
+    fn decay(&mut self, now: Moment) {
+        let decay = self.decay_factor(now);
+        self.failure_rate *= decay;
+        self.time_ratio = self.time_ratio.map(|slow| 1.0 + (slow - 1.0) * decay);
+        self.updated_at = now;
     }
 }
 
-/// Time of an answer as a multiple of what was expected.
-fn ratio(took: Duration, expected: Duration) -> f64 {
-    (took.as_secs_f64() / expected.as_secs_f64().max(LEAST)).min(RATIO_MOST)
+/// Answer time as a multiple of the expected time, up to `MAX_RATIO`.
+fn time_ratio(took: Duration, expected: Duration) -> f64 {
+    (took.as_secs_f64() / expected.as_secs_f64().max(MIN_EXPECTED_SECS)).min(MAX_RATIO)
 }
--- a/src/placement/target_index.rs
+++ b/src/placement/target_index.rs
@@ -1,7 +1,7 @@
-//! Which few of a service's targets are worth looking at for a request.
+//! Index of a service's targets that makes a shortlist of candidates for each request.
 //!
-//! Load pattern: hundreds of targets of one service, and a host with a tenth of a core that places
-//! dozens of requests a second. Weighed in full, each of them would cost more than its forwarding.
+//! A service can have hundreds of targets, and a host with a tenth of a core places dozens of
+//! requests a second. Evaluating all targets would cost more than forwarding the request.
 
 use std::collections::HashMap;
 
@@ -10,111 +10,118 @@
 use super::{ObjectTag, TargetTag};
 use crate::{entry::KnownTarget, prelude::*};
 
-/// First targets of an object by hash that are looked at in each region. Enough that some of them
-/// take requests where others are paused, cold or full.
-const FIRSTS: usize = 8;
+/// Number of targets shortlisted in each region by their hash rank for the object. Enough that some
+/// of them take requests while others are paused, cold or full.
+const TOP_RANKED: usize = 8;
 
-/// Other targets of a region that are looked at: where the first ones are crowded, some of these
-/// are likely to be idle if many are.
-const OTHERS: usize = 8;
+/// Number of other targets shortlisted in each region. If the top-ranked targets are overloaded and
+/// many others are idle, some of these probably are.
+const OTHER_TARGETS: usize = 8;
 
-/// Objects whose first targets are remembered.
-const REMEMBERED: usize = 4_096;
+/// Number of objects whose top-ranked targets are kept in memory.
+const MAX_RANKED_OBJECTS: usize = 4_096;
 
-/// A service's targets, by region and by tag.
+/// The targets of a service, by region and by tag. Positions are indices into `targets`.
 #[derive(Debug, Default)]
 pub struct TargetIndex {
     by_region: BTreeMap<RegionId, Vec<u32>>,
     by_tag: HashMap<TargetTag, u32>,
-    /// First targets of objects in each region, worked out once for each change of the targets.
-    firsts: HashMap<ObjectTag, Arc<[u32]>>,
+    /// Positions of the top-ranked targets of objects in all regions, cleared when the targets
+    /// change.
+    top_ranked: HashMap<ObjectTag, Arc<[u32]>>,
     targets: Arc<[Arc<KnownTarget>]>,
 }
 
-/// What a shortlist is made for.
+/// The request that a shortlist is made for.
 #[derive(Clone, Copy, Debug)]
 pub struct ShortlistQuery<'a> {
-    /// Targets that are known to have been asked for the object.
+    /// Targets that are known to have received requests for the object.
     pub holders: &'a [TargetTag],
     pub object: Option<ObjectTag>,
-    /// Regions to look at.
+    /// Regions to take targets from.
     pub regions: &'a [RegionId],
-    /// A number that differs from request to request.
-    pub spread: u32,
+    /// Position where the selection of other targets starts; differs from request to request.
+    pub offset: u32,
 }
 
 impl TargetIndex {
-    /// Takes over the targets, if they are others than before.
+    /// Rebuilds the index if `targets` is a different list than before.
     pub fn update(&mut self, targets: &Arc<[Arc<KnownTarget>]>) {
         if Arc::ptr_eq(&self.targets, targets) {
             return;
         }
         self.targets = targets.clone();
-        self.firsts.clear();
+        self.top_ranked.clear();
         self.by_region.clear();
         self.by_tag.clear();
-        for (at, target) in (0..).zip(targets.iter()) {
-            self.by_region.entry(target.region.clone()).or_default().push(at);
-            self.by_tag.insert(target.tag, at);
+        for (position, target) in (0..).zip(targets.iter()) {
+            self.by_region.entry(target.region.clone()).or_default().push(position);
+            self.by_tag.insert(target.tag, position);
         }
     }
 
-    /// All targets, in the order that positions go by.
+    /// All targets, ordered by position.
     pub fn targets(&self) -> &Arc<[Arc<KnownTarget>]> {
         &self.targets
     }
 
-    /// The regions that have other targets than those that were tried.
+    /// The regions with at least one target that is not in `tried`.
     pub fn untried_regions(&self, tried: &[TargetTag]) -> impl Iterator<Item = &RegionId> {
-        let is_open = |at: &u32| !tried.contains(&self.targets[*at as usize].tag);
-        let open = self.by_region.iter().filter(move |(_, all)| all.iter().any(is_open));
-        open.map(|(region, _)| region)
+        let is_untried = |position: &u32| !tried.contains(&self.targets[*position as usize].tag);
+        let untried = self.by_region.iter().filter(move |(_, all)| all.iter().any(is_untried));
+        untried.map(|(region, _)| region)
     }
 
-    /// Positions of the targets to look at, in rising order.
-    pub fn shortlist(&mut self, wanted: &ShortlistQuery<'_>) -> Vec<usize> {
-        let mut found: Vec<u32> = Vec::with_capacity(4 * (FIRSTS + OTHERS));
-        found.extend(wanted.holders.iter().filter_map(|tag| self.by_tag.get(tag)));
-        if let Some(object) = wanted.object {
-            found.extend(self.firsts(object).iter());
+    /// Positions of the shortlisted targets, in ascending order.
+    pub fn shortlist(&mut self, query: &ShortlistQuery<'_>) -> Vec<usize> {
+        let mut positions: Vec<u32> = Vec::with_capacity(4 * (TOP_RANKED + OTHER_TARGETS));
+        positions.extend(query.holders.iter().filter_map(|tag| self.by_tag.get(tag)));
+        if let Some(object) = query.object {
+            positions.extend(self.top_ranked(object).iter());
         }
-        for region in wanted.regions {
+        for region in query.regions {
             let Some(all) = self.by_region.get(region) else { continue };
-            let others = if wanted.object.is_some() { OTHERS } else { FIRSTS + OTHERS };
-            let first = wanted.spread as usize;
-            found.extend((0..others.min(all.len())).map(|step| all[(first + step) % all.len()]));
+            let others =
+                if query.object.is_some() { OTHER_TARGETS } else { TOP_RANKED + OTHER_TARGETS };
+            let start = query.offset as usize;
+            positions
+                .extend((0..others.min(all.len())).map(|index| all[(start + index) % all.len()]));
         }
-        found.retain(|at| wanted.regions.contains(&self.targets[*at as usize].region));
-        found.sort_unstable();
-        found.dedup();
-        found.into_iter().map(|at| at as usize).collect()
+        positions
+            .retain(|position| query.regions.contains(&self.targets[*position as usize].region));
+        positions.sort_unstable();
+        positions.dedup();
+        positions.into_iter().map(|position| position as usize).collect()
     }
 
-    /// The first targets of an object by hash, of all regions.
-    fn firsts(&mut self, object: ObjectTag) -> Arc<[u32]> {
-        if let Some(firsts) = self.firsts.get(&object) {
-            return firsts.clone();
+    /// Positions of an object's top-ranked targets in all regions.
+    fn top_ranked(&mut self, object: ObjectTag) -> Arc<[u32]> {
+        if let Some(ranked) = self.top_ranked.get(&object) {
+            return ranked.clone();
         }
-        let mut firsts = Vec::with_capacity(FIRSTS * self.by_region.len());
+        let mut ranked = Vec::with_capacity(TOP_RANKED * self.by_region.len());
         for all in self.by_region.values() {
-            let weigh = |at: &u32| (weight(self.targets[*at as usize].tag, object), *at);
-            let mut weighed: Vec<(u64, u32)> = all.iter().map(weigh).collect();
-            if FIRSTS < weighed.len() {
-                weighed.select_nth_unstable_by(FIRSTS - 1, |a, b| b.cmp(a));
-                weighed.truncate(FIRSTS);
+            let with_weight = |position: &u32| {
+                (rendezvous_weight(self.targets[*position as usize].tag, object), *position)
+            };
+            let mut weighted: Vec<(u64, u32)> = all.iter().map(with_weight).collect();
+            if TOP_RANKED < weighted.len() {
+                weighted.select_nth_unstable_by(TOP_RANKED - 1, |a, b| b.cmp(a));
+                weighted.truncate(TOP_RANKED);
             }
-            firsts.extend(weighed.into_iter().map(|(_, at)| at));
+            ranked.extend(weighted.into_iter().map(|(_, position)| position));
         }
-        if REMEMBERED <= self.firsts.len() {
-            self.firsts.clear();
+        if MAX_RANKED_OBJECTS <= self.top_ranked.len() {
+            self.top_ranked.clear();
         }
-        let firsts: Arc<[u32]> = firsts.into();
-        self.firsts.insert(object, firsts.clone());
-        firsts
+        let ranked: Arc<[u32]> = ranked.into();
+        self.top_ranked.insert(object, ranked.clone());
+        ranked
     }
 }
 
-/// Weight of a target for an object; the highest comes first, at every host.
-pub fn weight(target: TargetTag, object: ObjectTag) -> u64 {
+/// Rendezvous hashing weight of a target for an object. All hosts compute the same weights, and the
+/// target with the highest weight ranks first.
+pub fn rendezvous_weight(target: TargetTag, object: ObjectTag) -> u64 {
     xxh3_64_with_seed(&target.to_le_bytes(), u64::from(object))
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of the placement's decisions.
+//! Tests of placement decisions.
 
 mod cached_objects;
 mod choose;
-mod first_runs;
 mod learning;
 mod load_patterns;
 mod region_shares;
-mod region_start;
 mod simulation;
+mod starting_hosts;
 mod target_index;
+mod uncached_objects;
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -38,7 +38,7 @@
     Duration::from_secs_f64(secs)
 }
 
-/// Candidates that run nothing, and of which nothing was heard.
+/// Candidates without load, and without known requests for any object.
 fn idle(targets: &[Arc<KnownTarget>]) -> Vec<Candidate<'_>> {
     let candidate = |target| Candidate {
         cold: false,
@@ -52,7 +52,7 @@
     targets.iter().map(candidate).collect()
 }
 
-/// 100 ms at a target that knows the object, 300 ms at one that does not.
+/// Estimates of 100 ms for a cache hit and 300 ms for a miss.
 fn estimates() -> ServiceEstimates {
     let mut work = WorkTime::default();
     work.record_run(secs(0.1), Some(true));
--- a/src/placement/tests/choose.rs
+++ b/src/placement/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to.
+//! Selection of the target of a request.
 
 use super::{estimates, idle, known, secs};
 use crate::{
@@ -9,13 +9,13 @@
 
 const OBJECTS: u32 = 200;
 
-struct World {
+struct Fixture {
     home: RegionId,
     targets: Vec<Arc<KnownTarget>>,
     zone: ZoneId,
 }
 
-impl World {
+impl Fixture {
     fn new(north: usize, south: usize) -> Self {
         let of = |region: &str, count: usize| {
             let region = region.to_owned();
@@ -29,14 +29,14 @@
         idle(&self.targets)
     }
 
-    /// The same, and all know every object.
-    fn knowing(&self) -> Vec<Candidate<'_>> {
+    /// Idle candidates that have every object cached.
+    fn all_cached(&self) -> Vec<Candidate<'_>> {
         let mut candidates = self.idle();
         candidates.iter_mut().for_each(|candidate| candidate.depth = Some(0));
         candidates
     }
 
-    fn ask(&self, object: u32) -> PlacementQuery<'_> {
+    fn query(&self, object: u32) -> PlacementQuery<'_> {
         PlacementQuery {
             home_region: &self.home,
             estimates: estimates(),
@@ -51,141 +51,139 @@
     }
 }
 
-fn choice(candidates: &[Candidate<'_>], ask: &PlacementQuery<'_>) -> Choice {
-    choose(candidates, ask, 0)
+fn choice(candidates: &[Candidate<'_>], query: &PlacementQuery<'_>) -> Choice {
+    choose(candidates, query, 0)
 }
 
-fn sent(choice: Choice) -> usize {
+fn sent_index(choice: Choice) -> usize {
     match choice {
         Choice::Send(offer) => offer.index,
         other => panic!("not sent: {other:?}"),
     }
 }
 
-/// Every host sends an object's requests to the same target, and all targets get objects.
+/// All hosts send an object's requests to the same target, and the objects spread over all targets.
 #[test]
-fn an_object_has_one_target_and_targets_share_the_objects() {
-    let world = World::new(6, 0);
-    let mut counts = [0; 6];
+fn each_object_has_one_target_and_all_targets_have_objects() {
+    let fixture = Fixture::new(6, 0);
+    let mut objects_at = [0; 6];
     for object in 0..OBJECTS {
-        let at = sent(choice(&world.idle(), &world.ask(object)));
-        assert_eq!(at, sent(choice(&world.idle(), &world.ask(object))));
-        counts[at] += 1;
+        let at = sent_index(choice(&fixture.idle(), &fixture.query(object)));
+        assert_eq!(at, sent_index(choice(&fixture.idle(), &fixture.query(object))));
+        objects_at[at] += 1;
     }
-    assert!(counts.iter().all(|count| 15 < *count && *count < 60), "{counts:?}");
+    assert!(objects_at.iter().all(|count| 15 < *count && *count < 60), "{objects_at:?}");
 }
 
-/// A target is lost: its objects move, all others stay where they are known.
+/// When a target is lost, only its objects move. All others stay where they are cached.
 #[test]
 fn a_lost_target_moves_only_its_own_objects() {
-    let world = World::new(6, 0);
+    let fixture = Fixture::new(6, 0);
     for object in 0..OBJECTS {
-        let before = sent(choice(&world.idle(), &world.ask(object)));
-        let mut fewer = world.idle();
+        let before = sent_index(choice(&fixture.idle(), &fixture.query(object)));
+        let mut fewer = fixture.idle();
         fewer.remove(2);
-        let after = sent(choice(&fewer, &world.ask(object)));
+        let after = sent_index(choice(&fewer, &fixture.query(object)));
         let after = if after < 2 { after } else { after + 1 };
         assert!(before == 2 || before == after);
     }
 }
 
-/// Load pattern: a few requests more than slots, for a moment. They wait at the target that knows
-/// their object; far more than slots, and they go to another one.
+/// With slightly more requests than slots, requests queue at the target that has their object
+/// cached. With far more, they go to another one.
 #[test]
-fn a_short_queue_is_better_than_a_target_that_does_not_know_the_object() {
-    let world = World::new(3, 0);
-    let ask = world.ask(1);
-    let first = sent(choice(&world.idle(), &ask));
-    let mut loaded = world.idle();
-    loaded[first].depth = Some(0);
-    loaded[first].load = 5.0;
-    assert_eq!(sent(choice(&loaded, &ask)), first);
-    loaded[first].load = 12.0;
-    assert_ne!(sent(choice(&loaded, &ask)), first);
+fn a_short_queue_is_preferred_to_a_cache_miss() {
+    let fixture = Fixture::new(3, 0);
+    let query = fixture.query(1);
+    let primary = sent_index(choice(&fixture.idle(), &query));
+    let mut loaded = fixture.idle();
+    loaded[primary].depth = Some(0);
+    loaded[primary].load = 5.0;
+    assert_eq!(sent_index(choice(&loaded, &query)), primary);
+    loaded[primary].load = 12.0;
+    assert_ne!(sent_index(choice(&loaded, &query)), primary);
 }
 
-/// Load pattern: more work than all targets together do in time. What can't be answered in time is
-/// refused at once, with the time after which there is room; it would only delay those behind it.
+/// Under overload, a request that cannot be answered in time would only delay those behind it. It
+/// is refused at once, with the time until a slot is free.
 #[test]
-fn what_can_not_be_answered_in_time_is_refused() {
-    let world = World::new(2, 0);
-    let mut full = world.idle();
-    full.iter_mut().for_each(|candidate| candidate.load = 11.0);
-    let late = PlacementQuery { time_left: secs(0.25), ..world.ask(1) };
-    let Choice::Busy { free_in, .. } = choice(&full, &late) else { panic!("it was sent") };
+fn requests_that_cannot_be_answered_in_time_are_refused() {
+    let fixture = Fixture::new(2, 0);
+    let mut loaded = fixture.idle();
+    loaded.iter_mut().for_each(|candidate| candidate.load = 11.0);
+    let short = PlacementQuery { time_left: secs(0.25), ..fixture.query(1) };
+    let Choice::Busy { free_in, .. } = choice(&loaded, &short) else { panic!("it was sent") };
     assert_eq!(free_in, Some(secs(0.3)));
-    assert!(matches!(choice(&full, &world.ask(1)), Choice::Send(_)));
-    full.iter_mut().for_each(|candidate| candidate.load = 12.0);
-    assert!(matches!(choice(&full, &world.ask(1)), Choice::Busy { .. }));
-    assert_eq!(choice(&[], &world.ask(1)), Choice::NoTargets);
+    assert!(matches!(choice(&loaded, &fixture.query(1)), Choice::Send(_)));
+    loaded.iter_mut().for_each(|candidate| candidate.load = 12.0);
+    assert!(matches!(choice(&loaded, &fixture.query(1)), Choice::Busy { .. }));
+    assert_eq!(choice(&[], &fixture.query(1)), Choice::NoTargets);
 }
 
-/// Load pattern: the target that knows an object is crowded beyond what its caller may wait for, and
-/// another one is idle. The request is refused: served there it would take three times the work and
-/// push out what that target knows. The refusal names the crowded target and its queue.
+/// The target that has an object cached is too busy to answer in time, and another one is idle. A
+/// miss there would take three times as long and evict another object, so the request is refused.
+/// The refusal names the busy target and its queue wait.
 #[test]
-fn a_best_target_is_named() {
-    let world = World::new(2, 0);
+fn a_refusal_names_the_busy_target() {
+    let fixture = Fixture::new(2, 0);
     for object in 0..OBJECTS {
-        let mut candidates = world.idle();
-        let known = sent(choice(&candidates, &world.ask(object)));
-        candidates[known].load = 8.0;
-        candidates[known].depth = Some(0);
-        let hasty = PlacementQuery { time_left: secs(0.3), ..world.ask(object) };
-        let refused = choice(&candidates, &hasty);
+        let mut candidates = fixture.idle();
+        let holder = sent_index(choice(&candidates, &fixture.query(object)));
+        candidates[holder].load = 8.0;
+        candidates[holder].depth = Some(0);
+        let short = PlacementQuery { time_left: secs(0.3), ..fixture.query(object) };
+        let refused = choice(&candidates, &short);
         let Choice::Busy { best: Some(offer), free_in: Some(free_in) } = refused else {
             panic!("{refused:?}");
         };
-        assert_eq!((offer.index, offer.expected(), free_in), (known, secs(0.3), secs(0.2)));
+        assert_eq!((offer.index, offer.expected(), free_in), (holder, secs(0.3), secs(0.2)));
     }
 }
 
-/// Load pattern: a region's own targets are full while others have room that this request may not
-/// use, for the bound of shifts. The caller is told when its own region has room, not that there is
-/// room now.
+/// The targets of a region are full, and the maximum shift keeps this request from free slots of
+/// other regions. The refusal states the wait in its own region, not that slots are free now.
 #[test]
-fn room_is_told_of_the_region_that_a_request_may_use() {
-    let world = World::new(2, 2);
-    let mut candidates = world.idle();
+fn a_refusal_states_the_wait_in_the_usable_region() {
+    let fixture = Fixture::new(2, 2);
+    let mut candidates = fixture.idle();
     candidates[..2].iter_mut().for_each(|candidate| candidate.load = 12.0);
-    let refused = choice(&candidates, &world.ask(1));
+    let refused = choice(&candidates, &fixture.query(1));
     let free_in = Some(Duration::from_secs_f64(10.0 / 3.0 * 0.1));
     assert_eq!(refused, Choice::Busy { best: None, free_in });
-    // A paused target has nothing in flight, and yet no room.
+    // A paused target takes no requests although it has none in flight.
     candidates[0].load = 0.0;
     candidates[0].unavailable = true;
-    assert_eq!(choice(&candidates, &world.ask(1)), Choice::Busy { best: None, free_in });
+    assert_eq!(choice(&candidates, &fixture.query(1)), Choice::Busy { best: None, free_in });
     candidates[1].unavailable = true;
-    assert_eq!(choice(&candidates, &world.ask(1)), Choice::Busy { best: None, free_in: None });
+    assert_eq!(choice(&candidates, &fixture.query(1)), Choice::Busy { best: None, free_in: None });
     candidates[..2].iter_mut().for_each(|candidate| candidate.unavailable = false);
     candidates[0].load = 12.0;
-    let may_spill = PlacementQuery { may_spill: true, ..world.ask(1) };
+    let may_spill = PlacementQuery { may_spill: true, ..fixture.query(1) };
     assert!(matches!(choice(&candidates, &may_spill), Choice::Send(offer) if 2 <= offer.index));
 }
 
-/// A slow or failing target gets fewer objects, one that is shut gets none.
+/// A slow target is used less, and an unavailable one not at all.
 #[test]
-fn slow_and_shut_targets_are_avoided() {
-    let world = World::new(2, 0);
+fn slow_and_unavailable_targets_are_avoided() {
+    let fixture = Fixture::new(2, 0);
     for object in 0..OBJECTS {
-        let mut candidates = world.knowing();
+        let mut candidates = fixture.all_cached();
         candidates[0].slowdown = 8.0;
-        assert_eq!(sent(choice(&candidates, &world.ask(object))), 1);
+        assert_eq!(sent_index(choice(&candidates, &fixture.query(object))), 1);
         candidates[1].unavailable = true;
-        assert_eq!(sent(choice(&candidates, &world.ask(object))), 0);
+        assert_eq!(sent_index(choice(&candidates, &fixture.query(object))), 0);
         candidates[0].unavailable = true;
-        assert!(matches!(choice(&candidates, &world.ask(object)), Choice::Busy { .. }));
+        assert!(matches!(choice(&candidates, &fixture.query(object)), Choice::Busy { .. }));
     }
 }
 
-/// A request stays in the region that the shares name, also when that is full, unless a few may
-/// leave it.
+/// A request stays in the region selected by the shares, even if that is full, unless it may spill.
 #[test]
-fn requests_leave_their_region_by_allowance_only() {
-    let world = World::new(1, 2);
-    let mut candidates = world.idle();
+fn requests_leave_their_region_only_if_they_may_spill() {
+    let fixture = Fixture::new(1, 2);
+    let mut candidates = fixture.idle();
     candidates[0].load = 12.0;
-    assert!(matches!(choice(&candidates, &world.ask(1)), Choice::Busy { .. }));
-    let may = PlacementQuery { may_spill: true, ..world.ask(1) };
-    assert_ne!(sent(choice(&candidates, &may)), 0);
+    assert!(matches!(choice(&candidates, &fixture.query(1)), Choice::Busy { .. }));
+    let spilling = PlacementQuery { may_spill: true, ..fixture.query(1) };
+    assert_ne!(sent_index(choice(&candidates, &spilling)), 0);
 }
--- a/src/placement/tests/learning.rs
+++ b/src/placement/tests/learning.rs
@@ -1,4 +1,4 @@
-//! What is learnt from the ends of attempts.
+//! Estimates updated from the ends of attempts.
 
 use super::secs;
 use crate::{
@@ -10,11 +10,11 @@
     Forecast { depth, has_free_slot: true, object: Some(1), ..Forecast::default() }
 }
 
-/// Work takes 264 ms and 880 ms. A fifth of the runs that should have found a free slot had to wait
-/// for up to as long again. Both times are learnt to a tenth, so that a target is not taken for
-/// crowded when it is not.
+/// A hit takes 264 ms and a miss 880 ms, but a fifth of the hits expected to find a free slot had
+/// to wait for up to as long again. Both times are estimated to within a tenth, so that queues do
+/// not appear longer than they are.
 #[test]
-fn both_times_of_work_are_learnt_although_some_runs_waited() {
+fn work_times_are_estimated_although_some_runs_waited() {
     let mut work = WorkTime::default();
     for run in 0..500_u32 {
         let waited = if run % 5 == 0 { f64::from(run % 7) / 7.0 * 0.264 } else { 0.0 };
@@ -25,7 +25,7 @@
     assert!((work.miss().as_secs_f64() / 0.88 - 1.0).abs() < 0.1, "{work:?}");
 }
 
-/// The first answers tell more than any assumption: a service of 5 ms is known as such at once.
+/// The first answers replace the defaults at once, as for a service that answers in 5 ms.
 #[test]
 fn the_first_runs_count_in_full() {
     let mut work = WorkTime::default();
@@ -37,57 +37,57 @@
     assert_eq!(work.miss(), secs(0.02));
 }
 
-/// All hosts start again while targets go on: the first target of an object knows it. At the first
-/// start of all it does not. A dozen runs tell a host which it is.
+/// After a restart of all hosts, the primary target of an object has it cached; after the very
+/// first start of a deployment, it does not. A dozen runs show a host which applies.
 #[test]
-fn hosts_learn_whether_first_targets_know_their_objects() {
-    let guess = Forecast { is_primary_guess: true, hit_probability: 0.5, ..forecast(None) };
-    for (took, known) in [(secs(0.1), true), (secs(0.9), false)] {
+fn hosts_estimate_whether_primary_targets_have_their_objects_cached() {
+    let uncertain = Forecast { is_primary_guess: true, hit_probability: 0.5, ..forecast(None) };
+    for (took, is_cached) in [(secs(0.1), true), (secs(0.9), false)] {
         let mut estimates = ServiceEstimates::default();
-        (0..12).for_each(|_| estimates.record_answer(&guess, took, true));
-        assert_eq!(0.9 < estimates.primary_hit_rate, known, "{estimates:?}");
-        assert_eq!(estimates.primary_hit_rate < 0.1, !known, "{estimates:?}");
+        (0..12).for_each(|_| estimates.record_answer(&uncertain, took, true));
+        assert_eq!(0.9 < estimates.primary_hit_rate, is_cached, "{estimates:?}");
+        assert_eq!(estimates.primary_hit_rate < 0.1, !is_cached, "{estimates:?}");
     }
 }
 
-/// A run that had to wait, or whose request names no object, says nothing of how long work takes.
+/// Runs that had to wait, and those without an object, do not change the work times.
 #[test]
-fn runs_that_waited_teach_nothing() {
+fn runs_that_waited_or_have_no_object_are_ignored() {
     let mut estimates = ServiceEstimates::default();
     let waited = Forecast { has_free_slot: false, ..forecast(Some(0)) };
-    let unnamed = Forecast { object: None, ..forecast(Some(0)) };
+    let without_object = Forecast { object: None, ..forecast(Some(0)) };
     estimates.record_answer(&waited, secs(3.0), true);
-    estimates.record_answer(&unnamed, secs(3.0), true);
+    estimates.record_answer(&without_object, secs(3.0), true);
     assert_eq!(estimates.work.hit(), WorkTime::default().hit());
 }
 
-/// Targets that run objects for the first time take three times as long. They are not taken for
-/// slow ones, which would send their objects to targets that know them even less.
+/// A cache miss takes three times as long as a hit. It must not make the target count as slow, or
+/// its objects would move to targets that do not have them cached either.
 #[test]
-fn first_runs_do_not_make_a_target_slow() {
+fn cache_misses_do_not_make_a_target_slow() {
     let estimates = super::estimates();
-    let guess = Forecast { expected: secs(0.2), hit_probability: 0.5, ..forecast(None) };
-    let sure = Forecast { expected: secs(0.1), ..forecast(Some(0)) };
-    let mut first = TargetHealth::default();
+    let uncertain = Forecast { expected: secs(0.2), hit_probability: 0.5, ..forecast(None) };
+    let certain = Forecast { expected: secs(0.1), ..forecast(Some(0)) };
+    let mut with_misses = TargetHealth::default();
     let mut slow = TargetHealth::default();
     for _ in 0..10 {
-        first.record_attempt(
+        with_misses.record_attempt(
             HealthSignal::Answered(secs(0.3)),
-            estimates.expected_time(&guess),
+            estimates.expected_time(&uncertain),
             secs(1.0),
         );
         slow.record_attempt(
             HealthSignal::Answered(secs(0.3)),
-            estimates.expected_time(&sure),
+            estimates.expected_time(&certain),
             secs(1.0),
         );
     }
-    assert_eq!(first.slowdown(secs(1.0)), 1.0);
+    assert_eq!(with_misses.slowdown(secs(1.0)), 1.0);
     assert!(2.0 < slow.slowdown(secs(1.0)));
 }
 
-/// Round trips come from new connections. A lost packet adds 200 ms to one of them, and a region
-/// that moved away is noticed within eight.
+/// Round trips are measured by opening connections. A lost packet adds 200 ms to one of them, and a
+/// change to a longer round trip is detected within eight.
 #[test]
 fn round_trips_are_the_shortest_of_the_latest_connections() {
     let (home, far): (RegionId, RegionId) = ("north".into(), "south".into());
--- a/src/placement/tests/region_shares.rs
+++ b/src/placement/tests/region_shares.rs
@@ -1,4 +1,4 @@
-//! Which regions run what part of the requests.
+//! Shares of requests that regions run.
 
 use super::secs;
 use crate::{
@@ -14,10 +14,10 @@
     "north".into()
 }
 
-/// Load pattern: a region with a tenth of the slots and a third of the callers. What it can't run
-/// goes where there is room, in proportion.
+/// A region has a tenth of the slots and a third of the demand. The surplus goes to other regions
+/// in proportion to their spare slots.
 #[test]
-fn surplus_goes_where_there_is_room() {
+fn surplus_goes_to_regions_with_spare_slots() {
     let loads = [load("north", 6.0, 12.0), load("south", 30.0, 10.0), load("west", 30.0, 10.0)];
     let shares = RegionShares::new(home(), &loads, &Tuning::default(), secs(0.0));
     assert!((shares.get(&home()) - 0.25).abs() < 0.01, "{shares:?}");
@@ -25,26 +25,26 @@
     assert!((shares.get(&"west".into()) - 0.375).abs() < 0.01);
 }
 
-/// Load pattern: callers' numbers jump. Shares follow, but never faster than the bound, however
-/// often they are worked out.
+/// Demand jumps. Shares follow, but never faster than the maximum shift, however often they are
+/// updated.
 #[test]
-fn shares_move_within_the_bound() {
-    let calm = [load("north", 30.0, 5.0), load("south", 30.0, 5.0)];
-    let storm = [load("north", 30.0, 60.0), load("south", 30.0, 1.0)];
-    let mut shares = RegionShares::new(home(), &calm, &Tuning::default(), secs(0.0));
+fn shares_move_within_the_maximum_shift() {
+    let low = [load("north", 30.0, 5.0), load("south", 30.0, 5.0)];
+    let high = [load("north", 30.0, 60.0), load("south", 30.0, 1.0)];
+    let mut shares = RegionShares::new(home(), &low, &Tuning::default(), secs(0.0));
     assert_eq!(shares.get(&home()), 1.0);
-    let mut seen = vec![shares.get(&home())];
+    let mut history = vec![shares.get(&home())];
     for step in 1..=100 {
-        shares.step(&storm, 0.15, &Tuning::default(), secs(0.5 * f64::from(step)));
-        seen.push(shares.get(&home()));
+        shares.step(&high, 0.15, &Tuning::default(), secs(0.5 * f64::from(step)));
+        history.push(shares.get(&home()));
     }
-    for window in seen.windows(5) {
+    for window in history.windows(5) {
         assert!((window[0] - window[4]).abs() < 0.15, "{window:?}");
     }
-    assert!(seen.last().is_some_and(|last| (last - 0.5).abs() < 0.05), "{seen:?}");
+    assert!(history.last().is_some_and(|last| (last - 0.5).abs() < 0.05), "{history:?}");
 }
 
-/// A region loses its last target: nothing can run there, so its part goes at once.
+/// When a region loses its last target, its share moves at once, since nothing can run there.
 #[test]
 fn a_region_without_targets_keeps_no_share() {
     let both = [load("north", 6.0, 30.0), load("south", 60.0, 5.0)];
@@ -55,22 +55,22 @@
     assert_eq!(shares.get(&home()), 1.0);
 }
 
-/// Places keep their region while the shares hold, and each region gets the places of its share.
+/// Each region covers as many positions as its share.
 #[test]
-fn places_are_divided_by_the_shares() {
+fn regions_cover_positions_by_their_shares() {
     let loads = [load("north", 6.0, 12.0), load("south", 60.0, 10.0)];
     let shares = RegionShares::new(home(), &loads, &Tuning::default(), secs(0.0));
-    let places = (0..1000).map(|place| f64::from(place) / 1000.0);
-    let north = places.filter(|place| shares.region_at(*place) == Some(&home())).count();
-    let wanted = shares.get(&home()) * 1000.0;
-    assert!((north as f64 - wanted).abs() < 2.0, "{north} of {wanted}");
+    let positions = (0..1000).map(|position| f64::from(position) / 1000.0);
+    let north = positions.filter(|position| shares.region_at(*position) == Some(&home())).count();
+    let expected = shares.get(&home()) * 1000.0;
+    assert!((north as f64 - expected).abs() < 2.0, "{north} of {expected}");
 }
 
-/// Before anything was measured, or without any slot, a request has a region all the same.
+/// Requests have a region even if no demand is measured and no region has slots.
 #[test]
 fn there_is_always_a_region() {
-    let unknown = RegionLoad { demand: None, region: home(), slots: 0.0 };
-    let shares = RegionShares::new(home(), &[unknown], &Tuning::default(), secs(0.0));
+    let unmeasured = RegionLoad { demand: None, region: home(), slots: 0.0 };
+    let shares = RegionShares::new(home(), &[unmeasured], &Tuning::default(), secs(0.0));
     assert_eq!(shares.region_at(0.999), Some(&home()));
     let shares = RegionShares::new(home(), &[], &Tuning::default(), secs(0.0));
     assert_eq!(shares.region_at(0.0), Some(&home()));
--- a/src/placement/tests/simulation.rs
+++ b/src/placement/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! A small model of hosts and targets that replays loads against the real decisions.
+//! Simulation of hosts and targets that runs loads against the real placement decisions.
 //!
-//! Two hosts of a region take requests and tell each other every 100 ms what they run. Targets have
-//! slots, a queue, and keep the objects that they were asked for last. Time goes in milliseconds.
+//! Two hosts of a region accept requests and exchange their state every 100 ms. Targets have slots,
+//! a queue and an LRU cache of objects. Time advances in milliseconds.
 
 use std::collections::VecDeque;
 
@@ -19,247 +19,251 @@
 };
 
 const OBJECTS: u32 = 40;
-/// Objects that a target keeps.
+/// Objects that a target caches.
 const CACHE_CAPACITY: usize = 13;
 const TARGETS: usize = 6;
 /// Slots of a target; see `known`.
 const SLOTS: usize = 3;
-/// Work at a target that knows the object and at one that does not, in milliseconds.
-const KNOWN: u64 = 264;
-const UNKNOWN: u64 = 880;
-const OBJECTIVE: u64 = 600;
-const DEADLINE: u64 = 4_000;
-/// A target that takes this many times the usual time says nothing of how long work takes.
-const STEADY: f64 = 1.5;
-/// Time between two heartbeats, in milliseconds.
-const HEARTBEAT: u64 = 100;
+/// Time of a cache hit and of a miss at a target, in milliseconds.
+const HIT_MS: u64 = 264;
+const MISS_MS: u64 = 880;
+const OBJECTIVE_MS: u64 = 600;
+const DEADLINE_MS: u64 = 4_000;
+/// Slowdown from which a target's answers are left out of the estimates of work times.
+const MAX_STEADY_SLOWDOWN: f64 = 1.5;
+/// Interval of heartbeats, in milliseconds.
+const HEARTBEAT_MS: u64 = 100;
 
-/// How requests came out.
+/// Counts of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    pub first_runs: u32,
+    pub misses: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
 }
 
 impl Tally {
-    /// Part of all requests that were answered in time.
-    pub fn in_time_part(&self) -> f64 {
+    /// Fraction of all requests that were answered in time.
+    pub fn in_time_fraction(&self) -> f64 {
         f64::from(self.in_time) / f64::from((self.in_time + self.late + self.refused).max(1))
     }
 
-    /// Part of the runs at targets that knew the object.
-    pub fn known_part(&self) -> f64 {
+    /// Fraction of the runs that were cache hits.
+    pub fn hit_fraction(&self) -> f64 {
         let runs = self.in_time + self.late;
-        1.0 - f64::from(self.first_runs) / f64::from(runs.max(1))
+        1.0 - f64::from(self.misses) / f64::from(runs.max(1))
     }
 }
 
-struct Job {
+struct Run {
     arrived: u64,
     forecast: Forecast,
-    /// The host's start that sent it.
-    start: u32,
+    /// Number of host restarts before it was sent.
+    restarts: u32,
     host: usize,
     object: ObjectTag,
 }
 
 #[derive(Default)]
 struct Target {
-    memory: VecDeque<ObjectTag>,
-    queue: VecDeque<Job>,
-    running: Vec<(u64, Job)>,
+    cache: VecDeque<ObjectTag>,
+    queue: VecDeque<Run>,
+    running: Vec<(u64, Run)>,
 }
 
 #[derive(Default)]
 struct Host {
     health: [TargetHealth; TARGETS],
-    held: CachedObjects,
+    cached_objects: CachedObjects,
     in_flight: [u32; TARGETS],
     estimates: ServiceEstimates,
-    runs: Vec<(TargetTag, ObjectTag)>,
-    /// What the other hosts said that they run.
-    told: [u32; TARGETS],
-    told_slow: [Option<SlowdownReport>; TARGETS],
+    unreported_runs: Vec<(TargetTag, ObjectTag)>,
+    /// Requests that the other hosts reported in flight.
+    reported_in_flight: [u32; TARGETS],
+    reported_slowdowns: [Option<SlowdownReport>; TARGETS],
 }
 
-/// The whole world.
-pub struct Model {
+/// Simulated hosts and targets.
+pub struct Simulation {
     hosts: Vec<Host>,
-    known: Vec<Arc<KnownTarget>>,
+    known_targets: Vec<Arc<KnownTarget>>,
     now: u64,
     rng: ChaCha8Rng,
-    /// How many times as long each target takes.
-    slow: [u64; TARGETS],
-    start: u32,
+    /// Factor by which each target is slowed down.
+    slowdowns: [u64; TARGETS],
+    restarts: u32,
     tally: Tally,
     targets: Vec<Target>,
     tuning: Tuning,
 }
 
-impl Model {
-    /// An idle world with two hosts.
+impl Simulation {
+    /// Two hosts and idle targets.
     pub fn new(seed: u64, tuning: Tuning) -> Self {
         Self {
             hosts: (0..2).map(|_| Host::default()).collect(),
-            known: (0..TARGETS).map(|at| known(&format!("t-{seed}-{at}"), "north")).collect(),
+            known_targets: (0..TARGETS)
+                .map(|index| known(&format!("t-{seed}-{index}"), "north"))
+                .collect(),
             now: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            slow: [1; TARGETS],
-            start: 0,
+            slowdowns: [1; TARGETS],
+            restarts: 0,
             tally: Tally::default(),
             targets: (0..TARGETS).map(|_| Target::default()).collect(),
             tuning,
         }
     }
 
-    /// Requests at a rate, in a second, of all hosts together; the outcome of those that ended.
-    pub fn play(&mut self, span: Duration, rate: f64) -> Tally {
+    /// Sends requests at `rate` per second over all hosts, and returns the outcomes of those that
+    /// ended.
+    pub fn simulate(&mut self, span: Duration, rate: f64) -> Tally {
         self.tally = Tally::default();
         for _ in 0..span.as_millis() {
             self.now += 1;
             for host in 0..self.hosts.len() {
                 if self.rng.random_bool(rate / 1_000.0 / self.hosts.len() as f64) {
-                    self.arrive(host);
+                    self.place_request(host);
                 }
             }
-            (0..TARGETS).for_each(|at| self.work(at));
-            if self.now.is_multiple_of(HEARTBEAT) {
-                self.tell();
+            (0..TARGETS).for_each(|index| self.advance_target(index));
+            if self.now.is_multiple_of(HEARTBEAT_MS) {
+                self.exchange_reports();
             }
         }
         self.tally
     }
 
-    /// All hosts start again and know nothing; targets go on.
+    /// Restarts all hosts without any state, while targets continue.
     pub fn restart_hosts(&mut self) {
-        self.start += 1;
+        self.restarts += 1;
         self.hosts.iter_mut().for_each(|host| *host = Host::default());
     }
 
-    /// More hosts, which know nothing.
+    /// Adds hosts without any state.
     pub fn add_hosts(&mut self, hosts: usize) {
         self.hosts.extend((0..hosts).map(|_| Host::default()));
     }
 
-    /// A target takes that many times as long from now on.
-    pub fn slow_down(&mut self, target: usize, times: u64) {
-        self.slow[target] = times;
+    /// Slows a target down by a factor from now on.
+    pub fn slow_down(&mut self, target: usize, factor: u64) {
+        self.slowdowns[target] = factor;
     }
 
-    fn arrive(&mut self, host: usize) {
+    fn place_request(&mut self, host: usize) {
         let object = self.rng.random_range(0..OBJECTS).wrapping_mul(0x9e37_79b9);
         let now = Duration::from_millis(self.now);
         let it = &mut self.hosts[host];
         let candidates: Vec<Candidate<'_>> = (0..TARGETS)
-            .map(|at| Candidate {
+            .map(|index| Candidate {
                 cold: false,
-                depth: it.held.depth(self.known[at].tag, object),
-                load: f64::from(it.in_flight[at] + it.told[at]),
+                depth: it.cached_objects.depth(self.known_targets[index].tag, object),
+                load: f64::from(it.in_flight[index] + it.reported_in_flight[index]),
                 unavailable: false,
-                slowdown: it.health[at].slowdown_with_report(it.told_slow[at], now),
-                target: &self.known[at],
+                slowdown: it.health[index].slowdown_with_report(it.reported_slowdowns[index], now),
+                target: &self.known_targets[index],
                 round_trip: Duration::ZERO,
             })
             .collect();
         let (region, zone) = ("north".into(), "north-a".into());
-        let ask = PlacementQuery {
+        let query = PlacementQuery {
             home_region: &region,
             estimates: it.estimates,
-            time_left: Duration::from_millis(DEADLINE),
+            time_left: Duration::from_millis(DEADLINE_MS),
             may_spill: false,
             object: Some(object),
-            objective: Duration::from_millis(OBJECTIVE),
+            objective: Duration::from_millis(OBJECTIVE_MS),
             region: &region,
             tuning: self.tuning,
             zone: &zone,
         };
-        let Choice::Send(offer) = choose(&candidates, &ask, object) else {
+        let Choice::Send(estimate) = choose(&candidates, &query, object) else {
             self.tally.refused += 1;
             return;
         };
-        let chosen = &candidates[offer.index];
+        let chosen = &candidates[estimate.index];
         let forecast = Forecast {
             depth: chosen.depth,
-            expected: offer.expected().div_f64(chosen.slowdown),
+            expected: estimate.expected().div_f64(chosen.slowdown),
             has_free_slot: chosen.load < SLOTS as f64,
-            is_primary_guess: offer.is_primary_guess,
-            hit_probability: offer.hit_probability,
+            is_primary_guess: estimate.is_primary_guess,
+            hit_probability: estimate.hit_probability,
             object: Some(object),
             round_trip: Duration::ZERO,
         };
-        it.estimates.work.record_sent(offer.work);
-        it.held.record_use(self.known[offer.index].tag, object);
-        it.runs.push((self.known[offer.index].tag, object));
-        it.in_flight[offer.index] += 1;
-        let job = Job { arrived: self.now, forecast, start: self.start, host, object };
-        self.targets[offer.index].queue.push_back(job);
+        it.estimates.work.record_sent(estimate.work);
+        it.cached_objects.record_use(self.known_targets[estimate.index].tag, object);
+        it.unreported_runs.push((self.known_targets[estimate.index].tag, object));
+        it.in_flight[estimate.index] += 1;
+        let run = Run { arrived: self.now, forecast, restarts: self.restarts, host, object };
+        self.targets[estimate.index].queue.push_back(run);
     }
 
-    fn work(&mut self, at: usize) {
-        let target = &mut self.targets[at];
+    fn advance_target(&mut self, index: usize) {
+        let target = &mut self.targets[index];
         let (ended, running) = target.running.drain(..).partition(|(end, _)| *end <= self.now);
         target.running = running;
         while target.running.len() < SLOTS {
-            let Some(job) = target.queue.pop_front() else { break };
-            let known = target.memory.iter().position(|object| *object == job.object);
-            if let Some(place) = known {
-                target.memory.remove(place);
+            let Some(run) = target.queue.pop_front() else { break };
+            let cached = target.cache.iter().position(|object| *object == run.object);
+            if let Some(position) = cached {
+                target.cache.remove(position);
             }
-            target.memory.push_front(job.object);
-            target.memory.truncate(CACHE_CAPACITY);
-            self.tally.first_runs += u32::from(known.is_none());
-            let work = if known.is_some() { KNOWN } else { UNKNOWN };
-            target.running.push((self.now + work * self.slow[at], job));
+            target.cache.push_front(run.object);
+            target.cache.truncate(CACHE_CAPACITY);
+            self.tally.misses += u32::from(cached.is_none());
+            let duration = if cached.is_some() { HIT_MS } else { MISS_MS };
+            target.running.push((self.now + duration * self.slowdowns[index], run));
         }
-        ended.into_iter().for_each(|(_, job)| self.end(at, job));
+        ended.into_iter().for_each(|(_, run)| self.finish_run(index, run));
     }
 
-    fn end(&mut self, at: usize, job: Job) {
-        let took = self.now - job.arrived;
-        match took <= OBJECTIVE {
+    fn finish_run(&mut self, index: usize, run: Run) {
+        let took = self.now - run.arrived;
+        match took <= OBJECTIVE_MS {
             true => self.tally.in_time += 1,
             false => self.tally.late += 1,
         }
-        if job.start != self.start {
+        if run.restarts != self.restarts {
             return;
         }
-        let host = &mut self.hosts[job.host];
-        host.in_flight[at] -= 1;
+        let host = &mut self.hosts[run.host];
+        host.in_flight[index] -= 1;
         let (took, now) = (Duration::from_millis(took), Duration::from_millis(self.now));
-        let is_steady = host.health[at].slowdown(now) < STEADY;
-        let usual = host.estimates.expected_time(&job.forecast);
-        host.health[at].record_attempt(HealthSignal::Answered(took), usual, now);
-        if job.forecast.has_free_slot {
-            host.health[at].record_run(took, usual, now);
+        let is_normal_speed = host.health[index].slowdown(now) < MAX_STEADY_SLOWDOWN;
+        let expected = host.estimates.expected_time(&run.forecast);
+        host.health[index].record_attempt(HealthSignal::Answered(took), expected, now);
+        if run.forecast.has_free_slot {
+            host.health[index].record_run(took, expected, now);
         }
-        if !is_steady {
+        if !is_normal_speed {
             return;
         }
-        host.estimates.record_answer(&job.forecast, took, self.tuning.learn_cache_capacity);
+        host.estimates.record_answer(&run.forecast, took, self.tuning.learn_cache_capacity);
     }
 
-    fn tell(&mut self) {
+    fn exchange_reports(&mut self) {
         let now = Duration::from_millis(self.now);
         let runs: Vec<_> =
-            self.hosts.iter_mut().map(|host| std::mem::take(&mut host.runs)).collect();
+            self.hosts.iter_mut().map(|host| std::mem::take(&mut host.unreported_runs)).collect();
         let in_flight: Vec<_> = self.hosts.iter().map(|host| host.in_flight).collect();
-        let slow: Vec<_> = self
+        let reported: Vec<_> = self
             .hosts
             .iter()
             .map(|host| {
                 (0..TARGETS)
-                    .map(|at| host.health[at].report(host.told_slow[at], now))
+                    .map(|index| host.health[index].report(host.reported_slowdowns[index], now))
                     .collect::<Vec<_>>()
             })
             .collect();
-        for (at, host) in self.hosts.iter_mut().enumerate() {
-            let others = || (0..in_flight.len()).filter(|other| *other != at);
+        for (index, host) in self.hosts.iter_mut().enumerate() {
+            let others = || (0..in_flight.len()).filter(|other| *other != index);
             for target in 0..TARGETS {
-                host.told[target] = others().map(|other| in_flight[other][target]).sum();
-                let told = others().filter_map(|other| slow[other][target]);
-                host.told_slow[target] = told
+                host.reported_in_flight[target] =
+                    others().map(|other| in_flight[other][target]).sum();
+                let reports = others().filter_map(|other| reported[other][target]);
+                host.reported_slowdowns[target] = reports
                     .reduce(SlowdownReport::merge)
                     .filter(|_| self.tuning.use_reported_slowness);
             }
@@ -267,18 +271,18 @@
                 continue;
             }
             for (target, object) in others().flat_map(|other| &runs[other]) {
-                host.held.record_use(*target, *object);
+                host.cached_objects.record_use(*target, *object);
             }
         }
     }
 }
 
-/// Outcome of several seeds together.
-pub fn sum(seeds: u64, tuning: Tuning, play: impl Fn(&mut Model) -> Tally) -> Tally {
+/// Runs a scenario with several seeds, and sums up the outcomes.
+pub fn sum(seeds: u64, tuning: Tuning, scenario: impl Fn(&mut Simulation) -> Tally) -> Tally {
     let mut sum = Tally::default();
     for seed in 0..seeds {
-        let tally = play(&mut Model::new(seed, tuning));
-        sum.first_runs += tally.first_runs;
+        let tally = scenario(&mut Simulation::new(seed, tuning));
+        sum.misses += tally.misses;
         sum.in_time += tally.in_time;
         sum.late += tally.late;
         sum.refused += tally.refused;
@@ -286,7 +290,7 @@
     sum
 }
 
-/// Ten usual seconds.
-pub fn warm_up(model: &mut Model) {
-    model.play(secs(10.0), 40.0);
+/// Ten seconds of normal load.
+pub fn warm_up(simulation: &mut Simulation) {
+    simulation.simulate(secs(10.0), 40.0);
 }
--- a/src/placement/tuning.rs
+++ b/src/placement/tuning.rs
@@ -1,33 +1,35 @@
-//! What of the placement can be weighed or switched off.
+//! Adjustable parameters of placement.
 
-/// Weights and switches of the placement. Hosts run with the default; tests and measurements set
-/// others.
+/// Weights and switches of placement. Hosts use the defaults; tests set others to show what a
+/// mechanism contributes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// Part of a region's slots that its own callers fill before any go elsewhere. Queues are short
-    /// up to there, and a region that is half free can take in what another one loses.
+    /// Fraction of a region's slots that its own callers use before requests go to other regions.
+    /// Queues stay short up to this level, and a region that is half idle can absorb the load that
+    /// another one loses.
     pub home_utilization: f64,
-    /// Whether hosts learn how many objects targets keep; an assumption serves otherwise.
+    /// Whether hosts estimate how many objects targets cache; otherwise they use a fixed default.
     pub learn_cache_capacity: bool,
-    /// Longest time that a new request may be expected to take, as a multiple of its route's
-    /// objective. A late answer is worth more to a caller than a refusal, until it makes those
-    /// behind it late too.
+    /// Maximum expected answer time of a new request, as a multiple of its route's objective. A
+    /// late answer is worth more to a caller than a refusal, until it delays the requests behind it
+    /// too.
     pub max_objective_multiple: f64,
-    /// What each rank by hash is charged, in seconds: enough for hosts to agree where nothing else
-    /// tells targets apart, and less than any wait.
+    /// Cost of each rank in hash order, in seconds: enough for hosts to choose the same target when
+    /// nothing else distinguishes the candidates, and less than any queue wait.
     pub rank_cost_secs: f64,
-    /// Part of the largest allowed shift that a host uses in one span: requests are few in it, and
-    /// their chance order adds to the shift that is seen.
+    /// Fraction of the maximum shift that a host uses in one window: a window holds few requests,
+    /// and their random order adds to the observed shift.
     pub shift_fraction: f64,
-    /// Whether hosts use what others tell of the objects that they asked targets for.
+    /// Whether hosts use the reports of others on which targets received requests for which
+    /// objects.
     pub use_reported_runs: bool,
-    /// Whether hosts use what others tell of slow targets.
+    /// Whether hosts use the reports of others on slow targets.
     pub use_reported_slowness: bool,
-    /// Whether an object's first target by hash may be taken to know it where nothing was heard.
+    /// Whether an object's primary target, the first in hash order, may be assumed to have it
+    /// cached when no request for the object is known.
     pub assume_primary_cached: bool,
-    /// What a run at a target that does not know the object is charged beyond its own time, as a
-    /// multiple of the time that knowing it would have saved: it keeps a slot that long, and the
-    /// target forgets another object for it.
+    /// Extra cost of a cache miss beyond its own time, as a multiple of the time that a hit saves:
+    /// a miss occupies a slot that much longer and evicts another object.
     pub miss_cost_factor: f64,
 }
 
--- a/src/placement/work_time.rs
+++ b/src/placement/work_time.rs
@@ -1,108 +1,114 @@
-//! How long a request keeps a slot, at a target that knows its object and at one that does not.
+//! Estimates of how long a request occupies a slot, for cache hits and misses.
 
 use crate::prelude::*;
 
-/// Time at a target that knows the object, before any was measured. It only ranks the first
-/// targets: nothing is refused for the time of its work before that was measured.
-const KNOWN_ASSUMED: Duration = Duration::from_millis(300);
+/// Time of a hit assumed before any is measured. It only affects which targets are preferred: no
+/// request is refused for its expected work before that was measured.
+const DEFAULT_HIT_TIME: Duration = Duration::from_millis(300);
 
-/// Time at a target that does not know the object as a multiple of that, before it was measured:
-/// what targets remember saves most of the work, or they would not be asked to.
-const RATIO_ASSUMED: f64 = 3.0;
+/// Time of a miss as a multiple of a hit, assumed before it is measured. A cached object saves most
+/// of the work, or caching would not be worthwhile.
+const DEFAULT_MISS_RATIO: f64 = 3.0;
 
-/// Least weight of the newest run; the last twenty count.
-const NEWEST: f64 = 0.05;
+/// Minimum weight of the newest run, which makes the mean cover about the last twenty runs.
+const MIN_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Most that one run counts above the estimate, as a part of it: a run that found a free slot by
-/// what was told may have had to wait after all.
-const CLIP: f64 = 0.3;
+/// Cap on how far one run exceeds the estimate, as a fraction of it. A run that had a free slot by
+/// the reported loads may have had to wait after all.
+const MAX_EXCESS: f64 = 0.3;
 
-/// Runs that count in full: the assumption may be far off.
-const FIRST_RUNS: u32 = 5;
+/// The cap applies from this run on: the default may be far off, so the first runs count in full.
+const FIRST_CAPPED_RUN: u32 = 5;
 
-/// Weight of the newest request in the mean time of a slot; the last fifty count.
-const MEAN_NEWEST: f64 = 0.02;
+/// Weight of the newest request in `mean`, which then covers about the last fifty requests.
+const MEAN_SAMPLE_WEIGHT: f64 = 0.02;
 
-/// Bounds of the ratio: a first run is not faster, and one outlier must not make it endless.
-const RATIO_LEAST: f64 = 1.0;
-const RATIO_MOST: f64 = 20.0;
+/// Bounds of the ratio of miss to hit: a miss is not faster than a hit, and one outlier must not
+/// inflate the estimate without limit.
+const MIN_MISS_RATIO: f64 = 1.0;
+const MAX_MISS_RATIO: f64 = 20.0;
 
-/// Shortest time that counts, in seconds: timers do not tell less apart.
-const LEAST: f64 = 0.001;
+/// Resolution of timers, in seconds: shorter times are rounded up to it.
+const MIN_SECS: f64 = 0.001;
 
-/// Learnt times of one service.
+/// Estimated times of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkTime {
     /// In seconds.
-    known: f64,
-    known_runs: u32,
+    hit: f64,
+    hit_runs: u32,
     /// In seconds.
     mean: f64,
-    ratio: f64,
-    ratio_runs: u32,
+    miss_ratio: f64,
+    miss_runs: u32,
 }
 
 impl Default for WorkTime {
     fn default() -> Self {
-        let known = KNOWN_ASSUMED.as_secs_f64();
-        Self { known, known_runs: 0, mean: known, ratio: RATIO_ASSUMED, ratio_runs: 0 }
+        let hit = DEFAULT_HIT_TIME.as_secs_f64();
+        Self { hit, hit_runs: 0, mean: hit, miss_ratio: DEFAULT_MISS_RATIO, miss_runs: 0 }
     }
 }
 
 impl WorkTime {
-    /// Whether runs of both kinds were seen.
+    /// Whether both hits and misses were measured.
     pub fn is_measured(&self) -> bool {
-        0 < self.known_runs && 0 < self.ratio_runs
+        0 < self.hit_runs && 0 < self.miss_runs
     }
 
-    /// At a target that knows the object.
+    /// Time at a target that has the object cached.
     pub fn hit(&self) -> Duration {
-        Duration::from_secs_f64(self.known)
+        Duration::from_secs_f64(self.hit)
     }
 
-    /// At a target that does not.
+    /// Time at a target that does not have the object cached.
     pub fn miss(&self) -> Duration {
-        Duration::from_secs_f64(self.known * self.ratio)
+        Duration::from_secs_f64(self.hit * self.miss_ratio)
     }
 
-    /// Of all requests, by where they went.
+    /// Mean time over recent requests, as expected for the targets that they were sent to.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean)
     }
 
-    /// A request goes where it is expected to keep a slot that long.
+    /// Records the time that a request is expected to occupy a slot at the target it is sent to.
     pub fn record_sent(&mut self, expected: Duration) {
-        self.mean += (expected.as_secs_f64() - self.mean) * MEAN_NEWEST;
+        self.mean += (expected.as_secs_f64() - self.mean) * MEAN_SAMPLE_WEIGHT;
     }
 
-    /// A run that had not to wait for a slot took that long. `knew`: whether the target surely knew
-    /// the object, or surely did not; `None` where that is not sure. Tells whether the run was fast.
-    pub fn record_run(&mut self, took: Duration, knew: Option<bool>) -> bool {
-        let took = took.as_secs_f64().max(LEAST);
-        let was_fast = took < self.known * self.ratio.sqrt();
-        match knew {
-            Some(true) => self.learn_known(took),
-            Some(false) if !was_fast => self.learn_ratio(took),
+    /// Records the time of a run that found a free slot, and returns whether it was fast.
+    /// `was_cached` is whether the target had the object cached; `None` if that is uncertain.
+    pub fn record_run(&mut self, took: Duration, was_cached: Option<bool>) -> bool {
+        let took = took.as_secs_f64().max(MIN_SECS);
+        let was_fast = took < self.hit * self.miss_ratio.sqrt();
+        match was_cached {
+            Some(true) => self.record_hit(took),
+            Some(false) if !was_fast => self.record_miss(took),
             _ => {}
         }
         was_fast
     }
 
-    fn learn_known(&mut self, took: f64) {
-        self.known_runs = self.known_runs.saturating_add(1);
-        let off = took - self.known;
-        let off = if self.known_runs < FIRST_RUNS { off } else { off.min(self.known * CLIP) };
-        self.known += off * weight(self.known_runs);
+    fn record_hit(&mut self, took: f64) {
+        self.hit_runs = self.hit_runs.saturating_add(1);
+        let excess = took - self.hit;
+        let excess = if self.hit_runs < FIRST_CAPPED_RUN {
+            excess
+        } else {
+            excess.min(self.hit * MAX_EXCESS)
+        };
+        self.hit += excess * sample_weight(self.hit_runs);
     }
 
-    fn learn_ratio(&mut self, took: f64) {
-        self.ratio_runs = self.ratio_runs.saturating_add(1);
-        let ratio = (took / self.known).clamp(RATIO_LEAST, RATIO_MOST);
-        self.ratio += (ratio - self.ratio) * weight(self.ratio_runs);
+    fn record_miss(&mut self, took: f64) {
+        self.miss_runs = self.miss_runs.saturating_add(1);
+        let ratio = (took / self.hit).clamp(MIN_MISS_RATIO, MAX_MISS_RATIO);
+        self.miss_ratio += (ratio - self.miss_ratio) * sample_weight(self.miss_runs);
     }
 }
 
-/// Weight of the newest of that many runs: their mean at first, then that of the last ones.
-fn weight(runs: u32) -> f64 {
-    NEWEST.max(1.0 / f64::from(runs))
+/// Weight of the newest of `runs` runs. It gives the plain mean of the first runs, and then an
+/// exponential mean of the latest ones.
+fn sample_weight(runs: u32) -> f64 {
+    MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(runs))
 }
