--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target.
+//! One attempt to have a target run a request.
 
 use std::rc::Rc;
 
@@ -23,38 +23,39 @@
     prelude::*,
 };
 
-/// Largest response that is held whole before its head goes out: it can then be asked for again
-/// elsewhere if it breaks off. Larger ones are passed on as they arrive.
+/// Largest successful response that is buffered completely before its head goes to the caller, so
+/// that the request can be retried at another target if the response is cut off. Larger ones are
+/// streamed.
 const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// How an attempt ended.
 pub enum AttemptOutcome {
-    /// The target's response, whole or on its way.
+    /// The target's response, buffered or streaming.
     Response(CallerResponse),
-    /// The target's own failure, whole; another target may do better.
+    /// The target's error response, buffered; another target may succeed.
     TargetError(CallerResponse),
-    /// It has not run there and never will.
+    /// The target has not run the request and never will.
     NotRun(ErrorKind),
-    /// It may have run.
+    /// The target may have run the request.
     Lost(ErrorKind),
 }
 
-/// One request, as each attempt needs it.
+/// A request in the form that all its attempts share.
 pub struct OutboundRequest {
     pub body: Bytes,
-    /// Its memory; free again when the last attempt has ended.
+    /// Memory reserved for the body, released when the last attempt has ended.
     pub _body_reservation: BodyReservation,
     pub deadline: Moment,
     pub fingerprint: u64,
     pub head: Parts,
-    /// Names it in the log.
+    /// The key that identifies the request in the log.
     pub key: RequestKey,
     pub note: CallerNote,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
 }
 
-/// Sends the request to a target and takes its response in.
+/// Sends the request to a target and receives the response.
 pub async fn send_attempt(
     state: Rc<TrafficState>,
     request: Rc<OutboundRequest>,
@@ -83,8 +84,12 @@
     if let Err(SendError::NotSent(reason)) = &sent
         && connection.reused
     {
-        // The target closed an idle connection; no byte was written, so a new one may serve.
-        log::debug!("{}: idle connection was closed: {reason}", target.entry.id);
+        // The target had closed the idle connection. No byte was written, so the request can be
+        // sent over a new connection.
+        log::debug!(
+            "{}: the target closed the idle connection: {reason}; connecting again",
+            target.entry.id
+        );
         connection = match connect(target.entry.addr).await {
             Ok(connection) => connection,
             Err(error) => return guard.not_sent(&error),
@@ -103,14 +108,15 @@
     }
     let is_mismatched = note.attempt != request.note.attempt;
     if is_mismatched || (response.status().is_success() && !note.signed) {
-        // A response to an earlier request, or one that no target gave. Whatever comes on this
-        // connection next can't be told from it, so the connection is closed.
-        return guard.lost("the response is another request's");
+        // A response to an earlier request, or one that no target sent. Later responses on this
+        // connection cannot be matched to their requests either, so it is closed.
+        return guard
+            .lost("the response belongs to another request, or lacks the target's signature");
     }
     guard.receive_response(note, response, connection, in_flight).await
 }
 
-/// An idle connection, or a new one.
+/// Takes an idle connection to the target, or opens a new one.
 async fn acquire_connection(
     state: &TrafficState,
     target: &KnownTarget,
@@ -122,7 +128,7 @@
     }
 }
 
-/// The request as the target gets it.
+/// Builds the request that is sent to the target.
 fn build_request(
     state: &TrafficState,
     request: &OutboundRequest,
@@ -136,20 +142,21 @@
     remove_hop_by_hop_headers(headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    let left = request.deadline.saturating_sub(state.clock.now());
+    let time_left = request.deadline.saturating_sub(state.clock.now());
     let team = request.team.as_ref().map(|team| &team.name);
-    state.protocol.mark(headers, &target.entry.id, team, left);
+    state.protocol.mark(headers, &target.entry.id, team, time_left);
     req
 }
 
-/// Tells the state how the attempt ended, also when it is dropped half way.
+/// Records how the attempt ended; an attempt that is dropped before its end is recorded as
+/// cancelled.
 struct AttemptGuard {
     forecast: Forecast,
     state: Rc<TrafficState>,
-    /// Time to a new connection.
+    /// Time taken to open a new connection; `None` for a reused one.
     connect_time: Option<Duration>,
     is_recorded: bool,
-    /// Time to the head of the response.
+    /// Time until the head of the response arrived.
     first_byte: Option<Duration>,
     request: Rc<OutboundRequest>,
     started: Moment,
@@ -163,15 +170,15 @@
             self.record_end(
                 HealthSignal::Cancelled(took),
                 AttemptEnd::Cancelled,
-                "nobody waits for it any more",
+                "cancelled: its response is no longer needed",
             );
         }
     }
 }
 
 impl AttemptGuard {
-    /// The time without that for a new connection.
-    fn answered_end(&self) -> HealthSignal {
+    /// The signal for an answered attempt. Its time leaves out that for opening a new connection.
+    fn answered_signal(&self) -> HealthSignal {
         HealthSignal::Answered(self.elapsed().saturating_sub(self.connect_time.unwrap_or_default()))
     }
 
@@ -179,12 +186,12 @@
         self.state.clock.now().saturating_sub(self.started)
     }
 
-    fn record_end(&mut self, ended: HealthSignal, end: AttemptEnd, detail: &str) {
+    fn record_end(&mut self, signal: HealthSignal, end: AttemptEnd, detail: &str) {
         self.is_recorded = true;
-        let left = self.request.deadline.saturating_sub(self.state.clock.now());
+        let time_left = self.request.deadline.saturating_sub(self.state.clock.now());
         let event = Event::AttemptEnded {
             connect_ms: self.connect_time.map(|took| took.as_millis() as u64),
-            left_ms: left.as_millis() as u64,
+            left_ms: time_left.as_millis() as u64,
             end,
             first_byte_ms: self.first_byte.map(|took| took.as_millis() as u64),
             detail: detail.into(),
@@ -193,15 +200,15 @@
             took_ms: self.elapsed().as_millis() as u64,
         };
         self.state.record(&self.request.key, event);
-        self.state.record_attempt_end(&self.target, &self.request.service, &self.forecast, ended);
+        self.state.record_attempt_end(&self.target, &self.request.service, &self.forecast, signal);
     }
 
     fn not_sent(&mut self, error: &SendError) -> AttemptOutcome {
-        let ended = match error {
+        let signal = match error {
             SendError::Unreachable(_) => HealthSignal::Unreachable,
             _ => HealthSignal::Failed,
         };
-        self.record_end(ended, AttemptEnd::Unreachable, &error.to_string());
+        self.record_end(signal, AttemptEnd::Unreachable, &error.to_string());
         AttemptOutcome::NotRun(ErrorKind::ConnectFailed)
     }
 
@@ -218,11 +225,11 @@
         connection: TargetConnection,
     ) -> AttemptOutcome {
         if note.other_target {
-            // The address has a new owner: the entry is out of date.
+            // Another target has taken over the address: the known entry is out of date.
             self.record_end(
                 HealthSignal::Unreachable,
                 AttemptEnd::WrongTarget,
-                "another target is there",
+                "another target answers at this address",
             );
             return AttemptOutcome::NotRun(ErrorKind::NoTarget);
         }
@@ -248,8 +255,8 @@
         remove_hop_by_hop_headers(&mut head.headers);
         let size = http_body::Body::size_hint(&body).exact();
         if size.is_none_or(|size| MAX_BUFFERED_BYTES < size) && status.is_success() {
-            self.record_end(self.answered_end(), AttemptEnd::Answered, status.as_str());
-            let end = StreamCompletion {
+            self.record_end(self.answered_signal(), AttemptEnd::Answered, status.as_str());
+            let completion = StreamCompletion {
                 state: self.state.clone(),
                 keep_alive,
                 connection,
@@ -258,22 +265,22 @@
                 service: self.request.service.clone(),
                 target: self.target.clone(),
             };
-            let body = StreamingBody { body, completion: Some(Box::new(end)) };
+            let body = StreamingBody { body, completion: Some(Box::new(completion)) };
             return AttemptOutcome::Response(Response::from_parts(
                 head,
                 ResponseBody::Stream(body),
             ));
         }
-        let whole = match body.collect().await {
-            Ok(whole) => whole.to_bytes(),
+        let bytes = match body.collect().await {
+            Ok(bytes) => bytes.to_bytes(),
             Err(error) => {
-                return self.lost(&format!("the response broke off: {}", with_cause(&error)));
+                return self.lost(&format!("the response was cut off: {}", with_cause(&error)));
             }
         };
         let now = self.state.clock.now();
         self.state.pool.borrow_mut().put(&self.target, connection, keep_alive, now);
-        let answered = self.answered_end();
-        let response = Response::from_parts(head, ResponseBody::Whole(Full::new(whole)));
+        let signal = self.answered_signal();
+        let response = Response::from_parts(head, ResponseBody::Whole(Full::new(bytes)));
         if status.is_server_error() {
             self.record_end(HealthSignal::Failed, AttemptEnd::Failed, status.as_str());
             return if note.signed {
@@ -282,7 +289,7 @@
                 AttemptOutcome::Lost(ErrorKind::AnswerBroken)
             };
         }
-        self.record_end(answered, AttemptEnd::Answered, status.as_str());
+        self.record_end(signal, AttemptEnd::Answered, status.as_str());
         self.state.clear_crash_suspect(self.request.fingerprint);
         AttemptOutcome::Response(response)
     }
--- a/src/entry/body_memory.rs
+++ b/src/entry/body_memory.rs
@@ -1,22 +1,22 @@
-//! How much memory the bodies of requests may take up together.
+//! Limits the memory that all request bodies together may take up.
 //!
-//! Each body is bounded by what is declared, but a small host has thousands of connections: were
-//! all of them to send the largest body at once, the process would be killed for its memory, and
+//! The declaration limits the size of each body, but a small host has thousands of connections: if
+//! all of them sent the largest body at once, the process would be killed for lack of memory, and
 //! every request on it lost.
 
 use std::{cell::Cell, rc::Rc};
 
-/// Most bytes of bodies that are held at once: an eighth of the smallest host's 160 MB, beside some
-/// 12 MB that the process takes up in a busy day.
+/// An eighth of the smallest host's 160 MB; the process itself takes up about 12 MB under high
+/// load.
 const MAX_TOTAL_BYTES: usize = 20 * 1024 * 1024;
 
-/// Bytes that are held now.
+/// Tracks the bytes of all request bodies in memory.
 #[derive(Clone, Debug, Default)]
 pub struct BodyMemory {
     used: Rc<Cell<usize>>,
 }
 
-/// Bytes of one body; dropped, they are free again.
+/// The bytes of one body in memory, released when dropped.
 #[derive(Debug)]
 pub struct BodyReservation {
     bytes: usize,
@@ -24,14 +24,15 @@
 }
 
 impl BodyMemory {
-    /// For one body, of which nothing has arrived yet: what is declared may be far more than comes.
+    /// Starts an empty reservation for one body. It grows as bytes arrive, because the length that
+    /// a request states may be far more than what it sends.
     pub fn start_reservation(&self) -> BodyReservation {
         BodyReservation { bytes: 0, used: self.used.clone() }
     }
 }
 
 impl BodyReservation {
-    /// More of the body has arrived; false where there is no room for it.
+    /// Adds newly arrived bytes; false, without adding them, if the limit would be exceeded.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let total = self.used.get().saturating_add(bytes);
         if MAX_TOTAL_BYTES < total {
--- a/src/entry/crash_suspects.rs
+++ b/src/entry/crash_suspects.rs
@@ -1,7 +1,8 @@
 //! Requests that crash every target that runs them.
 //!
-//! Such a request comes again, at any host. Each crash counts against all requests that ran there;
-//! one that comes to a good end is cleared. At `MAX_CRASHES` it is refused. Hosts tell each other.
+//! Such a request is retried and reaches further targets, through any host. Each crash of a target
+//! counts against all requests that were running there. A request that is answered without a crash
+//! is cleared; one with `MAX_CRASHES` crashes is refused. Hosts report their counts to each other.
 
 use std::collections::HashMap;
 
@@ -10,17 +11,17 @@
 /// Hash of a request's method, path and body.
 pub type Fingerprint = u64;
 
-/// Crashes after which a request is refused. Two could be chance: the other requests on a crashed
-/// target are sent again, and may meet a second crash.
+/// Crashes after which a request is refused. Two could be coincidence: the other requests on a
+/// crashed target are retried, and may be on a second target when that crashes.
 const MAX_CRASHES: u8 = 3;
 
-/// Time for which a crash counts.
+/// How long a crash counts.
 const CRASH_RETENTION: Duration = Duration::from_secs(60);
 
-/// Most fingerprints that are remembered; the oldest go first.
+/// Most fingerprints that are kept; the oldest are removed first.
 const MAX_FINGERPRINTS: usize = 512;
 
-/// Crashes by fingerprint.
+/// Counts crashes of targets by the fingerprints of the requests that were running there.
 #[derive(Debug, Default)]
 pub struct CrashSuspects {
     crashes: HashMap<Fingerprint, CrashRecord>,
@@ -33,12 +34,12 @@
 }
 
 impl CrashSuspects {
-    /// Whether there is nothing to look for.
+    /// Whether no fingerprint is recorded.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty()
     }
 
-    /// A target went down under a request; tells how often that was.
+    /// Counts a crash against a request and returns its number of crashes seen by this host.
     pub fn record_crash(&mut self, fingerprint: Fingerprint, now: Moment) -> u8 {
         if MAX_FINGERPRINTS <= self.crashes.len() {
             let oldest =
@@ -52,7 +53,9 @@
         record.count
     }
 
-    /// A request came to a good end: what was counted against it, here or `elsewhere`, was chance.
+    /// Clears a request that was answered without a crash: the crashes counted against it, here or
+    /// `elsewhere`, were not its fault. If other hosts reported crashes, an entry with a count of
+    /// zero is kept, which overrides their reports.
     pub fn clear(&mut self, fingerprint: Fingerprint, elsewhere: u8, now: Moment) {
         if 0 < elsewhere {
             self.crashes.insert(fingerprint, CrashRecord { at: now, count: 0 });
@@ -61,12 +64,12 @@
         }
     }
 
-    /// Whether a crash counts against a request.
+    /// Whether this host has counted a crash against a request.
     pub fn has_crashes(&self, fingerprint: Fingerprint) -> bool {
         self.crashes.get(&fingerprint).is_some_and(|record| 0 < record.count)
     }
 
-    /// Whether a request may run; `elsewhere` is what other hosts saw.
+    /// Whether a request may run, given the crashes that other hosts counted `elsewhere`.
     pub fn may_run(&self, fingerprint: Fingerprint, elsewhere: u8) -> bool {
         match self.crashes.get(&fingerprint) {
             Some(record) if record.count == 0 => true,
@@ -75,13 +78,13 @@
         }
     }
 
-    /// What other hosts are told.
+    /// The crashes counted by this host, to be reported to other hosts.
     pub fn reported_crashes(&self) -> Vec<(Fingerprint, u8)> {
         let counted = self.crashes.iter().filter(|(_, record)| 0 < record.count);
         counted.map(|(fingerprint, record)| (*fingerprint, record.count)).collect()
     }
 
-    /// Forgets old crashes.
+    /// Removes expired entries.
     pub fn tick(&mut self, now: Moment) {
         self.crashes.retain(|_, record| now.saturating_sub(record.at) < CRASH_RETENTION);
     }
--- a/src/entry/listeners.rs
+++ b/src/entry/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of the traffic thread: callers, look-ups, readiness.
+//! The HTTP servers of the traffic thread: for callers, look-ups and readiness checks.
 
 use std::{cell::RefCell, collections::VecDeque, convert::Infallible, future::Future, rc::Rc};
 
@@ -23,23 +23,24 @@
 };
 use crate::prelude::*;
 
-/// Pause after a connection could not be accepted, for want of descriptors most likely.
+/// Pause after a connection could not be accepted, most likely for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Idle time of callers' connections before any was declared.
+/// Idle timeout of connections while no declaration is known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longer than declared by this much: a caller that uses a connection to the last moment is served.
+/// Added to the declared idle timeout, so that a caller may use a connection until its very end.
 const IDLE_SLACK: Duration = Duration::from_secs(5);
 
-/// Buffer of one connection: above the largest head that is declared.
+/// Buffer size of one connection; larger than the largest head that a platform declares.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// Time that a caller keeps the answer to a look-up, before the platform's own bound.
+/// How long a caller may cache a look-up's response; the platform's own bound may lower it.
 const LOOKUP_TTL: Duration = Duration::from_secs(2);
 
-/// Time after the signal to stop in which idle connections are kept: callers hear of the leaving by
-/// the next answer or look-up, and a connection closed under a request costs them a retry.
+/// How long idle connections are kept open after the signal to stop. Callers learn of the shutdown
+/// from their next response or look-up; a connection closed while they send a request costs a
+/// retry.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Accepts connections until the listener is dropped.
@@ -53,18 +54,18 @@
                 tokio::task::spawn_local(serve(stream));
             }
             Err(error) => {
-                log::warn!("a connection was not accepted: {error}");
+                log::warn!("cannot accept a connection: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// Serves one caller's connection.
+/// Serves the requests on one caller's connection.
 pub async fn serve_caller(
     state: Rc<TrafficState>,
     stream: TcpStream,
-    mut leaving: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<bool>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("caller's connection: {error}");
@@ -84,7 +85,7 @@
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     let closing = async {
-        let _ = leaving.wait_for(|leaving| *leaving).await;
+        let _ = shutdown.wait_for(|is_shutting_down| *is_shutting_down).await;
         tokio::time::sleep(IDLE_CLOSE_DELAY).await;
     };
     let ended = tokio::select! {
@@ -99,7 +100,8 @@
     }
 }
 
-/// The caller has left: there is nobody to answer.
+/// The caller has left, so that no response can be sent. Makes the HTTP server close the
+/// connection.
 #[derive(Debug, thiserror::Error)]
 #[error("the caller has left")]
 struct CallerLeft;
@@ -120,13 +122,14 @@
 struct CallerConnection {
     state: Rc<TrafficState>,
     disconnect: Disconnect,
-    /// Requests that were started before their turn, in their order.
+    /// Pipelined requests that were started early, in the order of their arrival.
     early_requests: RefCell<VecDeque<EarlyRequest>>,
 }
 
-/// A request whose turn has not come; ends when dropped, since then the caller has left.
+/// A pipelined request that was started before those ahead of it were answered. Dropping it aborts
+/// the task.
 struct EarlyRequest {
-    /// What it must be when its turn comes.
+    /// Compared, like `uri`, with the request that the HTTP server hands over when its turn comes.
     note: CallerNote,
     task: JoinHandle<Option<CallerResponse>>,
     uri: Uri,
@@ -153,7 +156,9 @@
                 }
                 other => {
                     if other.is_some() {
-                        log::warn!("requests started ahead are out of order; they are served anew");
+                        log::warn!(
+                            "early requests do not match the order of arrival; serving them again"
+                        );
                         self.disconnect.with_scanner(PipelineScanner::disable);
                         self.early_requests.borrow_mut().clear();
                     }
@@ -174,13 +179,13 @@
         }
     }
 
-    /// Starts what arrives, as long as it may be.
+    /// Starts pipelined requests early as they arrive. Never returns.
     async fn start_pipelined_requests(&self) {
         loop {
             self.start_waiting_requests();
             self.disconnect.more().await;
             if self.disconnect.is_gone() {
-                // Who serves the request notices too, and ends.
+                // The task that serves the request notices the disconnect too, and ends it.
                 std::future::pending::<()>().await;
             }
         }
@@ -190,14 +195,14 @@
         let mut early_requests = self.early_requests.borrow_mut();
         let skip = early_requests.len();
         let heads = self.disconnect.with_scanner(|scanner| {
-            let heads = scanner.waiting().skip(skip).map(|seen| match seen {
+            let heads = scanner.waiting().skip(skip).map(|request| match request {
                 ScannedRequest::Startable(head) => Some(head.clone()),
                 ScannedRequest::InTurn => None,
             });
             heads.collect::<Vec<_>>()
         });
         for head in heads {
-            // What may not be started holds up those behind it.
+            // A request that must wait holds up those behind it.
             let Some(head) = head.as_deref().and_then(pipelining::parse_head) else { return };
             let (head, ()) = head.into_parts();
             if !request_handler::may_start_early(&self.state, &head) {
@@ -206,7 +211,7 @@
             let note = self.state.protocol.caller(&head.headers);
             let uri = head.uri.clone();
             let req = Request::from_parts(head, request_handler::RequestBody::None);
-            // If the caller leaves, `EarlyRequest` is dropped and ends the task.
+            // If the caller leaves, `EarlyRequest` is dropped and aborts the task.
             let serve =
                 request_handler::handle_request(self.state.clone(), Disconnect::assumed(), req);
             early_requests.push_back(EarlyRequest {
@@ -218,7 +223,7 @@
     }
 }
 
-/// Counts an open connection, so that a planned stop waits until all have their answers.
+/// Counts an open connection, so that a graceful shutdown waits until all requests are answered.
 struct OpenConnection(Rc<TrafficState>);
 
 impl OpenConnection {
@@ -234,7 +239,7 @@
     }
 }
 
-/// Serves a connection of the platform's own: readiness, or a look-up.
+/// Serves a connection of the platform: a look-up, a readiness check or a scrape of the metrics.
 pub async fn serve_platform_connection<F>(
     stream: TcpStream,
     handler: impl Fn(Request<Incoming>) -> F,
@@ -251,11 +256,11 @@
         .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = served.await {
-        log::debug!("connection: {error}");
+        log::debug!("platform connection: {error}");
     }
 }
 
-/// The answer to a question for readiness.
+/// The response to a readiness check: ready once a declaration is known, until the shutdown begins.
 pub fn readiness_response(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     if !state.protocol.asks_ready(req.uri()) {
         return status_response(StatusCode::NOT_FOUND);
@@ -265,7 +270,7 @@
     status_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
-/// The answer to a look-up.
+/// The response to a look-up: the addresses of hosts that the caller may use.
 pub fn lookup_response(state: &TrafficState, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     let Some(place) = state.protocol.lookup(req.uri()) else {
         return status_response(StatusCode::NOT_FOUND);
@@ -282,7 +287,7 @@
     response
 }
 
-/// An answer that is a status only.
+/// A response with a status and no body.
 pub fn status_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
--- a/src/entry/pipelining.rs
+++ b/src/entry/pipelining.rs
@@ -1,46 +1,46 @@
-//! Requests that a caller sends before the first one is answered.
+//! HTTP pipelining: requests that a caller sends before earlier ones are answered.
 //!
-//! The HTTP library hands requests over one after the other, so the second would only go to its
-//! target when the first is answered, and be late by the first one's time. Here heads are seen as
-//! they arrive, and idempotent requests without a body are started at once; their answers wait
-//! until the library asks for them, so that they go out in order.
+//! The HTTP library hands over a request only after the previous one is answered, which would delay
+//! it by the time of the previous one. This module scans the incoming bytes for request heads, so
+//! that idempotent requests without a body can be started at once. Their responses wait until the
+//! library hands over the same request, so that they are sent in order.
 
 use std::collections::VecDeque;
 
 use bytes::{Buf, Bytes, BytesMut};
 use http::{HeaderName, HeaderValue, Method, Request, Uri, header};
 
-/// Most headers of a request that is looked at ahead.
+/// Most headers of a request that can be started early.
 const MAX_HEADERS: usize = 64;
 
-/// Largest head that is looked at ahead, in bytes.
+/// Largest head of a request that can be started early.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Most requests that are seen ahead; a caller that sends more waits for the first ones.
+/// Most pipelined requests that are scanned; if a caller sends more, all are served in turn.
 const MAX_WAITING_REQUESTS: usize = 8;
 
-/// A request as it was seen arriving.
+/// A request found in the incoming bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScannedRequest {
-    /// It has no body and may be started ahead.
+    /// A GET request without a body, with its head; may be started early.
     Startable(Bytes),
-    /// It is served when its turn comes.
+    /// Any other request; served when its turn comes.
     InTurn,
 }
 
-/// Finds the heads of requests in the bytes of one connection.
+/// Scans the bytes received on one connection for request heads.
 #[derive(Debug, Default)]
 pub struct PipelineScanner {
-    /// What comes can't be told apart any more.
+    /// Scanning has stopped, because the bounds of further requests are not known.
     is_disabled: bool,
     waiting: VecDeque<ScannedRequest>,
-    /// Bytes of a body that are still to come.
+    /// Bytes of the current request's body that have not arrived yet.
     body_bytes_left: usize,
     buffer: BytesMut,
 }
 
 impl PipelineScanner {
-    /// Takes in the next bytes.
+    /// Scans the next bytes.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         if self.is_disabled {
             return;
@@ -55,24 +55,24 @@
         }
     }
 
-    /// The request whose turn it is; `None` if it was not seen.
+    /// Removes and returns the request whose turn it is; `None` if it was not scanned.
     pub fn take_next(&mut self) -> Option<ScannedRequest> {
         self.waiting.pop_front()
     }
 
-    /// Requests that were seen and whose turn has not come.
+    /// Scanned requests whose turn has not come.
     pub fn waiting(&self) -> impl Iterator<Item = &ScannedRequest> {
         self.waiting.iter()
     }
 
-    /// Stops looking: from here on requests are served in their turn.
+    /// Stops scanning for good: all further requests are served in turn.
     pub fn disable(&mut self) {
         self.is_disabled = true;
         self.waiting.clear();
         self.buffer = BytesMut::new();
     }
 
-    /// Takes one head off the tail; false when it is not whole yet.
+    /// Takes one request off the buffer; false if its head is incomplete or scanning has stopped.
     fn scan_one(&mut self) -> bool {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut req = httparse::Request::new(&mut headers);
@@ -80,7 +80,7 @@
             Ok(httparse::Status::Complete(size)) => size,
             Ok(httparse::Status::Partial) => return false,
             Err(_) => {
-                // The library answers it in its turn, and closes the connection.
+                // The HTTP library rejects the request in its turn and closes the connection.
                 self.disable();
                 return false;
             }
@@ -116,14 +116,14 @@
             ScannedRequest::Startable(head)
         });
         if self.buffer.is_empty() {
-            // An idle connection keeps no buffer.
+            // Free the memory: most connections are idle most of the time.
             self.buffer = BytesMut::new();
         }
         true
     }
 }
 
-/// Reads a head that was seen; `None` if it is none.
+/// Parses a request's head; `None` if it is not a valid one.
 pub fn parse_head(head: &[u8]) -> Option<Request<()>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to, by what this host sees and others tell.
+//! Chooses the target for a request, from this host's measurements and the reports of other hosts.
 
 use super::{KnownTarget, Route, Team, TrafficState, View, service_state::ServiceState};
 use crate::{
@@ -10,18 +10,18 @@
     prelude::*,
 };
 
-/// Usual slots of a cold target, as a part of a warm one's.
+/// Slots that a cold target is assumed to offer, as a fraction of its slots when warm.
 const COLD_SLOT_FRACTION: f64 = 0.3;
 
-/// How many targets are looked at.
+/// Which targets are considered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Search {
     All,
-    /// A shortlist, and all where that has none to send to.
+    /// A shortlist first; all targets only if none on the shortlist can take the request.
     Shortlist,
 }
 
-/// What a request is, as far as placement goes.
+/// The properties of a request that placement depends on.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
     pub deadline: Moment,
@@ -33,7 +33,7 @@
 }
 
 impl PlacementRequest {
-    /// Whether it may go to the target, and has not been there yet.
+    /// Whether the request may be sent to the target and was not sent there before.
     fn allows(&self, target: &KnownTarget) -> bool {
         self.allows_region(&target.region) && !self.tried_targets.contains(&target.tag)
     }
@@ -43,57 +43,57 @@
         allow(&self.route.regions) && self.team.as_ref().is_none_or(|team| allow(&team.regions))
     }
 
-    /// Regions with a target that it may go to.
-    fn open_regions(&self, index: &TargetIndex) -> Vec<RegionId> {
-        let open = index.untried_regions(&self.tried_targets);
-        open.filter(|region| self.allows_region(region)).cloned().collect()
+    /// Regions with at least one target that the request may be sent to.
+    fn eligible_regions(&self, index: &TargetIndex) -> Vec<RegionId> {
+        let eligible = index.untried_regions(&self.tried_targets);
+        eligible.filter(|region| self.allows_region(region)).cloned().collect()
     }
 }
 
-/// Where a request goes, and what decided it.
+/// The chosen target, and the facts behind the choice, for the event log.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Targets that the route allows and that were not tried yet.
+    /// Number of considered targets that the route and team allow and that were not tried yet.
     pub candidates: usize,
     pub choice: Choice,
-    /// Of the candidates, how many are cold.
-    pub cold: usize,
-    /// The target that the request should have gone to, and the time its answer was expected to
-    /// take, which is too long.
-    pub crowded: Option<(TargetId, Duration)>,
-    /// Of the candidates, how many have a free slot in another region than the one named.
+    /// Number of candidates that are cold.
+    pub cold_candidates: usize,
+    /// If all candidates are too busy: the best of them, and its expected response time, which is
+    /// over the limit.
+    pub best_busy: Option<(TargetId, Duration)>,
+    /// Number of candidates with a free slot in a region other than `region`.
     pub free_elsewhere: usize,
-    /// Longest expected time that was acceptable.
+    /// Longest expected response time that is acceptable.
     pub limit: Duration,
-    /// Requests in flight at the chosen target, of all hosts.
+    /// Requests in flight at the chosen target, from all hosts.
     pub load: u32,
-    /// What is expected of the attempt.
+    /// Expected course of the attempt, to be compared with its outcome.
     pub forecast: Forecast,
-    /// The region that the shares name.
+    /// The region picked by the service's shares.
     pub region: RegionId,
-    /// Of the candidates, how many take nothing now.
-    pub shut: usize,
+    /// Number of candidates that accept no requests now.
+    pub unavailable: usize,
     pub target: Option<Arc<KnownTarget>>,
-    /// Usual time of an answer.
-    pub work: Duration,
+    /// Mean time that a target takes for a request to the service.
+    pub mean_work: Duration,
 }
 
 impl Placement {
-    /// There is no target at all.
+    /// The placement for a service without a target that the request may be sent to.
     fn no_targets(region: &RegionId) -> Self {
         Self {
             candidates: 0,
             choice: Choice::NoTargets,
-            cold: 0,
-            crowded: None,
+            cold_candidates: 0,
+            best_busy: None,
             free_elsewhere: 0,
             limit: Duration::ZERO,
             load: 0,
             forecast: Forecast::default(),
             region: region.clone(),
-            shut: 0,
+            unavailable: 0,
             target: None,
-            work: Duration::ZERO,
+            mean_work: Duration::ZERO,
         }
     }
 }
@@ -106,13 +106,13 @@
 }
 
 impl TrafficState {
-    /// Chooses a target: among the few that are likely to be the best, and among all before it
-    /// refuses.
+    /// Chooses a target from the shortlist of the most promising ones, or from all if none of those
+    /// can take the request.
     pub fn place(&self, view: &View, request: &PlacementRequest) -> Placement {
         self.place_with_search(Search::Shortlist, view, request)
     }
 
-    /// Chooses a target by one way of looking.
+    /// Chooses a target with the given kind of search.
     pub fn place_with_search(
         &self,
         search: Search,
@@ -127,51 +127,51 @@
         let state = services.entry(request.service.clone()).or_default();
         state.target_index.update(targets);
         let seed = request.object.unwrap_or_else(rand::random);
-        let open = request.open_regions(&state.target_index);
-        let Some(region) = self.pick_region(view, state, request, seed, &open) else {
+        let eligible = request.eligible_regions(&state.target_index);
+        let Some(region) = self.pick_region(view, state, request, seed, &eligible) else {
             return Placement::no_targets(home);
         };
-        let held = self.held_objects.borrow();
+        let cached = self.cached_objects.borrow();
         if search == Search::Shortlist {
-            let near = [region.clone()];
+            let picked_only = [region.clone()];
             let shortlist = state.target_index.shortlist(&ShortlistQuery {
-                holders: request.object.map_or(&[], |object| held.holders(object)),
+                holders: request.object.map_or(&[], |object| cached.holders(object)),
                 object: request.object,
-                regions: if may_spill(state) { &open } else { &near },
+                regions: if may_spill(state) { &eligible } else { &picked_only },
                 spread: rand::random(),
             });
             let shortlisted = shortlist.into_iter().map(|at| &targets[at]);
-            let shortlisted = self.candidates(view, request, shortlisted, &held);
+            let shortlisted = self.candidates(view, request, shortlisted, &cached);
             let placement = self.choose_among(&shortlisted, state, request, seed, &region);
             if placement.target.is_some() {
                 return placement;
             }
         }
-        let all = self.candidates(view, request, targets.iter(), &held);
+        let all = self.candidates(view, request, targets.iter(), &cached);
         self.choose_among(&all, state, request, seed, &region)
     }
 
-    /// The region that the request should run in.
+    /// The region that the request should run in; `None` if no region is eligible.
     fn pick_region(
         &self,
         view: &View,
         state: &mut ServiceState,
         request: &PlacementRequest,
         seed: ObjectTag,
-        open: &[RegionId],
+        eligible: &[RegionId],
     ) -> Option<RegionId> {
         let home = &self.settings.region;
         if state.shares.is_none() {
             let now = self.clock.now();
             let targets = state.target_index.targets();
             let loads = region_loads(view, targets, &request.service, state.demand, home, now);
-            let sent = self.region_sent.borrow().shares(name_tag(&request.service));
+            let sent = self.sent_totals.borrow().shares(name_tag(&request.service));
             let shares =
                 RegionShares::resume(home.clone(), &loads, sent.as_ref(), &self.tuning, now);
             state.shares = Some(shares);
         }
         let shares = state.shares.as_ref()?;
-        region_for_seed(shares, seed, open, home, &self.regions_at_shift_limit.borrow())
+        region_for_seed(shares, seed, eligible, home, &self.capped_regions.borrow())
     }
 
     fn candidates<'a>(
@@ -179,7 +179,7 @@
         view: &View,
         request: &PlacementRequest,
         targets: impl Iterator<Item = &'a Arc<KnownTarget>>,
-        held: &CachedObjects,
+        cached: &CachedObjects,
     ) -> Vec<Candidate<'a>> {
         let now = self.clock.now();
         let services = view.declared.as_ref().map(|declared| &declared.services);
@@ -187,13 +187,13 @@
         let rate = rules.map_or(1.0, |rules| rules.cold_rate);
         let allowed = targets.filter(|target| request.allows(target));
         let candidate = |target: &'a Arc<KnownTarget>| {
-            let depth = request.object.and_then(|object| held.depth(target.tag, object));
+            let depth = request.object.and_then(|object| cached.depth(target.tag, object));
             self.candidate(view, target, rate, depth, now)
         };
         allowed.map(candidate).collect()
     }
 
-    /// Chooses among the candidates, and tells what decided it.
+    /// Chooses one of the candidates and records the facts behind the choice.
     fn choose_among(
         &self,
         candidates: &[Candidate<'_>],
@@ -204,7 +204,7 @@
     ) -> Placement {
         let query = PlacementQuery {
             home_region: &self.settings.region,
-            estimates: state.learnt,
+            estimates: state.estimates,
             time_left: request.deadline.saturating_sub(self.clock.now()),
             may_spill: may_spill(state),
             object: request.object,
@@ -215,16 +215,16 @@
         };
         let choice = choose(candidates, &query, seed);
         let (chosen, forecast) = match &choice {
-            Choice::Send(offer) => {
-                state.learnt.work.record_sent(offer.work);
-                let candidate = &candidates[offer.index];
-                (Some(candidate), forecast(offer, candidate, request.object))
+            Choice::Send(estimate) => {
+                state.estimates.work.record_sent(estimate.work);
+                let candidate = &candidates[estimate.index];
+                (Some(candidate), forecast(estimate, candidate, request.object))
             }
             _ => (None, Forecast::default()),
         };
-        let crowded = match &choice {
-            Choice::Busy { best: Some(offer), .. } => {
-                Some((candidates[offer.index].target.entry.id.clone(), offer.expected()))
+        let best_busy = match &choice {
+            Choice::Busy { best: Some(estimate), .. } => {
+                Some((candidates[estimate.index].target.entry.id.clone(), estimate.expected()))
             }
             _ => None,
         };
@@ -234,16 +234,16 @@
         Placement {
             candidates: candidates.len(),
             choice,
-            cold: candidates.iter().filter(|candidate| candidate.cold).count(),
-            crowded,
+            cold_candidates: candidates.iter().filter(|candidate| candidate.cold).count(),
+            best_busy,
             free_elsewhere: candidates.iter().filter(|it| is_free_elsewhere(it, region)).count(),
             limit: query.limit(),
             load: chosen.map_or(0, |chosen| chosen.load as u32),
             forecast,
             region: region.clone(),
-            shut: candidates.iter().filter(|candidate| candidate.unavailable).count(),
+            unavailable: candidates.iter().filter(|candidate| candidate.unavailable).count(),
             target: chosen.map(|chosen| chosen.target.clone()),
-            work: query.estimates.work.mean(),
+            mean_work: query.estimates.work.mean(),
         }
     }
 
@@ -255,27 +255,27 @@
         depth: Option<usize>,
         now: Moment,
     ) -> Candidate<'a> {
-        let conditions = self.conditions.borrow();
-        let condition = conditions.get(&target.tag);
-        let own = condition.map_or(0, |condition| condition.in_flight);
+        let target_health = self.target_health.borrow();
+        let health = target_health.get(&target.tag);
+        let own_in_flight = health.map_or(0, |health| health.in_flight);
         let elsewhere = view.elsewhere.get(&target.tag).copied().unwrap_or_default();
         let reported =
             view.slow.get(&target.tag).copied().filter(|_| self.tuning.use_reported_slowness);
         let cold = target.is_cold(now);
-        let cold_shut = cold
+        let cold_unavailable = cold
             && (!is_cold_sender(target, &self.settings.host, &view.hosts)
-                || !self.cold_rates.borrow_mut().has_token(target, cold_rate, now));
-        let shut = condition.is_some_and(|condition| {
-            condition.is_paused(now)
-                || condition.is_full(now)
-                || (condition.is_half_open(now) && 0 < own)
+                || !self.cold_target_limiter.borrow_mut().has_token(target, cold_rate, now));
+        let health_unavailable = health.is_some_and(|health| {
+            health.is_paused(now)
+                || health.is_full(now)
+                || (health.is_half_open(now) && 0 < own_in_flight)
         });
         Candidate {
             cold,
             depth,
-            load: f64::from(own + elsewhere),
-            unavailable: shut || cold_shut,
-            slowdown: condition
+            load: f64::from(own_in_flight + elsewhere),
+            unavailable: health_unavailable || cold_unavailable,
+            slowdown: health
                 .unwrap_or(&TargetHealth::default())
                 .slowdown_with_report(reported, now),
             target,
@@ -284,51 +284,51 @@
     }
 }
 
-/// Whether a request may leave the region that the shares name.
+/// Whether a request may be sent outside the region picked by the shares.
 fn may_spill(state: &ServiceState) -> bool {
     1.0 <= state.spill_credit
 }
 
-/// The region that the shares name for an object, the home region if nothing more may be moved
-/// there, or else the one with the largest share of those that are open.
+/// The region that the shares assign to `seed`. If that region is capped, the home region replaces
+/// it; if the result is not eligible, the eligible region with the largest share does.
 fn region_for_seed(
     shares: &RegionShares,
     seed: ObjectTag,
-    open: &[RegionId],
+    eligible: &[RegionId],
     home: &RegionId,
-    at_shift_limit: &[NameTag],
+    capped_regions: &[NameTag],
 ) -> Option<RegionId> {
-    let named = shares.region_at(f64::from(seed) / f64::from(ObjectTag::MAX));
-    let named = named.map(|region| {
-        match at_shift_limit.contains(&name_tag(region)) && open.contains(home) {
+    let picked = shares.region_at(f64::from(seed) / f64::from(ObjectTag::MAX));
+    let picked = picked.map(|region| {
+        match capped_regions.contains(&name_tag(region)) && eligible.contains(home) {
             true => home,
             false => region,
         }
     });
-    if let Some(region) = named.filter(|region| open.contains(region)) {
+    if let Some(region) = picked.filter(|region| eligible.contains(region)) {
         return Some(region.clone());
     }
-    open.iter().max_by(|a, b| shares.get(a).total_cmp(&shares.get(b))).cloned()
+    eligible.iter().max_by(|a, b| shares.get(a).total_cmp(&shares.get(b))).cloned()
 }
 
 fn forecast(
-    offer: &CandidateEstimate,
+    estimate: &CandidateEstimate,
     candidate: &Candidate<'_>,
     object: Option<ObjectTag>,
 ) -> Forecast {
     let slots = f64::from(candidate.target.entry.slots);
     Forecast {
         depth: candidate.depth,
-        expected: offer.expected().div_f64(candidate.slowdown),
+        expected: estimate.expected().div_f64(candidate.slowdown),
         has_free_slot: candidate.load < slots && !candidate.cold,
-        is_primary_guess: offer.is_primary_guess,
-        hit_probability: offer.hit_probability,
+        is_primary_guess: estimate.is_primary_guess,
+        hit_probability: estimate.hit_probability,
         object,
         round_trip: candidate.round_trip,
     }
 }
 
-/// Slots and demand of each region that has targets of a service.
+/// Slots and demand of each region that has hosts, or targets of the service.
 pub(super) fn region_loads(
     view: &View,
     targets: &[Arc<KnownTarget>],
--- a/src/entry/request_handler.rs
+++ b/src/entry/request_handler.rs
@@ -1,4 +1,5 @@
-//! One request of a caller, from its head to the response.
+//! Handles one request of a caller: access checks, reading the body, attempts at targets with
+//! retries and hedging, and the response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,41 +32,41 @@
     prelude::*,
 };
 
-/// Time kept for the ways there and back, 8 ms each, for a new connection and for timers that fire
-/// late: the caller has its response when its time is over.
+/// Reserved out of the caller's timeout, so that the response arrives before it ends. Covers the
+/// network latency to and from the caller (8 ms each way), a new connection and late timers.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(60);
 
-/// A second target is asked when the first takes this many times the usual time.
+/// A request is hedged to a second target after this many times the service's mean time.
 const HEDGE_DELAY_FACTOR: f64 = 4.0;
 
-/// Shortest time before a second target is asked.
+/// Shortest time before a request is hedged.
 const HEDGE_DELAY_MIN: Duration = Duration::from_millis(350);
 
-/// Least and longest time that a refused caller is asked to stay away. The longest is what callers
-/// of the shortest deadlines still honour.
+/// Bounds of the retry-after time sent to a refused caller. Callers with the shortest deadlines
+/// still honour the upper bound.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(80);
 const RETRY_AFTER_MAX: Duration = Duration::from_millis(700);
 
-/// Time after the signal to stop in which new requests are still served, as a part of the time to
-/// the process' end: what is sent then can still be answered.
+/// Part of the shutdown's grace period in which new requests are still accepted: they can be
+/// answered before the process ends.
 const SHUTDOWN_ACCEPT_FRACTION: f64 = 0.4;
 
-/// Time that a refused caller stays away where nothing tells when there is room.
+/// Retry-after time when it is unknown when a slot will be free.
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(250);
 
-/// Targets that may turn out to be unreachable before a request is refused.
+/// Number of unreachable targets after which a request is refused.
 const MAX_UNREACHABLE_TARGETS: u32 = 3;
 
 type Attempt = Pin<Box<dyn Future<Output = (TargetId, AttemptOutcome)>>>;
 type Attempts = FuturesUnordered<Attempt>;
 
-/// A request that may be on its way in.
+/// The body of a request: still arriving, or none for a request that was started early.
 pub enum RequestBody {
     Incoming(Incoming),
     None,
 }
 
-/// Serves one request. `None` when the caller has left.
+/// Handles one request. `None` if the caller has left.
 pub async fn handle_request(
     state: Rc<TrafficState>,
     disconnect: Disconnect,
@@ -169,7 +170,7 @@
     call.run(disconnect).await
 }
 
-/// Whether a request may be started before its turn.
+/// Whether a pipelined request may be started before the ones ahead of it are answered.
 pub fn may_start_early(state: &TrafficState, head: &Parts) -> bool {
     let declared = state.view().and_then(|view| view.declared.clone());
     let route = declared.and_then(|declared| find_route(&declared, head));
@@ -186,6 +187,7 @@
     declared.route(host_of(head)?, head.uri.path()).cloned()
 }
 
+/// A request that was accepted, with its attempts.
 struct Call {
     /// `None` for a request without a team.
     admission: Option<Admission>,
@@ -196,15 +198,16 @@
     tried_targets: Vec<u32>,
 }
 
-/// What has come of the attempts so far.
+/// Results of the attempts so far.
 #[derive(Default)]
 struct CallProgress {
-    /// An attempt may have run.
+    /// A target may have run the request.
     maybe_ran: bool,
-    /// A target's own failure, to be passed on if nothing better comes.
+    /// A target's error response, passed on if no other attempt succeeds.
     target_error: Option<CallerResponse>,
-    room_in: Option<Duration>,
-    /// Attempts that reached a target, or may have.
+    /// Time until a slot is expected to be free.
+    free_in: Option<Duration>,
+    /// Number of attempts that reached a target, or may have.
     sent: u32,
     /// The target whose response is passed on.
     target: Option<TargetId>,
@@ -242,7 +245,7 @@
                         let outcome = RequestOutcome::from_target(target, progress.sent);
                         return Some(self.log.record_answered(response, outcome));
                     }
-                    // What may have run once may not be sent again.
+                    // Not idempotent: a request that may have run must not be sent again.
                     if progress.maybe_ran && self.route.repeat == Repeat::Once {
                         return Some(self.final_response(progress));
                     }
@@ -289,13 +292,13 @@
         };
         let placement = self.state.place(&view, &request);
         let Some(target) = placement.target.clone() else {
-            let (error, room_in) = match placement.choice {
+            let (error, free_in) = match placement.choice {
                 Choice::Busy { free_in, .. } => (ErrorKind::NoSlots, free_in),
                 _ => (ErrorKind::NoTarget, None),
             };
-            progress.room_in = room_in;
+            progress.free_in = free_in;
             progress.error.get_or_insert(error);
-            self.log.record_not_placed(&view, &placement, error, room_in);
+            self.log.record_not_placed(&view, &placement, error, free_in);
             return None;
         };
         if 0 < progress.sent && !self.state.take_retry(&view, &self.request.service) {
@@ -334,13 +337,14 @@
         }
     }
 
-    /// A further attempt is not allowed by a limit.
+    /// Records that a limit does not allow a further attempt.
     fn deny_retry(&self, progress: &CallProgress, limit: &str) -> Option<Attempt> {
         self.log.record_retry_denied(limit, progress.sent);
         None
     }
 
-    /// Its object: what targets know of one serves all routes to their service.
+    /// The object that the request is about, used to prefer targets that have it cached. The tag
+    /// does not depend on the route, since all routes to a service share the caches of its targets.
     fn object(&self) -> Option<ObjectTag> {
         let object = self.request.note.object.as_ref().filter(|_| self.route.sticky)?;
         Some(xxh3_64(object.as_bytes()) as ObjectTag)
@@ -363,7 +367,7 @@
             admission.mark_not_run();
         }
         let jitter = 0.75 + rand::random::<f64>() / 2.0;
-        let retry_after = progress.room_in.unwrap_or(RETRY_AFTER_DEFAULT).mul_f64(jitter);
+        let retry_after = progress.free_in.unwrap_or(RETRY_AFTER_DEFAULT).mul_f64(jitter);
         let retry_after = retry_after.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
         let response = host_response(&self.state, &self.request.note, error, Some(retry_after));
         self.log.record_answered(
@@ -374,12 +378,12 @@
 }
 
 impl CallProgress {
-    /// Nothing was tried yet.
+    /// Whether no target was tried yet.
     fn is_first_attempt(&self) -> bool {
         self.sent == 0 && self.unreachable_targets == 0
     }
 
-    /// Takes an attempt's end in; the response, if it is one for the caller.
+    /// Records the end of an attempt. Returns its response if that goes to the caller.
     fn record(&mut self, target: &TargetId, outcome: AttemptOutcome) -> Option<CallerResponse> {
         match outcome {
             AttemptOutcome::Response(response) => return Some(response),
@@ -403,13 +407,13 @@
     }
 }
 
-/// The host that a request names.
+/// The host name in the `host` header, or else in the request's URI.
 fn host_of(head: &Parts) -> Option<&str> {
     let host = head.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     host.or_else(|| head.uri.host())
 }
 
-/// The whole body, within the declared bound and that of all bodies together.
+/// Reads the whole body, within the declared size limit and the memory limit of all bodies.
 async fn read_body(
     state: &TrafficState,
     declared: &Declared,
@@ -420,7 +424,7 @@
     let mut bytes_read = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| ErrorKind::BadRequest)?;
-        // Trailers concern one connection only.
+        // Trailers are hop-by-hop and are not forwarded.
         let Ok(bytes) = frame.into_data() else { continue };
         if declared.body_bytes < bytes_read.len() + bytes.len() {
             return Err(ErrorKind::BodyTooLarge);
@@ -444,11 +448,11 @@
     !state.crash_suspects.borrow().may_run(fingerprint, elsewhere)
 }
 
-/// Whether the process ends before a response could be expected.
+/// Whether the process is likely to end before a new request is answered.
 fn stops_before_response(state: &TrafficState) -> bool {
-    let serves = state.bounds().grace.mul_f64(SHUTDOWN_ACCEPT_FRACTION);
+    let accept_period = state.bounds().grace.mul_f64(SHUTDOWN_ACCEPT_FRACTION);
     state
         .shutdown_started_at
         .get()
-        .is_some_and(|stopping_since| stopping_since + serves <= state.clock.now())
+        .is_some_and(|stopping_since| stopping_since + accept_period <= state.clock.now())
 }
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -1,4 +1,4 @@
-//! The log of one request on one host, from its acceptance to its end.
+//! Writes the log events of one request on one host, from its acceptance to its end.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -10,9 +10,9 @@
     prelude::*,
 };
 
-/// How a request ended, beside the response itself.
+/// How a request ended, apart from the response itself.
 pub struct RequestOutcome {
-    /// The host's own reason; `None` where the target's response is passed on.
+    /// Why the host answered by itself; `None` if it passes on a target's response.
     error: Option<ErrorKind>,
     ran: Ran,
     retry_after: Option<Duration>,
@@ -21,12 +21,12 @@
 }
 
 impl RequestOutcome {
-    /// A target's response is passed on.
+    /// The outcome of a request whose response comes from a target.
     pub fn from_target(target: TargetId, sent: u32) -> Self {
         Self { error: None, ran: Ran::Yes, retry_after: None, sent, target: Some(target) }
     }
 
-    /// The host answers itself.
+    /// The outcome of a request that the host answers by itself.
     pub fn from_host(error: ErrorKind, sent: u32, retry_after: Option<Duration>) -> Self {
         let ran = error.row().ran;
         let retry_after = retry_after.filter(|_| ran == Ran::No);
@@ -44,7 +44,8 @@
     }
 }
 
-/// Tells of one request; dropped before an response, it tells that the caller has left.
+/// Writes the log events of one request. If dropped before a response was recorded, it records that
+/// the caller has left.
 pub struct RequestLog {
     state: Rc<TrafficState>,
     ended: Cell<bool>,
@@ -56,7 +57,7 @@
 }
 
 impl RequestLog {
-    /// The log of a request that was accepted at `accepted_at`.
+    /// Creates the log of a request that was accepted at `accepted_at`.
     pub fn new(
         state: Rc<TrafficState>,
         key: RequestKey,
@@ -68,12 +69,12 @@
         Self { state, ended, key, objective, sent, service, accepted_at }
     }
 
-    /// Names the request.
+    /// The key that identifies the request in the log.
     pub fn key(&self) -> &RequestKey {
         &self.key
     }
 
-    /// It goes to a target.
+    /// Records that the request is sent to a target.
     pub fn record_sent(
         &self,
         view: &View,
@@ -86,7 +87,7 @@
         self.sent.set(attempt);
         let now = self.state.clock.now();
         let expected = match placement.choice {
-            Choice::Send(offer) => offer.expected(),
+            Choice::Send(estimate) => estimate.expected(),
             _ => Duration::ZERO,
         };
         let event = Event::Sent {
@@ -108,40 +109,40 @@
         self.state.record(&self.key, event);
     }
 
-    /// No target can take it.
+    /// Records that no target can take the request.
     pub fn record_not_placed(
         &self,
         view: &View,
         placement: &Placement,
         error: ErrorKind,
-        room_in: Option<Duration>,
+        free_in: Option<Duration>,
     ) {
         let event = Event::NotPlaced {
             candidates: placement.candidates,
-            cold: placement.cold,
-            crowded: placement.crowded.as_ref().map(|(target, _)| target.clone()),
+            cold: placement.cold_candidates,
+            crowded: placement.best_busy.as_ref().map(|(target, _)| target.clone()),
             declaration: declaration_version(view),
             error,
-            expected_ms: placement.crowded.as_ref().map(|(_, expected)| millis(*expected)),
+            expected_ms: placement.best_busy.as_ref().map(|(_, expected)| millis(*expected)),
             free_elsewhere: placement.free_elsewhere,
             limit_ms: millis(placement.limit),
             region: placement.region.clone(),
-            room_in_ms: room_in.map(millis),
+            room_in_ms: free_in.map(millis),
             service: self.service.clone(),
-            shut: placement.shut,
+            shut: placement.unavailable,
             view_age_ms: millis(self.state.clock.now().saturating_sub(view.at)),
-            work_ms: millis(placement.work),
+            work_ms: millis(placement.mean_work),
         };
         self.state.record(&self.key, event);
     }
 
-    /// A further attempt is not allowed by `limit`.
+    /// Records that `limit` does not allow a further attempt.
     pub fn record_retry_denied(&self, limit: &str, sent: u32) {
         let event = Event::RetryDenied { limit: limit.into(), sent, service: self.service.clone() };
         self.state.record(&self.key, event);
     }
 
-    /// Its response goes out.
+    /// Records the response and passes it through.
     pub fn record_answered(
         &self,
         response: CallerResponse,
--- a/src/entry/response.rs
+++ b/src/entry/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: the host's own, and a target's as it came.
+//! Responses to callers: the host's own, and those passed on from targets.
 
 use std::{
     pin::Pin,
@@ -22,12 +22,14 @@
     prelude::*,
 };
 
-/// An answer with either kind of body.
+/// A response to a caller.
 pub type CallerResponse = Response<ResponseBody>;
 
-/// Whole bodies, and those that go on as they arrive.
+/// The body of a response to a caller.
 pub enum ResponseBody {
+    /// Buffered completely.
     Whole(Full<Bytes>),
+    /// Passed on while it arrives from the target.
     Stream(StreamingBody),
 }
 
@@ -62,14 +64,14 @@
     }
 }
 
-/// A target's body on its way to the caller. Dropped early, the caller has left: the target's
-/// connection closes and it stops working.
+/// A target's response body that is passed on while it arrives. It is dropped before its end if the
+/// caller leaves; that closes the connection, so that the target stops working on the request.
 pub struct StreamingBody {
     pub body: Incoming,
     pub completion: Option<Box<StreamCompletion>>,
 }
 
-/// What is done when a body ends.
+/// What is needed once a streamed body ends.
 pub struct StreamCompletion {
     pub state: Rc<TrafficState>,
     pub keep_alive: Option<Duration>,
@@ -112,7 +114,7 @@
 }
 
 impl StreamCompletion {
-    /// The answer was whole: its connection serves again.
+    /// Returns the connection to the pool after the body was received completely.
     pub fn finish(self) {
         let now = self.state.clock.now();
         self.state.pool.borrow_mut().put(&self.target, self.connection, self.keep_alive, now);
@@ -120,8 +122,8 @@
     }
 }
 
-/// The host's own answer. Its status says whether the request has run: 503 promises that it has not
-/// and never will; 502 and 504 promise nothing.
+/// The host's own response, for a request that no target answered. Its status says whether the
+/// request has run: 503 promises that it has not and never will; 502 and 504 promise nothing.
 pub fn host_response(
     state: &TrafficState,
     note: &CallerNote,
@@ -152,7 +154,7 @@
     response
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes the headers that apply to a single connection only.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/src/entry/service_state.rs
+++ b/src/entry/service_state.rs
@@ -1,4 +1,4 @@
-//! What a host has measured of one service, and what it may still spend there.
+//! What a host has measured of one service, and its budgets for retries and for leaving the region.
 
 use crate::{
     admission::RetryBudget,
@@ -7,36 +7,39 @@
     prelude::*,
 };
 
-/// Weight of the newest span in the measured demand.
+/// Weight of the newest interval in the moving average of the demand.
 const DEMAND_SMOOTHING: f64 = 0.3;
 
-/// Shortest span that demand is measured over, in seconds.
+/// Shortest interval over which demand is measured, in seconds.
 const MIN_INTERVAL_S: f64 = 0.1;
 
-/// Part of requests that may leave the region that the shares name: they add to the shift.
+/// Fraction of requests that may be sent outside the region picked by the shares. Small, since
+/// these requests add to the traffic shifted between regions.
 const SPILL_CREDIT_PER_REQUEST: f64 = 0.005;
 
-/// Most of these that are saved up.
+/// Most credit that can be saved up, in requests.
 const MAX_SPILL_CREDIT: f64 = 2.0;
 
-/// Least move of a region's share that is told: a tenth of a second's usual move is noise.
+/// Smallest change of a region's share that is logged: the usual change within a tenth of a second
+/// is noise.
 const MIN_REPORTED_SHARE_CHANGE: f64 = 0.05;
 
-/// Figures of one service.
+/// Measurements and budgets of one service.
 #[derive(Debug)]
 pub(super) struct ServiceState {
     arrivals: u32,
     pub retry_budget: RetryBudget,
-    /// Busy slots that this host's callers ask for.
+    /// Slots that the requests of this host's callers keep busy on average.
     pub demand: f64,
     pub target_index: TargetIndex,
-    pub learnt: ServiceEstimates,
-    /// Spans in which demand was measured.
+    pub estimates: ServiceEstimates,
+    /// Number of intervals over which demand was measured.
     measurements: u32,
     pub shares: Option<RegionShares>,
-    /// Requests that may leave the region that the shares name; rises with each request.
+    /// Number of requests that may be sent outside the region picked by the shares; grows with each
+    /// request.
     pub spill_credit: f64,
-    /// The shares that were last told.
+    /// The shares that were last written to the log.
     reported_shares: BTreeMap<RegionId, f64>,
 }
 
@@ -47,7 +50,7 @@
             retry_budget: RetryBudget::new(),
             demand: 0.0,
             target_index: TargetIndex::default(),
-            learnt: ServiceEstimates::default(),
+            estimates: ServiceEstimates::default(),
             measurements: 0,
             shares: None,
             spill_credit: 0.0,
@@ -57,25 +60,26 @@
 }
 
 impl ServiceState {
-    /// Counts a new request.
+    /// Counts a new request towards demand, retry budget and spill credit.
     pub fn count_arrival(&mut self, now: Moment) {
         self.arrivals += 1;
         self.spill_credit = (self.spill_credit + SPILL_CREDIT_PER_REQUEST).min(MAX_SPILL_CREDIT);
         self.retry_budget.noted(now);
     }
 
-    /// Measures demand by the requests since the last call, that long ago. The first spans count in
-    /// full: a mean that rises from nothing would draw all shares home while callers are waiting.
+    /// Measures demand from the requests that arrived in the `elapsed` time since the last call.
+    /// The first intervals are averaged with equal weight: an average that starts at zero would
+    /// understate the demand and move all shares to the home region while callers are waiting.
     pub fn measure_demand(&mut self, elapsed: Duration) {
         let rate = f64::from(self.arrivals) / elapsed.as_secs_f64().max(MIN_INTERVAL_S);
-        let demand = rate * self.learnt.work.mean().as_secs_f64();
+        let demand = rate * self.estimates.work.mean().as_secs_f64();
         self.arrivals = 0;
         self.measurements = self.measurements.saturating_add(1);
         let weight = DEMAND_SMOOTHING.max(1.0 / f64::from(self.measurements));
         self.demand += (demand - self.demand) * weight;
     }
 
-    /// Tells the shares where they have moved.
+    /// Logs the shares if any of them has changed enough since they were last logged.
     pub fn report_shares(&mut self, events: &dyn EventSink, service: &ServiceId) {
         let Some(shares) = &self.shares else { return };
         let rounded = |part: f64| (part * 1e3).round() / 1e3;
--- a/src/entry/stale_records.rs
+++ b/src/entry/stale_records.rs
@@ -1,18 +1,18 @@
-//! The hosts' records in the store: how new hosts find the others.
+//! Finds stale host records in the store.
 //!
-//! Nothing in the store expires, and hosts are replaced for good several times a day, under new
-//! names: without a clean-up the records would grow for ever, and with them the addresses that
-//! every host probes.
+//! New hosts find the others by these records. Entries in the store do not expire, and hosts are
+//! replaced several times a day by hosts with new names. Without a clean-up, the number of records
+//! would grow without bound, and with it the number of addresses that every host probes.
 
 use std::collections::BTreeSet;
 
 use crate::{prelude::*, store::Version};
 
-/// Time for which a host may be unheard before its record is removed: longer than any cut, and a
-/// removed host that lives writes its record again.
+/// How long a host must be silent before its record is removed. Longer than any network partition;
+/// a live host whose record was removed writes it again.
 const STALE_AFTER: Duration = Duration::from_secs(600);
 
-/// One host's record.
+/// A host's record in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostRecord {
     pub gossip: SocketAddr,
@@ -20,15 +20,15 @@
     pub version: Version,
 }
 
-/// Since when listed hosts have not been heard.
+/// Tracks since when the hosts in the store's listing have been silent.
 #[derive(Debug, Default)]
 pub struct StaleRecordTracker {
-    unheard_since: BTreeMap<Arc<str>, Moment>,
+    silent_since: BTreeMap<Arc<str>, Moment>,
 }
 
 impl StaleRecordTracker {
-    /// Takes a listing in, and tells which records are of hosts that are gone. A host that hears
-    /// nobody removes none: it is more likely to be cut off itself.
+    /// Updates the tracked hosts from a listing and returns the records to remove. Returns none if
+    /// no other host is heard: then this host is more likely to be partitioned itself.
     pub fn find_stale(
         &mut self,
         listed: &[HostRecord],
@@ -40,10 +40,10 @@
             |record: &&HostRecord| record.gossip != own && !heard.contains(&record.gossip);
         let silent: Vec<&HostRecord> = listed.iter().filter(is_silent).collect();
         let keys: BTreeSet<&Arc<str>> = silent.iter().map(|record| &record.key).collect();
-        self.unheard_since.retain(|key, _| keys.contains(key));
+        self.silent_since.retain(|key, _| keys.contains(key));
         let mut stale = Vec::new();
         for record in silent {
-            let since = *self.unheard_since.entry(record.key.clone()).or_insert(now);
+            let since = *self.silent_since.entry(record.key.clone()).or_insert(now);
             if !heard.is_empty() && STALE_AFTER <= now.saturating_sub(since) {
                 stale.push(record.clone());
             }
--- a/src/entry/tests/body_memory.rs
+++ b/src/entry/tests/body_memory.rs
@@ -1,17 +1,18 @@
-//! Memory of request bodies.
+//! Memory limit of request bodies.
 
 use crate::entry::body_memory::BodyMemory;
 
 const MIB: usize = 1024 * 1024;
 
-/// Load pattern: every caller sends a body of the largest size at once. Those beyond the bound are
-/// refused, and there is room again when one that was held ends.
+/// Load pattern: all callers send a body of the largest size at the same time. Bodies beyond the
+/// limit are refused, and there is room again once a body is released.
 #[test]
-fn bodies_together_are_bounded() {
+fn memory_of_all_bodies_is_bounded() {
     let memory = BodyMemory::default();
     let mut bodies: Vec<_> = (0..30).map(|_| memory.start_reservation()).collect();
-    let held = bodies.iter_mut().map(|body| body.grow(MIB)).filter(|held| *held).count();
-    assert_eq!(held, 20);
+    let accepted =
+        bodies.iter_mut().map(|body| body.grow(MIB)).filter(|is_accepted| *is_accepted).count();
+    assert_eq!(accepted, 20);
     assert!(!bodies[0].grow(1) && !bodies[29].grow(usize::MAX));
     bodies.remove(0);
     assert!(bodies[28].grow(MIB) && !bodies[28].grow(1));
--- a/src/entry/tests/targets.rs
+++ b/src/entry/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Conditions of targets, cold ones, and requests that crash them.
+//! Health of targets, rate limits of cold targets, requests that crash targets, and retry budgets.
 
 use super::{known, secs};
 use crate::{
@@ -13,81 +13,91 @@
 
 const WORK: Duration = Duration::from_millis(100);
 
-/// A target fails twice in a row and is left alone for a while, then tried with one request; when
-/// that fails too, it is left alone for longer.
+/// A target that fails twice in a row is paused, then probed with a single request. If that fails
+/// too, it is paused for longer.
 #[test]
-fn a_failing_target_is_left_alone_and_tried_again() {
-    let mut condition = TargetHealth::default();
-    condition.record_attempt(HealthSignal::Failed, WORK, secs(1.0));
-    assert!(!condition.is_paused(secs(1.1)), "one failure can be chance");
-    condition.record_attempt(HealthSignal::Failed, WORK, secs(1.1));
-    assert!(condition.is_paused(secs(1.5)));
-    assert!(!condition.is_paused(secs(1.7)) && condition.is_half_open(secs(1.7)));
-    condition.record_attempt(HealthSignal::Failed, WORK, secs(1.7));
-    assert!(condition.is_paused(secs(2.5)));
-    condition.record_attempt(HealthSignal::Answered(WORK), WORK, secs(3.0));
-    assert!(!condition.is_paused(secs(3.0)) && !condition.is_half_open(secs(3.0)));
+fn failing_target_is_paused_then_probed() {
+    let mut health = TargetHealth::default();
+    health.record_attempt(HealthSignal::Failed, WORK, secs(1.0));
+    assert!(!health.is_paused(secs(1.1)), "a single failure does not pause the target");
+    health.record_attempt(HealthSignal::Failed, WORK, secs(1.1));
+    assert!(health.is_paused(secs(1.5)));
+    assert!(!health.is_paused(secs(1.7)) && health.is_half_open(secs(1.7)));
+    health.record_attempt(HealthSignal::Failed, WORK, secs(1.7));
+    assert!(health.is_paused(secs(2.5)));
+    health.record_attempt(HealthSignal::Answered(WORK), WORK, secs(3.0));
+    assert!(!health.is_paused(secs(3.0)) && !health.is_half_open(secs(3.0)));
 }
 
-/// An address that nobody answers at is left alone after one attempt.
+/// A target that cannot be reached is paused after one attempt.
 #[test]
-fn an_unreachable_target_is_left_alone_at_once() {
-    let mut condition = TargetHealth::default();
-    condition.record_attempt(HealthSignal::Unreachable, WORK, secs(1.0));
-    assert!(condition.is_paused(secs(1.2)));
+fn unreachable_target_is_paused_at_once() {
+    let mut health = TargetHealth::default();
+    health.record_attempt(HealthSignal::Unreachable, WORK, secs(1.0));
+    assert!(health.is_paused(secs(1.2)));
 }
 
-/// Slow answers, and attempts given up for slowness, stretch what is expected of a target; that is
-/// forgotten when nothing more is heard of it, or it would never be tried again.
+/// Slow answers, and attempts cancelled because they took too long, raise a target's slowdown. It
+/// decays while no attempts are made; otherwise the target would never be tried again.
 #[test]
-fn slowness_counts_and_is_forgotten() {
-    let mut condition = TargetHealth::default();
+fn slowdown_rises_and_decays() {
+    let mut health = TargetHealth::default();
     for _ in 0..10 {
-        condition.record_attempt(HealthSignal::Answered(WORK * 8), WORK, secs(1.0));
+        health.record_attempt(HealthSignal::Answered(WORK * 8), WORK, secs(1.0));
     }
-    assert!(5.0 < condition.slowdown(secs(1.0)));
-    assert!(condition.slowdown(secs(30.0)) < 1.1);
-    let mut given_up = TargetHealth::default();
-    given_up.record_attempt(HealthSignal::Cancelled(WORK / 2), WORK, secs(1.0));
-    assert_eq!(given_up.slowdown(secs(1.0)), 1.0);
-    given_up.record_attempt(HealthSignal::Cancelled(WORK * 5), WORK, secs(1.0));
-    assert!(1.0 < given_up.slowdown(secs(1.0)));
+    assert!(5.0 < health.slowdown(secs(1.0)));
+    assert!(health.slowdown(secs(30.0)) < 1.1);
+    let mut cancelled = TargetHealth::default();
+    cancelled.record_attempt(HealthSignal::Cancelled(WORK / 2), WORK, secs(1.0));
+    assert_eq!(cancelled.slowdown(secs(1.0)), 1.0);
+    cancelled.record_attempt(HealthSignal::Cancelled(WORK * 5), WORK, secs(1.0));
+    assert!(1.0 < cancelled.slowdown(secs(1.0)));
 }
 
-/// A host sees a target only by attempts that it gave up for slowness, hours after its own start.
-/// They count from when they ended, not from a first answer that never came.
+/// Hours after the host's start, all its attempts at a target are cancelled for slowness. The
+/// slowdown decays from the time when they ended, not from that of a first answer, which never
+/// came.
 #[test]
-fn slowness_counts_without_any_answer() {
-    let mut condition = TargetHealth::default();
-    condition.record_attempt(HealthSignal::Cancelled(WORK * 5), WORK, secs(9_000.0));
-    assert!(4.0 < condition.slowdown(secs(9_000.1)));
-    assert!(condition.slowdown(secs(9_030.0)) < 1.1);
+fn slowdown_rises_without_any_answer() {
+    let mut health = TargetHealth::default();
+    health.record_attempt(HealthSignal::Cancelled(WORK * 5), WORK, secs(9_000.0));
+    assert!(4.0 < health.slowdown(secs(9_000.1)));
+    assert!(health.slowdown(secs(9_030.0)) < 1.1);
 }
 
-/// Other hosts tell that a target is slow. One run may be chance; more count in full, until runs of
-/// this host or of others say that it is well again.
+/// Other hosts report that a target is slow. A report of a single run counts in part, since it may
+/// be coincidence; more runs count in full, until runs of this host or of others show that
+/// the target has recovered.
 #[test]
-fn what_others_tell_of_slowness_counts() {
+fn reported_slowdown_is_applied() {
     let one = SlowdownReport::single(4.0);
     let three = one.merge(one).merge(one);
-    let mut condition = TargetHealth::default();
-    assert_eq!(condition.slowdown_with_report(Some(three), secs(1.0)), 4.0);
-    assert_eq!(condition.slowdown_with_report(Some(one), secs(1.0)), 2.0);
-    assert_eq!(condition.report(Some(three), secs(1.0)), None, "nothing seen, nothing told");
-    (0..6).for_each(|_| condition.record_run(WORK, WORK, secs(1.0)));
-    assert!(condition.slowdown_with_report(Some(three), secs(1.2)) < 2.5);
-    assert!(condition.report(Some(three), secs(1.2)).is_some(), "it is said to be well");
-    assert_eq!(condition.report(None, secs(1.2)), None);
-    assert_eq!(condition.slowdown_with_report(Some(three), secs(3.0)), 4.0, "long ago");
-    condition.record_run(WORK * 30, WORK, secs(3.0));
-    assert!(condition.report(None, secs(3.1)).is_some_and(|told| told.is_slow()));
-    assert_eq!(condition.report(None, secs(9.0)), None);
+    let mut health = TargetHealth::default();
+    assert_eq!(health.slowdown_with_report(Some(three), secs(1.0)), 4.0);
+    assert_eq!(health.slowdown_with_report(Some(one), secs(1.0)), 2.0);
+    assert_eq!(
+        health.report(Some(three), secs(1.0)),
+        None,
+        "without runs of its own, a host reports nothing"
+    );
+    (0..6).for_each(|_| health.record_run(WORK, WORK, secs(1.0)));
+    assert!(health.slowdown_with_report(Some(three), secs(1.2)) < 2.5);
+    assert!(health.report(Some(three), secs(1.2)).is_some(), "the recovery is reported");
+    assert_eq!(health.report(None, secs(1.2)), None);
+    assert_eq!(
+        health.slowdown_with_report(Some(three), secs(3.0)),
+        4.0,
+        "own runs are too old to count"
+    );
+    health.record_run(WORK * 30, WORK, secs(3.0));
+    assert!(health.report(None, secs(3.1)).is_some_and(|report| report.is_slow()));
+    assert_eq!(health.report(None, secs(9.0)), None);
 }
 
-/// Twelve hosts send to one cold target as fast as they may, not asking each other. Together they
-/// stay below its rate.
+/// Twelve hosts send to one cold target as fast as their limiters allow, without coordination.
+/// Together they stay within its rate.
 #[test]
-fn hosts_together_keep_a_cold_targets_rate() {
+fn hosts_together_stay_within_rate_of_cold_target() {
     let target = known("t-1", "north");
     let host = |at: usize| LiveHost {
         callers: "127.0.0.1:1".parse().expect("an address"),
@@ -97,30 +107,31 @@
         zone: "x".into(),
     };
     let hosts: Vec<LiveHost> = (0..12).map(host).collect();
-    let mut rates: Vec<ColdTargetLimiter> = (0..12).map(|_| ColdTargetLimiter::default()).collect();
+    let mut limiters: Vec<ColdTargetLimiter> =
+        (0..12).map(|_| ColdTargetLimiter::default()).collect();
     let mut sent = Vec::new();
     for tick in 0..10_000 {
         let now = secs(f64::from(tick) / 1000.0);
-        for (host, rate) in hosts.iter().zip(&mut rates) {
-            if is_cold_sender(&target, &host.host, &hosts) && rate.has_token(&target, 6.0, now) {
-                rate.take_token(&target);
+        for (host, limiter) in hosts.iter().zip(&mut limiters) {
+            if is_cold_sender(&target, &host.host, &hosts) && limiter.has_token(&target, 6.0, now) {
+                limiter.take_token(&target);
                 sent.push(now);
             }
         }
     }
-    let most = sent
+    let peak = sent
         .iter()
         .map(|from| sent.iter().filter(|at| *from <= **at && **at < *from + secs(1.0)).count());
-    let most = most.max().unwrap_or_default();
-    assert!((3..=6).contains(&most), "{most} in one second");
+    let peak = peak.max().unwrap_or_default();
+    assert!((3..=6).contains(&peak), "{peak} in one second");
     let senders = hosts.iter().filter(|host| is_cold_sender(&target, &host.host, &hosts));
     assert!(senders.clone().all(|host| &*host.region == "north"));
     assert_eq!(senders.count(), 2);
 }
 
-/// The region's hosts are all lost: others may send to its cold targets.
+/// If a region has no live hosts, hosts of other regions may send to its cold targets.
 #[test]
-fn a_cold_target_without_near_hosts_has_senders() {
+fn cold_target_without_hosts_in_region_has_senders() {
     let target = known("t-1", "north");
     let far = LiveHost {
         is_strained: false,
@@ -132,10 +143,10 @@
     assert!(is_cold_sender(&target, &"h".into(), &[far]));
 }
 
-/// A request crashes three targets, by what hosts know together: it is refused everywhere. One that
-/// merely ran beside it comes to a good end and is not.
+/// A request with three crashes, counted by all hosts together, is refused. A request that was
+/// merely running at the same time is cleared once it is answered.
 #[test]
-fn a_request_that_crashes_targets_is_refused() {
+fn request_that_crashes_targets_is_refused() {
     let mut crash_suspects = CrashSuspects::default();
     crash_suspects.record_crash(7, secs(1.0));
     crash_suspects.record_crash(7, secs(2.0));
@@ -151,20 +162,21 @@
     assert!(crash_suspects.may_run(7, 0) && crash_suspects.is_empty());
 }
 
-/// More fingerprints than are kept: the oldest go, the memory is bounded.
+/// If more requests are suspected than can be kept, the oldest are removed, so that memory is
+/// bounded.
 #[test]
-fn crashes_are_remembered_within_a_bound() {
+fn number_of_crash_suspects_is_bounded() {
     let mut crash_suspects = CrashSuspects::default();
-    for print in 0..2000 {
-        crash_suspects.record_crash(print, secs(print as f64 / 1000.0));
+    for fingerprint in 0..2000 {
+        crash_suspects.record_crash(fingerprint, secs(fingerprint as f64 / 1000.0));
     }
     assert_eq!(crash_suspects.reported_crashes().len(), 512);
 }
 
-/// Load pattern: every request fails, at every host. Retries of all hosts together stay below the
-/// declared share and slack in any window, whatever these are.
+/// Load pattern: every request fails at every host. The retries of all hosts together stay within
+/// the configured ratio and slack, for various values of both.
 #[test]
-fn hosts_together_keep_the_retry_budget() {
+fn hosts_together_stay_within_retry_budget() {
     for (retry_ratio, retry_slack) in [(0.2, 60.0), (0.05, 10.0), (0.5, 0.0)] {
         let mut bounds = crate::entry::tests::bounds();
         bounds.retry_ratio = retry_ratio;
@@ -181,16 +193,16 @@
                 retries += u32::from(budget.take(now));
             }
         }
-        let most = f64::from(firsts) * retry_ratio + retry_slack;
-        assert!(f64::from(retries) <= most, "{retries} of {most}");
-        assert!(most * 0.4 < f64::from(retries), "{retries} of {most}");
+        let allowed = f64::from(firsts) * retry_ratio + retry_slack;
+        assert!(f64::from(retries) <= allowed, "{retries} of {allowed}");
+        assert!(allowed * 0.4 < f64::from(retries), "{retries} of {allowed}");
     }
 }
 
-/// Two hosts' routes have one prefix and different splits. Each route's parts get their weights, to
-/// within one request, however the requests are mixed.
+/// Two routes, of different host names, share a prefix and have different splits. Each route's
+/// services get their weights to within one request, however the requests are interleaved.
 #[test]
-fn parts_of_a_split_get_their_weights() {
+fn services_of_a_split_get_their_weights() {
     let clock = Arc::new(ManualClock::default());
     let settings = loopback_settings("h", "z", "r", &[("z", "r")], "127.0.0.1:1".parse().unwrap());
     let view = Arc::new(arc_swap::ArcSwapOption::empty());
@@ -210,11 +222,11 @@
         sticky: true,
         timeout: secs(1.0),
     };
-    let (even, skew) = (route("x", [50.0, 50.0]), route("y", [90.0, 10.0]));
+    let (even, skewed) = (route("x", [50.0, 50.0]), route("y", [90.0, 10.0]));
     let mut counts = [0, 0];
     for _ in 0..200 {
         counts[0] += usize::from(state.pick_service(&even).as_deref() == Some("s"));
-        counts[1] += usize::from(state.pick_service(&skew).as_deref() == Some("s"));
+        counts[1] += usize::from(state.pick_service(&skewed).as_deref() == Some("s"));
     }
     assert!(counts[0].abs_diff(100) <= 1 && counts[1].abs_diff(180) <= 1, "{counts:?}");
 }
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -1,4 +1,5 @@
-//! The traffic thread's state: what this host runs, has seen and may still spend.
+//! State of the traffic thread: requests in flight, measurements of targets and services, and the
+//! budgets for retries and quotas.
 
 use std::{
     cell::{Cell, RefCell},
@@ -27,19 +28,21 @@
     quota::{PeerState, Quota, SharedBuckets, Verdict},
 };
 
-/// Time for which a run is told: hosts of other regions hear a heartbeat that often.
-const RUN_REPORT_PERIOD: Duration = Duration::from_millis(500);
+/// How long an object is reported after it was sent to a target. Hosts of other regions receive a
+/// heartbeat once per this period.
+const RECENT_OBJECT_PERIOD: Duration = Duration::from_millis(500);
 
-/// Most runs in one heartbeat: with ten bytes each it stays in one packet.
-const MAX_REPORTED_RUNS: usize = 64;
+/// Most objects reported in one heartbeat: at ten bytes each, the heartbeat fits in one packet.
+const MAX_REPORTED_OBJECTS: usize = 64;
 
-/// A target that takes this many times the usual time, or more, says nothing of how long work takes.
-const MAX_LEARNING_STRETCH: f64 = 1.5;
+/// Slowdown of a target from which on its response times don't update the estimates of its service:
+/// they say how slow the target is, not how long the work takes.
+const MAX_LEARNING_SLOWDOWN: f64 = 1.5;
 
-/// The bounds in force; settings that are read again replace them.
+/// The bounds in force, replaced when the settings are reloaded.
 pub type BoundsCell = Arc<ArcSwap<Bounds>>;
 
-/// Everything that one traffic thread decides with.
+/// Everything the traffic thread bases its decisions on. Used by one thread only, hence the cells.
 pub struct TrafficState {
     pub clock: Arc<dyn Clock>,
     pub events: Arc<dyn EventSink>,
@@ -47,22 +50,22 @@
     pub settings: Arc<EntrySettings>,
     pub body_memory: BodyMemory,
     bounds: BoundsCell,
-    pub(super) cold_rates: RefCell<ColdTargetLimiter>,
-    pub(super) conditions: RefCell<HashMap<u32, TargetHealth>>,
-    pub(super) held_objects: RefCell<CachedObjects>,
+    pub(super) cold_target_limiter: RefCell<ColdTargetLimiter>,
+    pub(super) target_health: RefCell<HashMap<u32, TargetHealth>>,
+    pub(super) cached_objects: RefCell<CachedObjects>,
     /// Objects that this host lately asked targets for, and when.
-    own_runs: RefCell<VecDeque<(Moment, TargetTag, ObjectTag)>>,
-    /// The view whose runs were taken in last.
-    peer_runs_applied_at: Cell<Moment>,
-    sent_window: RefCell<SentCounter>,
-    /// What all hosts of the region sent, as of the last tick.
-    pub(super) region_sent: RefCell<SentTotals>,
-    /// Regions to which nothing more may be moved for now.
-    pub(super) regions_at_shift_limit: RefCell<Vec<NameTag>>,
+    recent_objects: RefCell<VecDeque<(Moment, TargetTag, ObjectTag)>>,
+    /// Time of the view whose reported objects were applied last.
+    peer_objects_applied_at: Cell<Moment>,
+    sent_counter: RefCell<SentCounter>,
+    /// Requests that all hosts of this region sent to each region, as of the last tick.
+    pub(super) sent_totals: RefCell<SentTotals>,
+    /// Regions that may not receive more of this region's requests for now.
+    pub(super) capped_regions: RefCell<Vec<NameTag>>,
     pub(super) round_trips: RefCell<RoundTrips>,
     pub(super) tuning: Tuning,
     demand_measured_at: Cell<Moment>,
-    /// Targets that are being looked at after a lost answer.
+    /// Tags of targets being probed after a lost response.
     crash_checks: RefCell<HashSet<u32>>,
     pub crash_suspects: RefCell<CrashSuspects>,
     pub pool: RefCell<ConnectionPool>,
@@ -70,21 +73,21 @@
     /// Version of the declaration whose limits are in force, and time of the view last applied.
     quota_version: Cell<DeclaredVersion>,
     quota_view_at: Cell<Moment>,
-    /// Fingerprints of requests in attempt, by target.
+    /// Fingerprints of requests in flight, by target tag.
     running_fingerprints: RefCell<HashMap<u32, Vec<u64>>>,
     pub(super) services: RefCell<HashMap<ServiceId, ServiceState>>,
     split_credits: RefCell<HashMap<Arc<str>, Vec<f64>>>,
-    /// Callers' open connections.
+    /// Number of open connections of callers.
     pub open_connections: Cell<usize>,
-    /// Requests since the start.
+    /// Number of requests since the process started.
     request_count: Cell<u64>,
-    /// A planned stop has begun, and when.
+    /// When a graceful shutdown began; `None` while the host serves normally.
     pub shutdown_started_at: Cell<Option<Moment>>,
     view: ViewCell,
 }
 
 impl TrafficState {
-    /// An idle state.
+    /// Creates the state of a host without any requests yet.
     pub fn new(
         settings: Arc<EntrySettings>,
         bounds: BoundsCell,
@@ -99,14 +102,14 @@
             bounds,
             clock,
             events,
-            cold_rates: RefCell::default(),
-            conditions: RefCell::default(),
-            held_objects: RefCell::default(),
-            own_runs: RefCell::default(),
-            peer_runs_applied_at: Cell::default(),
-            sent_window: RefCell::default(),
-            region_sent: RefCell::default(),
-            regions_at_shift_limit: RefCell::default(),
+            cold_target_limiter: RefCell::default(),
+            target_health: RefCell::default(),
+            cached_objects: RefCell::default(),
+            recent_objects: RefCell::default(),
+            peer_objects_applied_at: Cell::default(),
+            sent_counter: RefCell::default(),
+            sent_totals: RefCell::default(),
+            capped_regions: RefCell::default(),
             round_trips: RefCell::default(),
             tuning: Tuning::default(),
             demand_measured_at: Cell::default(),
@@ -133,12 +136,12 @@
         self.bounds.load_full()
     }
 
-    /// The control side's view; `None` before the first.
+    /// The view published by the control thread; `None` before the first one.
     pub fn view(&self) -> Option<Arc<View>> {
         self.view.load_full()
     }
 
-    /// Names a new request in the log.
+    /// Assigns the key that identifies a new request in the event log.
     pub fn new_request_key(&self, attempt: Option<&RequestId>) -> RequestKey {
         self.request_count.set(self.request_count.get() + 1);
         RequestKey { attempt: attempt.cloned(), own: Some(self.request_count.get()) }
@@ -149,7 +152,8 @@
         self.events.record(Some(request), event);
     }
 
-    /// The service of a new request: the parts of a split take turns by their weights.
+    /// Chooses the service for a new request. The services of a split take turns by smooth weighted
+    /// round-robin, so that each gets its weight to within one request.
     pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
         if let [(service, _)] = &*route.split {
             return Some(service.clone());
@@ -166,7 +170,7 @@
         Some(route.split[largest].0.clone())
     }
 
-    /// Counts a new request for a service.
+    /// Counts a new request towards the service's demand and retry budget.
     pub fn count_arrival(&self, service: &ServiceId) {
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
@@ -174,7 +178,7 @@
         state.count_arrival(now);
     }
 
-    /// Takes one further attempt out of a service's budget.
+    /// Takes one retry out of the service's budget; false if none is left.
     pub fn take_retry(&self, view: &View, service: &ServiceId) -> bool {
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
@@ -183,7 +187,8 @@
         state.retry_budget.take(now)
     }
 
-    /// Checks a request against the limit of its team. The error is the time to wait before a retry.
+    /// Checks a request against the limit of its team. The error is the time to wait before a
+    /// retry.
     pub fn admit(self: &Rc<Self>, view: &View, team: &Team) -> Result<Admission, Duration> {
         self.update_quota(view);
         let now = self.clock.now();
@@ -219,15 +224,16 @@
         }
     }
 
-    /// Usual time of an answer.
+    /// Mean time that a target takes for a request to the service.
     pub fn mean_work(&self, service: &ServiceId) -> Duration {
         self.services.borrow().get(service).map_or_else(
             || ServiceEstimates::default().work.mean(),
-            |state| state.learnt.work.mean(),
+            |state| state.estimates.work.mean(),
         )
     }
 
-    /// A request goes to a target; it counts as in attempt until the guard is dropped.
+    /// Records that a request is sent to a target. It counts as in flight until the guard is
+    /// dropped.
     pub fn start_attempt(
         self: &Rc<Self>,
         target: &Arc<KnownTarget>,
@@ -236,25 +242,26 @@
     ) -> InFlight {
         let now = self.clock.now();
         if let Some(object) = forecast.object {
-            self.held_objects.borrow_mut().record_use(target.tag, object);
-            self.own_runs.borrow_mut().push_back((now, target.tag, object));
+            self.cached_objects.borrow_mut().record_use(target.tag, object);
+            self.recent_objects.borrow_mut().push_back((now, target.tag, object));
         }
         if target.is_cold(now) {
-            self.cold_rates.borrow_mut().take_token(target);
+            self.cold_target_limiter.borrow_mut().take_token(target);
         }
         let (service, region) = (name_tag(&target.entry.service), name_tag(&target.region));
-        self.sent_window.borrow_mut().record(service, region, now);
-        self.conditions.borrow_mut().entry(target.tag).or_default().in_flight += 1;
+        self.sent_counter.borrow_mut().record(service, region, now);
+        self.target_health.borrow_mut().entry(target.tag).or_default().in_flight += 1;
         self.running_fingerprints.borrow_mut().entry(target.tag).or_default().push(fingerprint);
         InFlight { state: self.clone(), forecast, fingerprint, started: now, tag: target.tag }
     }
 
-    /// A connection to a target came about.
+    /// Records the time taken to connect to a target, which approximates a round trip to its
+    /// region.
     pub fn record_connect(&self, target: &KnownTarget, took: Duration) {
         self.round_trips.borrow_mut().record(&target.region, took);
     }
 
-    /// An attempt ended.
+    /// Updates the target's health and the service's estimates with the end of an attempt.
     pub fn record_attempt_end(
         &self,
         target: &KnownTarget,
@@ -265,30 +272,30 @@
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
         let state = services.entry(service.clone()).or_default();
-        let mut conditions = self.conditions.borrow_mut();
-        let condition = conditions.entry(target.tag).or_default();
-        let may_learn = condition.slowdown(now) < MAX_LEARNING_STRETCH;
-        let usual = state.learnt.expected_time(forecast);
-        let change = condition.record_attempt(ended, usual, now);
+        let mut target_health = self.target_health.borrow_mut();
+        let health = target_health.entry(target.tag).or_default();
+        let may_learn = health.slowdown(now) < MAX_LEARNING_SLOWDOWN;
+        let expected = state.estimates.expected_time(forecast);
+        let change = health.record_attempt(ended, expected, now);
         if let HealthSignal::Answered(took) = ended
             && forecast.has_free_slot
         {
-            condition.record_run(took, usual, now);
+            health.record_run(took, expected, now);
         }
         if let Some(change) = change {
-            self.events.record(None, condition_event(target, ended, change));
+            self.events.record(None, health_event(target, ended, change));
         }
         if let HealthSignal::Answered(took) = ended
             && may_learn
         {
-            state.learnt.record_answer(forecast, took, self.tuning.learn_cache_capacity);
+            state.estimates.record_answer(forecast, took, self.tuning.learn_cache_capacity);
         }
         if ended == HealthSignal::Unreachable {
             self.pool.borrow_mut().close_idle(target.tag);
         }
     }
 
-    /// A request came to a good end.
+    /// Clears a request of crash suspicion after a target answered it without failing.
     pub fn clear_crash_suspect(&self, fingerprint: u64) {
         let elsewhere = self.view().and_then(|view| view.crashes.get(&fingerprint).copied());
         let elsewhere = elsewhere.unwrap_or_default();
@@ -302,8 +309,8 @@
         suspects.clear(fingerprint, elsewhere, self.clock.now());
     }
 
-    /// After a lost answer: whether the target is still there. If not, all that ran there when the
-    /// answer was lost may have been what crashed it.
+    /// Probes a target in the background after a lost response. If it does not accept connections,
+    /// a crash is counted against each request that was running there when the response was lost.
     pub fn check_for_crash(self: &Rc<Self>, target: &Arc<KnownTarget>, service: &ServiceId) {
         if !self.crash_checks.borrow_mut().insert(target.tag) {
             return;
@@ -315,7 +322,10 @@
             let connected = connect(target.entry.addr).await;
             state.crash_checks.borrow_mut().remove(&target.tag);
             if let Err(error) = connected {
-                log::debug!("{} is gone: {error}", target.entry.id);
+                log::debug!(
+                    "{} does not accept connections after a lost response: {error}",
+                    target.entry.id
+                );
                 state.count_crashes(&target, fingerprints);
                 state.record_attempt_end(
                     &target,
@@ -327,7 +337,8 @@
         });
     }
 
-    /// All that ran on a target when it went down may have been what crashed it.
+    /// Counts a crash against each request that was running on a target when it went down, since
+    /// any of them may have caused it.
     fn count_crashes(&self, target: &KnownTarget, fingerprints: Vec<u64>) {
         let now = self.clock.now();
         for fingerprint in fingerprints {
@@ -337,28 +348,29 @@
         }
     }
 
-    /// Takes in what other hosts told of the objects that they asked targets for.
-    fn apply_peer_runs(&self, view: &View) {
-        if view.at <= self.peer_runs_applied_at.get() || !self.tuning.use_reported_runs {
+    /// Applies the objects that other hosts reported having requested from targets.
+    fn apply_peer_objects(&self, view: &View) {
+        if view.at <= self.peer_objects_applied_at.get() || !self.tuning.use_reported_runs {
             return;
         }
-        self.peer_runs_applied_at.set(view.at);
-        let mut held = self.held_objects.borrow_mut();
+        self.peer_objects_applied_at.set(view.at);
+        let mut cached = self.cached_objects.borrow_mut();
         for (target, object) in &view.runs {
-            held.record_use(*target, *object);
+            cached.record_use(*target, *object);
         }
     }
 
-    /// Keeps figures up to date; called several times a second.
+    /// Updates measurements, removes expired entries and rebalances the shares of regions. Called
+    /// several times a second.
     pub fn tick(&self) {
         let now = self.clock.now();
         let Some(view) = self.view() else { return };
-        self.cold_rates.borrow_mut().remove_idle(now);
-        self.apply_peer_runs(&view);
+        self.cold_target_limiter.borrow_mut().remove_idle(now);
+        self.apply_peer_objects(&view);
         self.update_quota(&view);
-        self.own_runs.borrow_mut().retain(|(at, _, _)| now < *at + RUN_REPORT_PERIOD);
+        self.recent_objects.borrow_mut().retain(|(at, _, _)| now < *at + RECENT_OBJECT_PERIOD);
         self.crash_suspects.borrow_mut().tick(now);
-        self.update_region_sent(&view, now);
+        self.update_sent_totals(&view, now);
         let elapsed = now.saturating_sub(self.demand_measured_at.get());
         if elapsed < Duration::from_millis(500) {
             return;
@@ -367,12 +379,12 @@
         let targets = view.targets.values().flat_map(|targets| targets.iter());
         let known: HashSet<u32> = targets.map(|target| target.tag).collect();
         self.pool.borrow_mut().evict(now, |tag| known.contains(&tag));
-        self.held_objects.borrow_mut().retain(|tag| known.contains(&tag), now);
-        self.conditions
+        self.cached_objects.borrow_mut().retain(|tag| known.contains(&tag), now);
+        self.target_health
             .borrow_mut()
-            .retain(|tag, condition| 0 < condition.in_flight || known.contains(tag));
+            .retain(|tag, health| 0 < health.in_flight || known.contains(tag));
         let max_shift = self.bounds().max_shift;
-        let max_shift = max_shift * self.region_sent.borrow().pace(max_shift);
+        let max_shift = max_shift * self.sent_totals.borrow().pace(max_shift);
         for (service, state) in self.services.borrow_mut().iter_mut() {
             state.measure_demand(elapsed);
             let Some(targets) = view.targets.get(service) else { continue };
@@ -385,62 +397,71 @@
         }
     }
 
-    /// Takes in what all hosts of the region sent to each region.
-    fn update_region_sent(&self, view: &View, now: Moment) {
+    /// Adds up what this host and the others of its region sent to each region.
+    fn update_sent_totals(&self, view: &View, now: Moment) {
         let mut sent = view.sent.clone();
-        sent.add(&self.sent_window.borrow_mut().counts(now));
-        *self.regions_at_shift_limit.borrow_mut() = sent.capped_regions(self.bounds().max_shift);
-        *self.region_sent.borrow_mut() = sent;
+        sent.add(&self.sent_counter.borrow_mut().counts(now));
+        *self.capped_regions.borrow_mut() = sent.capped_regions(self.bounds().max_shift);
+        *self.sent_totals.borrow_mut() = sent;
     }
 
-    /// The latest runs that are told, each once.
-    fn recent_runs(&self) -> Vec<(TargetTag, ObjectTag)> {
-        let own = self.own_runs.borrow();
-        let newest = own.iter().rev().take(MAX_REPORTED_RUNS);
+    /// The most recent objects sent to targets, without duplicates, to be reported to other hosts.
+    fn reported_recent_objects(&self) -> Vec<(TargetTag, ObjectTag)> {
+        let recent = self.recent_objects.borrow();
+        let newest = recent.iter().rev().take(MAX_REPORTED_OBJECTS);
         let runs: BTreeSet<_> = newest.map(|(_, target, object)| (*target, *object)).collect();
         runs.into_iter().collect()
     }
 
-    /// What the metrics are told.
+    /// Current values for the metrics.
     pub fn figures(&self) -> TrafficFigures {
         let now = self.clock.now();
-        let conditions = self.conditions.borrow();
+        let target_health = self.target_health.borrow();
         TrafficFigures {
             connections: self.open_connections.get(),
-            in_flight: conditions.values().map(|condition| condition.in_flight).sum(),
-            paused: conditions.values().filter(|condition| condition.is_paused(now)).count(),
+            in_flight: target_health.values().map(|health| health.in_flight).sum(),
+            paused: target_health.values().filter(|health| health.is_paused(now)).count(),
         }
     }
 
-    /// What other hosts are told: requests in attempt by target, demand by service, crashes.
+    /// The load report for other hosts.
     pub fn load(&self) -> Load {
-        let conditions = self.conditions.borrow();
-        let busy = conditions.iter().filter(|(_, condition)| 0 < condition.in_flight);
+        let target_health = self.target_health.borrow();
+        let busy = target_health.iter().filter(|(_, health)| 0 < health.in_flight);
         let in_flight = busy
-            .map(|(tag, condition)| (*tag, condition.in_flight.min(u32::from(u16::MAX)) as u16))
+            .map(|(tag, health)| (*tag, health.in_flight.min(u32::from(u16::MAX)) as u16))
             .collect();
         let services = self.services.borrow();
         let demand =
             services.iter().map(|(name, state)| (name_tag(name), state.demand as f32)).collect();
         let crashes = self.crash_suspects.borrow().reported_crashes();
         let now = self.clock.now();
-        let sent = self.sent_window.borrow_mut().counts(now);
+        let sent = self.sent_counter.borrow_mut().counts(now);
         let view = self.view();
         let reported = |tag| view.as_ref().and_then(|view| view.slow.get(tag).copied());
-        let slow =
-            conditions.iter().filter_map(|(tag, it)| Some((*tag, it.report(reported(tag), now)?)));
+        let slow = target_health
+            .iter()
+            .filter_map(|(tag, it)| Some((*tag, it.report(reported(tag), now)?)));
         let slow = slow.collect();
         let teams = self.quota.borrow().report(now);
-        Load { crashes, demand, in_flight, recent_objects: self.recent_runs(), sent, slow, teams }
+        Load {
+            crashes,
+            demand,
+            in_flight,
+            recent_objects: self.reported_recent_objects(),
+            sent,
+            slow,
+            teams,
+        }
     }
 }
 
-/// Part of the allowed retries that hosts use: the bound holds in any window of its length, and
-/// theirs begin at moments of their own.
+/// Fraction of the allowed retries that hosts use. The limit has to hold in any window of its
+/// length, but the windows of the hosts' budgets start at different times.
 const RETRY_BUDGET_FRACTION: f64 = 0.6;
 
-/// A host's part of the retries that all hosts may make together: of the share, since shares add
-/// up; of the slack, what is left of it for each host.
+/// One host's retry allowance. The ratio applies to the host's own requests, so each host uses it
+/// in full; the fixed slack is divided among all hosts.
 pub fn retry_allowance(bounds: &Bounds, hosts: usize) -> Allowance {
     Allowance {
         floor: bounds.retry_slack * RETRY_BUDGET_FRACTION / hosts.max(1) as f64,
@@ -448,8 +469,8 @@
     }
 }
 
-/// The event of a target's pause, or of its end.
-fn condition_event(target: &KnownTarget, ended: HealthSignal, change: HealthChange) -> Event {
+/// The log event for a target that was paused, or that recovered.
+fn health_event(target: &KnownTarget, ended: HealthSignal, change: HealthChange) -> Event {
     let target = target.entry.id.clone();
     match change {
         HealthChange::Recovered => Event::TargetTrusted { target },
@@ -493,7 +514,7 @@
     }
 }
 
-/// A request in attempt at a target.
+/// Marks a request as in flight at a target until dropped.
 pub struct InFlight {
     state: Rc<TrafficState>,
     pub forecast: Forecast,
@@ -504,8 +525,8 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        if let Some(condition) = self.state.conditions.borrow_mut().get_mut(&self.tag) {
-            condition.in_flight = condition.in_flight.saturating_sub(1);
+        if let Some(health) = self.state.target_health.borrow_mut().get_mut(&self.tag) {
+            health.in_flight = health.in_flight.saturating_sub(1);
         }
         let mut running = self.state.running_fingerprints.borrow_mut();
         if let Some(fingerprints) = running.get_mut(&self.tag) {
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to targets.
 //!
-//! `reqwest` hides whether a request's bytes were written, which connection it took and what came
-//! after an answer; the connection-level client of `hyper` is its nearest kin that tells.
+//! Uses the connection-level client of `hyper` rather than `reqwest`, which hides whether a
+//! request's bytes were written, which connection carried it and what followed a response.
 
 use std::{collections::HashMap, io, time::Duration};
 
@@ -15,45 +15,44 @@
 use super::KnownTarget;
 use crate::{base::with_cause, prelude::*};
 
-/// Longest time for a new connection: a round trip between regions is 110 ms, and a lost packet is
-/// sent again after 200 ms or more.
+/// A round trip between regions takes 110 ms, and a lost packet is sent again after 200 ms or more.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Time before a target's own idle limit at which a connection is no longer used: a request that
-/// crosses the target's close would be lost.
+/// How long before the target's own idle timeout a connection is no longer used: a request sent
+/// while the target closes the connection would be lost.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// Idle time that is assumed where a target names none.
+/// Idle timeout assumed for a target that does not state one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Most idle connections kept to one target; more than its slots are of no use.
+/// Most idle connections kept per target; more than its slots would never be used.
 const MAX_IDLE_PER_TARGET: usize = 4;
 
-/// Result of an exchange with a target.
+/// Result of connecting to a target or sending it a request.
 pub type Result<T> = std::result::Result<T, SendError>;
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// No byte of the request was written.
+    /// No byte of the request was written, so it has not run.
     #[error("not sent: {0}")]
     NotSent(Arc<str>),
-    /// The address refuses connections or does not answer.
-    #[error("no connection: {0}")]
+    /// The address refuses connections or does not answer in time.
+    #[error("cannot connect: {0}")]
     Unreachable(Arc<str>),
     /// The request may have run.
-    #[error("lost after sending: {0}")]
+    #[error("no response after the request was sent: {0}")]
     Lost(Arc<str>),
 }
 
-/// A connection that is in use.
+/// A connection to a target that is in use.
 pub struct TargetConnection {
     sender: http1::SendRequest<Full<Bytes>>,
-    /// It served a request before.
+    /// Whether the connection was used for an earlier request.
     pub reused: bool,
 }
 
-/// Idle connections by target.
+/// Idle connections, by target tag.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: HashMap<u32, Vec<IdleConnection>>,
@@ -65,7 +64,7 @@
 }
 
 impl ConnectionPool {
-    /// The connection that was used last, if it still is open.
+    /// Takes the most recently used connection that is still open.
     pub fn take(&mut self, target: &KnownTarget, now: Moment) -> Option<TargetConnection> {
         let idle = self.idle.get_mut(&target.tag)?;
         while let Some(IdleConnection { sender, usable_until }) = idle.pop() {
@@ -76,7 +75,7 @@
         None
     }
 
-    /// Keeps a connection whose exchange ended cleanly.
+    /// Returns a connection to the pool after its last response was read completely.
     pub fn put(
         &mut self,
         target: &KnownTarget,
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Closes what is too old, and all that leads to targets that `is_known` does not name.
+    /// Closes expired connections, and all connections to targets that are no longer known.
     pub fn evict(&mut self, now: Moment, is_known: impl Fn(u32) -> bool) {
         self.idle.retain(|tag, idle| {
             idle.retain(|idle| now < idle.usable_until && !idle.sender.is_closed());
@@ -101,18 +100,18 @@
         });
     }
 
-    /// Closes the idle connections to one target.
+    /// Closes all idle connections to one target.
     pub fn close_idle(&mut self, tag: u32) {
         self.idle.remove(&tag);
     }
 }
 
-/// Opens a connection.
+/// Opens a connection to a target.
 pub async fn connect(addr: SocketAddr) -> Result<TargetConnection> {
     let unreachable = |error: io::Error| SendError::Unreachable(error.to_string().into());
-    let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
-    let stream = opened
-        .map_err(|_| SendError::Unreachable("no answer in time".into()))?
+    let result = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
+    let stream = result
+        .map_err(|_| SendError::Unreachable("connect timed out".into()))?
         .map_err(unreachable)?;
     stream.set_nodelay(true).map_err(unreachable)?;
     let handshake = http1::Builder::new().max_buf_size(64 * 1024).handshake(TokioIo::new(stream));
@@ -120,14 +119,14 @@
         handshake.await.map_err(|error| SendError::NotSent(error.to_string().into()))?;
     tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
-            log::debug!("connection to {addr}: {error}");
+            log::debug!("connection to target {addr} failed: {error}");
         }
     });
     Ok(TargetConnection { sender, reused: false })
 }
 
 impl TargetConnection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(&mut self, req: Request<Full<Bytes>>) -> Result<Response<Incoming>> {
         if let Err(error) = self.sender.ready().await {
             return Err(SendError::NotSent(error.to_string().into()));
@@ -142,7 +141,8 @@
     }
 }
 
-/// Idle time that an answer allows its connection; zero where it is to be closed.
+/// Idle timeout that a response states for its connection: zero if the connection is to be closed,
+/// `None` if the response does not say.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name: http::HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text(http::header::CONNECTION).is_some_and(|value| {
