--- a/src/routing/action.rs
+++ b/src/routing/action.rs
@@ -1,9 +1,9 @@
-//! What the shell is told to do.
+//! Actions that the router asks the I/O layer to carry out.
 
 use super::{AttemptId, CallId, Via};
 use crate::{ledger::KeptAnswer, prelude::*, timeline::EventKind};
 
-/// The final word on a request.
+/// The final answer to a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "answer")]
 pub enum Answer {
@@ -11,15 +11,15 @@
         error: ErrorKind,
         retry_after: Option<Duration>,
     },
-    /// The answer of an earlier request with the same binding and key.
+    /// The stored answer of an earlier request with the same binding and key.
     Kept {
         kept: Arc<KeptAnswer>,
     },
-    /// The answer of the attempt that has just ended.
+    /// The answer of the attempt that has just ended, passed on to the caller.
     Pass,
 }
 
-/// One order to the shell.
+/// One action for the I/O layer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "action")]
 pub enum Action {
--- a/src/routing/arrival.rs
+++ b/src/routing/arrival.rs
@@ -1,10 +1,11 @@
-//! A request arrives: refused, answered from the ledger, carried to its owner, or placed.
+//! Arrival of a request: it is refused, answered from the ledger, forwarded to the ledger's owner,
+//! or routed to a target.
 
 use rand::Rng;
 
 use super::{
     Action, Answer, Arrival, AttemptId, CallId, Router, Via,
-    call::{Attempt, Call, Place, latest_start},
+    call::{Attempt, Call, Destination, latest_start},
 };
 use crate::{
     base::invariant,
@@ -18,14 +19,14 @@
 };
 
 impl Router {
-    pub(super) fn arrived(&mut self, arrival: Arrival, now: Moment, rng: &mut impl Rng) {
+    pub(super) fn on_arrived(&mut self, arrival: Arrival, now: Moment, rng: &mut impl Rng) {
         let call = arrival.call;
         let kind = EventKind::Arrived {
             hops: u8::from(arrival.via != Via::Caller),
             service: arrival.service.clone(),
         };
-        self.note(Some(&arrival.request), kind);
-        match self.check(&arrival, now) {
+        self.record_event(Some(&arrival.request), kind);
+        match self.check_arrival(&arrival, now) {
             Ok(state) => {
                 self.calls.insert(call, state);
                 self.admit(call, now, rng);
@@ -33,32 +34,33 @@
             Err(error) => {
                 let booking = arrival.may_have_run() && !self.is_repeatable(&arrival.service);
                 let error = if booking { error.before_ledger() } else { error };
-                self.refuse_unseen(&arrival, error, rng);
+                self.refuse_before_admission(&arrival, error, rng);
             }
         }
     }
 
-    /// The checks that need no state of other requests.
-    fn check(&self, arrival: &Arrival, now: Moment) -> Result<Call, ErrorKind> {
+    /// Checks the request against the manifest, its deadline and this host's state, without regard
+    /// to other requests.
+    fn check_arrival(&self, arrival: &Arrival, now: Moment) -> Result<Call, ErrorKind> {
         let view = self.view.as_ref().ok_or(ErrorKind::NoManifest)?;
         if arrival.member != view.manifest.member {
             return Err(ErrorKind::OtherMember);
         }
         let service = view.manifest.service(&arrival.service);
-        let unfit = match service {
+        let manifest_error = match service {
             None => Some(ErrorKind::ServiceUnknown),
             Some(service) if service.max_body < arrival.body_len => Some(ErrorKind::BodyTooLarge),
             Some(_) => None,
         };
         let kind = service.map_or(ServiceKind::Booking, |service| service.kind);
         let booking = !kind.is_repeatable();
-        // By the manifest of this host the copy cannot run; by an older one, or by that of the
-        // owner, an earlier copy may have. So its ledger is asked all the same, and says `not run`
-        // only once its entry keeps every other copy from running.
-        if let Some(error) = unfit.filter(|_| !(booking && arrival.names_ledger_entry())) {
+        // By this host's manifest the copy cannot run, but an earlier copy may have run under an
+        // older manifest or that of the ledger's owner. So the ledger is still consulted; it says
+        // `not run` only once its entry keeps every other copy from running.
+        if let Some(error) = manifest_error.filter(|_| !(booking && arrival.names_ledger_entry())) {
             return Err(error);
         }
-        // Whether a late booking ran is for its ledger to say, not for its deadline.
+        // Only the ledger knows whether a late booking ran, so its deadline is not checked here.
         if arrival.deadline <= now && !booking {
             return Err(ErrorKind::DeadlinePassed);
         }
@@ -74,23 +76,23 @@
         Ok(Call {
             arrival: arrival.clone(),
             attempts: 0,
-            begun: false,
-            direct: false,
-            hedged: false,
+            answer_begun: false,
+            direct_shift: false,
+            hedge_considered: false,
             in_ledger: false,
             interrupted: false,
             kind,
             last_error: None,
             latest_start: latest_start(arrival.deadline, now),
             queued: false,
-            running: Vec::new(),
+            running_attempts: Vec::new(),
             shift_cap: service.map_or(0.0, |service| service.shift_cap),
             shifted: false,
             timeout: Duration::from_millis(service.map_or(0, |service| service.timeout_ms)),
-            tried: Vec::new(),
-            tried_away: false,
-            unfit,
-            waiting: false,
+            tried_targets: Vec::new(),
+            shift_attempted: false,
+            manifest_error,
+            awaits_copy: false,
         })
     }
 
@@ -100,10 +102,10 @@
         service.is_some_and(|service| service.kind.is_repeatable())
     }
 
-    fn refuse_unseen(&mut self, arrival: &Arrival, error: ErrorKind, rng: &mut impl Rng) {
-        self.note(Some(&arrival.request), EventKind::Refused { error });
-        let answer = Answer::Error { error, retry_after: spread(error, rng) };
-        self.out.push(Action::Answer { answer, call: arrival.call });
+    fn refuse_before_admission(&mut self, arrival: &Arrival, error: ErrorKind, rng: &mut impl Rng) {
+        self.record_event(Some(&arrival.request), EventKind::Refused { error });
+        let answer = Answer::Error { error, retry_after: jittered_retry_after(error, rng) };
+        self.actions.push(Action::Answer { answer, call: arrival.call });
     }
 
     fn admit(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
@@ -114,10 +116,10 @@
         if state.is_booking() && self.leaving {
             return self.fail(call, ErrorKind::HostLeaving, now, rng);
         }
-        self.admit_fresh(call, now, rng);
+        self.admit_new_request(call, now, rng);
     }
 
-    /// A request that may run at most once goes through the ledger that its binding names.
+    /// Admits a request that may run at most once, by the ledger that its binding names.
     fn admit_booking(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
         let arrival = &self.calls[&call].arrival;
         let (Some(binding), Some(key)) = (arrival.binding.clone(), arrival.key.clone()) else {
@@ -128,28 +130,33 @@
             Begin::Conflict => self.fail(call, ErrorKind::KeyConflict, now, rng),
             Begin::Dropped => self.fail(call, ErrorKind::GenerationDropped, now, rng),
             Begin::Fresh => {
-                self.state(call).in_ledger = true;
-                match self.calls[&call].unfit {
+                self.call_mut(call).in_ledger = true;
+                match self.calls[&call].manifest_error {
                     Some(error) => self.fail(call, error, now, rng),
-                    None => self.admit_fresh(call, now, rng),
+                    None => self.admit_new_request(call, now, rng),
                 }
             }
             Begin::Full => self.fail(call, ErrorKind::LedgerFull, now, rng),
             Begin::Kept(kept) => self.answer(call, Answer::Kept { kept }),
             Begin::KeptFact { .. } => self.fail(call, ErrorKind::AnswerNotKept, now, rng),
             Begin::Refused => self.fail(call, ErrorKind::KeyRefused, now, rng),
-            Begin::Running => self.state(call).waiting = true,
+            Begin::Running => self.call_mut(call).awaits_copy = true,
             Begin::Sealed => self.fail(call, ErrorKind::BindingClosed, now, rng),
-            Begin::Stranger => self.carry_to_owner(call, &binding, now, rng),
+            Begin::Stranger => self.forward_to_owner(call, &binding, now, rng),
             Begin::Unknown => self.fail(call, ErrorKind::DispatchLost, now, rng),
         }
     }
 
-    /// Forwards to the host that the binding names, or to the one that took over its ledger.
-    fn carry_to_owner(&mut self, call: CallId, binding: &Binding, now: Moment, rng: &mut impl Rng) {
-        // A host that a peer took for the owner, and that is not, would send the request round
-        // and round: the caller would wait until its deadline. One ledger hop is enough, since
-        // the first host already looked for the owner.
+    /// Forwards to the host that the binding names, or to the one that adopted its ledger.
+    fn forward_to_owner(
+        &mut self,
+        call: CallId,
+        binding: &Binding,
+        now: Moment,
+        rng: &mut impl Rng,
+    ) {
+        // If a peer wrongly takes this host for the owner, forwarding could loop until the caller's
+        // deadline. One ledger hop is enough, since the first host already looked up the owner.
         if self.calls[&call].arrival.via == Via::LedgerHop {
             return self.fail(call, ErrorKind::OwnerGone, now, rng);
         }
@@ -160,7 +167,7 @@
         let Some((host, address)) = owner else {
             return self.fail(call, ErrorKind::OwnerGone, now, rng);
         };
-        self.forward(call, host, address, Place::Owner, now);
+        self.forward(call, host, address, Destination::LedgerOwner, now);
     }
 
     pub(super) fn forward(
@@ -168,68 +175,75 @@
         call: CallId,
         host: HostId,
         address: SocketAddr,
-        place: Place,
+        destination: Destination,
         now: Moment,
     ) {
-        let attempt = self.new_attempt(call, place.clone(), now);
+        let attempt = self.start_attempt(call, destination.clone(), now);
         let state = &self.calls[&call];
         let timeout = state.arrival.deadline.saturating_sub(now);
         let request = state.arrival.request.clone();
-        self.note(Some(&request), EventKind::Forwarded { to: host.clone() });
-        let via = place.via();
-        self.out.push(Action::Forward { address, attempt, call, host, timeout, via });
+        self.record_event(Some(&request), EventKind::Forwarded { to: host.clone() });
+        let via = destination.via();
+        self.actions.push(Action::Forward { address, attempt, call, host, timeout, via });
     }
 
-    pub(super) fn new_attempt(&mut self, call: CallId, place: Place, now: Moment) -> AttemptId {
-        self.next_attempt += 1;
-        let attempt = self.next_attempt;
-        let state = self.state(call);
-        let first = state.attempts == 0;
-        state.running.push(attempt);
+    pub(super) fn start_attempt(
+        &mut self,
+        call: CallId,
+        destination: Destination,
+        now: Moment,
+    ) -> AttemptId {
+        self.last_attempt += 1;
+        let attempt = self.last_attempt;
+        let state = self.call_mut(call);
+        let is_first = state.attempts == 0;
+        state.running_attempts.push(attempt);
         state.attempts += 1;
         state.queued = false;
-        let (booking, running) = (state.is_booking(), state.running.len());
-        self.attempts.insert(attempt, Attempt { call, first, place, since: now });
-        // Two copies of a booking under way would run it twice, whatever the ledger says.
+        let (booking, running) = (state.is_booking(), state.running_attempts.len());
+        self.attempts.insert(attempt, Attempt { call, is_first, destination, started_at: now });
+        // Two attempts at a booking in progress could run it twice, whatever the ledger says.
         invariant::hold(!booking || running == 1, "one-attempt-a-booking", || {
-            format!("call {call} has {running}")
+            format!("call {call} has {running} attempts in progress")
         });
         attempt
     }
 
-    /// A request that has not run before: quarantine and shift caps decide, then it is placed.
-    fn admit_fresh(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
+    /// Admits a request that has not run before, if the quarantine and the shift caps allow it, and
+    /// routes it.
+    fn admit_new_request(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
         let arrival = &self.calls[&call].arrival;
         if let Standing::Refused { .. } = self.quarantine.standing(arrival.fingerprint, now) {
             return self.fail(call, ErrorKind::Quarantined, now, rng);
         }
-        // A hedge is no request of its own: counted, it would earn budget for the next one.
+        // A hedge is not a request of its own; if counted, it would add to the budget for others.
         if self.calls[&call].arrival.via == Via::HedgeHop {
-            self.avoid_rivals(call);
+            self.exclude_running_targets(call);
         } else {
-            self.retries.noted(now);
+            self.retry_budget.noted(now);
         }
-        if let Err(error) = self.count_home(call, now) {
+        if let Err(error) = self.admit_by_home_region(call, now) {
             return self.fail(call, error, now, rng);
         }
-        self.place(call, now, rng);
+        self.route(call, now, rng);
     }
 
-    /// Counts a caller's request at home, or asks whether a caller from elsewhere may be served.
-    fn count_home(&mut self, call: CallId, now: Moment) -> Result<(), ErrorKind> {
+    /// Counts a request of this region's own callers. One from another region is admitted if that
+    /// region has a live host, which decides about shifts, or if the shift cap has room.
+    fn admit_by_home_region(&mut self, call: CallId, now: Moment) -> Result<(), ErrorKind> {
         let state = &self.calls[&call];
         if state.arrival.via.requests_slot() {
             return Ok(());
         }
         let view = self.view.clone().ok_or(ErrorKind::NoManifest)?;
-        let home = self.home_or_own(&state.arrival);
+        let home = self.home_region(&state.arrival);
         let service = state.arrival.service.clone();
         if home == view.own.region {
             self.caps.arrived(&service, &home, now);
             return Ok(());
         }
-        // While a host of the home region lives, that host decides about its callers' shifts and
-        // this one only carries the request there (`place` offers nothing else).
+        // While the home region has a live host, that host decides about shifts of its callers and
+        // this one only forwards the request there (`route` offers no other target).
         if view.hosts.iter().any(|host| host.region == home && !host.leaving) {
             return Ok(());
         }
@@ -251,41 +265,41 @@
             return Err(ErrorKind::CapReached);
         }
         let request = state.arrival.request.clone();
-        let state = self.state(call);
-        state.direct = true;
-        state.tried_away = true;
-        self.note(Some(&request), EventKind::Shifted { home, service });
+        let state = self.call_mut(call);
+        state.direct_shift = true;
+        state.shift_attempted = true;
+        self.record_event(Some(&request), EventKind::Shifted { home, service });
         Ok(())
     }
 
-    /// The home region of a request's caller; this host's own if no client block holds it.
-    pub(super) fn home_or_own(&self, arrival: &Arrival) -> RegionId {
+    /// The home region of a request's caller; this host's own if no client block contains it.
+    pub(super) fn home_region(&self, arrival: &Arrival) -> RegionId {
         let own = self.view.as_ref().map(|view| &view.own.region);
         self.blocks.home(arrival.client).or(own).cloned().unwrap_or_else(|| "".into())
     }
 
-    /// Ends a call with an error, telling the ledger whether that proves it did not run.
+    /// Ends a call with an error, and tells the ledger whether that proves that it did not run.
     pub(super) fn fail(&mut self, call: CallId, error: ErrorKind, now: Moment, rng: &mut impl Rng) {
         let Some(state) = self.calls.get(&call) else { return };
         let error = state.final_error(error);
         if state.in_ledger {
             let end = if error.row().ran == Ran::No { End::NotRun } else { End::Unknown };
-            self.close_entry(call, end, now, rng);
+            self.end_ledger_entry(call, end, now, rng);
         }
-        self.note_lost_shift(call, error, now);
+        self.record_failed_shift(call, error, now);
         let retry_after = self.retry_after(call, error, now, rng);
         self.answer(call, Answer::Error { error, retry_after });
     }
 
-    /// A shift that came to nothing, after all attempts, makes the next ones fewer.
-    fn note_lost_shift(&mut self, call: CallId, error: ErrorKind, now: Moment) {
+    /// Reports a shift that failed after all attempts, which lowers the number of further shifts.
+    fn record_failed_shift(&mut self, call: CallId, error: ErrorKind, now: Moment) {
         let state = &self.calls[&call];
-        if !state.tried_away {
+        if !state.shift_attempted {
             return;
         }
-        let home = self.home_or_own(&state.arrival);
+        let home = self.home_region(&state.arrival);
         let service = state.arrival.service.clone();
-        let undo = state.direct && error.row().ran == Ran::No;
+        let undo = state.direct_shift && error.row().ran == Ran::No;
         let refused = error == ErrorKind::NoSlots;
         let end = ShiftEnd { latency: None, refused, shifted: true };
         self.caps.ended(&service, &home, end, now);
@@ -294,9 +308,15 @@
         }
     }
 
-    /// Tells the ledger how a request ended, and those who wait for it.
-    pub(super) fn close_entry(&mut self, call: CallId, end: End, now: Moment, rng: &mut impl Rng) {
-        let state = self.state(call);
+    /// Tells the ledger how a request ended, and admits the copies that wait for it.
+    pub(super) fn end_ledger_entry(
+        &mut self,
+        call: CallId,
+        end: End,
+        now: Moment,
+        rng: &mut impl Rng,
+    ) {
+        let state = self.call_mut(call);
         state.in_ledger = false;
         let (Some(binding), Some(key)) = (state.arrival.binding.clone(), state.arrival.key.clone())
         else {
@@ -304,14 +324,14 @@
         };
         self.ledger.end(&binding, &key, end, now);
         for waiter in self.waiters(&binding, &key) {
-            self.state(waiter).waiting = false;
+            self.call_mut(waiter).awaits_copy = false;
             self.admit_booking(waiter, now, rng);
         }
     }
 
     fn waiters(&self, binding: &Binding, key: &Key) -> Vec<CallId> {
         let is_waiting = |call: &Call| {
-            call.waiting
+            call.awaits_copy
                 && call.arrival.binding.as_ref() == Some(binding)
                 && call.arrival.key.as_ref() == Some(key)
         };
@@ -325,21 +345,22 @@
         now: Moment,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
-        let Some(state) = self.calls.get(&call) else { return spread(error, rng) };
+        let Some(state) = self.calls.get(&call) else { return jittered_retry_after(error, rng) };
         if error != ErrorKind::CapReached {
-            return spread(error, rng);
+            return jittered_retry_after(error, rng);
         }
         let home = self.blocks.home(state.arrival.client)?;
         Some(self.caps.retry_after(&state.arrival.service, home, now, rng))
     }
 
-    pub(super) fn state(&mut self, call: CallId) -> &mut Call {
-        self.calls.get_mut(&call).expect("callers hold the id of a call that has no answer yet")
+    pub(super) fn call_mut(&mut self, call: CallId) -> &mut Call {
+        self.calls.get_mut(&call).expect("only ids of calls without a final answer are passed")
     }
 }
 
-/// The table's least time, spread so that callers that were refused together come back apart.
-fn spread(error: ErrorKind, rng: &mut impl Rng) -> Option<Duration> {
+/// The minimum from the error's row plus jitter, so that callers refused together don't all retry
+/// at the same time.
+fn jittered_retry_after(error: ErrorKind, rng: &mut impl Rng) -> Option<Duration> {
     error.row().retry_after.map(|least| least.mul_f64(1.0 + rng.random::<f64>()))
 }
 
--- a/src/routing/call.rs
+++ b/src/routing/call.rs
@@ -1,4 +1,4 @@
-//! One request while this host is busy with it.
+//! State of one request until its final answer, and of its attempts.
 
 use super::{Arrival, AttemptId, Via};
 use crate::{
@@ -12,35 +12,36 @@
 pub(super) struct Call {
     pub arrival: Arrival,
     pub attempts: u32,
-    /// The head of an answer is on its way to the caller: no other attempt may follow.
-    pub begun: bool,
-    /// Counted against the cap for callers whose own hosts are gone.
-    pub direct: bool,
-    /// A second attempt beside a slow one was made, or weighed and found to be unwise.
-    pub hedged: bool,
-    /// Told to this host's own ledger, which must learn how it ends.
+    /// The head of an answer was passed to the caller, so no other attempt may follow.
+    pub answer_begun: bool,
+    /// Counted against the shift cap for callers whose home region has no live host.
+    pub direct_shift: bool,
+    /// A hedge was sent or decided against; it is considered only once per call.
+    pub hedge_considered: bool,
+    /// Has an entry in this host's ledger, which must be told how the call ends.
     pub in_ledger: bool,
-    /// The beginning of a file has gone to the caller: only the rest may follow.
+    /// The beginning of a file was passed to the caller; further attempts serve only the rest.
     pub interrupted: bool,
     pub kind: ServiceKind,
-    /// The last reason why it was not served.
+    /// Error of the latest attempt that failed.
     pub last_error: Option<ErrorKind>,
-    /// From then on a booking is not sent to a target, and nothing waits for a slot.
+    /// From this moment on a booking is no longer sent to a target, and no request stays queued.
     pub latest_start: Moment,
     pub queued: bool,
-    /// The attempts under way: one, or two while a hedge runs.
-    pub running: Vec<AttemptId>,
+    /// Attempts in progress: one, or two during a hedge.
+    pub running_attempts: Vec<AttemptId>,
     pub shift_cap: Share,
-    /// A shift was counted against the home region's cap for the attempt under way.
+    /// A shift is counted against the home region's cap for the attempt in progress.
     pub shifted: bool,
     pub timeout: Duration,
-    /// A shift was tried for it.
-    pub tried_away: bool,
-    pub tried: Vec<TargetId>,
-    /// Why it cannot run by this host's manifest; only its ledger is asked.
-    pub unfit: Option<ErrorKind>,
-    /// Waits for another call with the same binding and key.
-    pub waiting: bool,
+    /// A shift to another region was attempted.
+    pub shift_attempted: bool,
+    pub tried_targets: Vec<TargetId>,
+    /// Why this host's manifest does not allow the request. Set only for a booking, whose ledger is
+    /// still consulted.
+    pub manifest_error: Option<ErrorKind>,
+    /// Waits for another call with the same binding and key to end.
+    pub awaits_copy: bool,
 }
 
 impl Call {
@@ -48,69 +49,72 @@
         !self.kind.is_repeatable()
     }
 
-    /// Whether a caller at home sent it here, and it may run more than once. Other reads are the
-    /// first host's to hedge, or run where spare slots are scarce.
+    /// Whether this is a repeatable request that came directly from its caller and was not shifted.
+    /// Only these are hedged: a forwarded read is hedged by the host that received it first, and a
+    /// shifted one runs in a region where spare slots are scarce.
     pub fn is_home_read(&self) -> bool {
-        let away = self.direct || self.shifted;
+        let away = self.direct_shift || self.shifted;
         self.arrival.via == Via::Caller && !self.is_booking() && !away
     }
 
-    /// Takes an ended attempt off; false if it was not one of this call's.
-    pub fn end_attempt(&mut self, attempt: AttemptId) -> bool {
-        let before = self.running.len();
-        self.running.retain(|running| *running != attempt);
-        self.running.len() < before
+    /// Removes an ended attempt; returns false if the call does not have it.
+    pub fn remove_attempt(&mut self, attempt: AttemptId) -> bool {
+        let before = self.running_attempts.len();
+        self.running_attempts.retain(|running| *running != attempt);
+        self.running_attempts.len() < before
     }
 }
 
-/// Longest time that is kept for the run and for the answer's way back.
-const MAX_RESERVE: Duration = Duration::from_millis(500);
+/// Upper limit of the time reserved for running a request and returning its answer.
+const MAX_COMPLETION_TIME: Duration = Duration::from_millis(500);
 
-/// Part of a request's time that is kept for them where that is less.
-const RESERVE_PART: u32 = 8;
+/// Divisor of a request's remaining time that gives the reserved time, if that is below the limit.
+const COMPLETION_TIME_DIVISOR: u32 = 8;
 
-/// When a request that came now is no longer to be sent to a target. One that starts in its last
-/// moments runs for a caller that has hung up, and all that anybody hears is `unknown`; refused a
-/// little earlier, it is proven not to have run, and the caller hears that in time.
+/// The latest moment at which a request that arrives now may be sent to a target. Started later, it
+/// would run for a caller that has timed out, and its outcome would be `unknown`. Refused by then,
+/// it provably did not run, and the caller is told so before its deadline.
 pub(super) fn latest_start(deadline: Moment, now: Moment) -> Moment {
     let left = deadline.saturating_sub(now);
-    deadline.saturating_sub(MAX_RESERVE.min(left / RESERVE_PART))
+    deadline.saturating_sub(MAX_COMPLETION_TIME.min(left / COMPLETION_TIME_DIVISOR))
 }
 
-/// One attempt: where it went and what it holds.
+/// One attempt to serve a call.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub call: super::CallId,
-    /// The first one of its call.
-    pub first: bool,
-    pub place: Place,
-    pub since: Moment,
+    /// Whether it is the first attempt of its call.
+    pub is_first: bool,
+    pub destination: Destination,
+    pub started_at: Moment,
 }
 
-/// Where an attempt went.
+/// Where an attempt was sent.
 #[derive(Clone, Debug)]
-pub(super) enum Place {
-    /// To a target of this host, in the given slot.
-    Own { slot: SlotId, target: TargetId },
-    /// To the owner of the binding.
-    Owner,
-    /// To another host, in the hope of that target.
-    Peer { target: TargetId, via: Via },
+pub(super) enum Destination {
+    /// A target that this host owns, in the given slot.
+    OwnTarget { slot: SlotId, target: TargetId },
+    /// The host that owns the binding's ledger.
+    LedgerOwner,
+    /// The host that owns the target. It may choose another of its targets.
+    PeerTarget { target: TargetId, via: Via },
 }
 
-impl Place {
+impl Destination {
     pub fn target(&self) -> Option<&TargetId> {
         match self {
-            Place::Own { target, .. } | Place::Peer { target, .. } => Some(target),
-            Place::Owner => None,
+            Destination::OwnTarget { target, .. } | Destination::PeerTarget { target, .. } => {
+                Some(target)
+            }
+            Destination::LedgerOwner => None,
         }
     }
 
     pub fn via(&self) -> Via {
         match self {
-            Place::Owner => Via::LedgerHop,
-            Place::Own { .. } => Via::SlotHop,
-            Place::Peer { via, .. } => *via,
+            Destination::LedgerOwner => Via::LedgerHop,
+            Destination::OwnTarget { .. } => Via::SlotHop,
+            Destination::PeerTarget { via, .. } => *via,
         }
     }
 }
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -1,4 +1,4 @@
-//! What the decisions are told.
+//! Input events of the router.
 
 use std::net::IpAddr;
 
@@ -15,19 +15,19 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Via {
-    /// From the caller itself.
+    /// Directly from the caller.
     Caller,
-    /// From a host that wants a second attempt beside a slow one: served out of spare slots only,
-    /// at once or not at all.
+    /// From a host that hedges a slow attempt. Served from spare slots only, and refused if it
+    /// would have to wait.
     HedgeHop,
-    /// From a host that was not the owner of the binding.
+    /// From a host that does not own the binding's ledger.
     LedgerHop,
-    /// From a host that wants one of this host's targets to serve it.
+    /// From a host that asks for a slot on one of this host's targets.
     SlotHop,
 }
 
 impl Via {
-    /// Whether a host of the member sent it here for one of this host's targets.
+    /// Whether another host of the member asks for a slot on one of this host's targets.
     pub fn requests_slot(self) -> bool {
         matches!(self, Via::HedgeHop | Via::SlotHop)
     }
@@ -40,7 +40,7 @@
     pub body_len: u64,
     pub call: CallId,
     pub client: IpAddr,
-    /// By this host's clock.
+    /// On this host's clock.
     pub deadline: Moment,
     pub digest: BodyDigest,
     #[serde(with = "hex_text")]
@@ -53,8 +53,8 @@
 }
 
 impl Arrival {
-    /// Whether it names an entry of a ledger, which can say what became of earlier copies. A slot
-    /// hop comes from the holder of that entry and asks for this one attempt.
+    /// Whether the request names a ledger entry, which knows the outcome of earlier copies. A slot
+    /// hop comes from the host that holds the entry and asks for this one attempt only.
     pub fn names_ledger_entry(&self) -> bool {
         self.via != Via::SlotHop && self.binding.is_some() && self.key.is_some()
     }
@@ -65,37 +65,37 @@
     }
 }
 
-/// How an attempt ended.
+/// How an attempt ended, as seen by this host.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum Outcome {
-    /// With the target's whole answer; `kept` holds it where the request must run at most once.
+    /// The target's answer is complete; `kept` holds it if the request must run at most once.
     Answered { kept: Option<Arc<KeptAnswer>>, latency: Duration, status: u16 },
-    /// Without one.
+    /// There is no complete answer.
     Failed {
         error: ErrorKind,
         latency: Duration,
-        /// The head of the answer has gone to the caller: no other attempt may follow.
+        /// The head of the answer was already passed to the caller, so no other attempt may follow.
         passed: bool,
     },
-    /// Without the end of a streamed body whose beginning has gone to the caller. Another target may
-    /// go on with the rest.
+    /// A streamed body broke off after its beginning was passed to the caller. Another target may
+    /// serve the rest.
     Interrupted { error: ErrorKind, latency: Duration },
-    /// Another host refused it; its word on whether the request ran is the error's row.
+    /// Another host refused it. `error.row().ran` says whether the request ran there.
     Refused { error: ErrorKind, latency: Duration },
 }
 
-/// One input of the decisions.
+/// One input of the router.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "event")]
 pub enum Event {
     Arrived(Arrival),
-    /// The head of an attempt's answer is there and is about to go to the caller. The shell asks
-    /// `is_running` afterwards: another attempt may have begun first.
+    /// The head of an attempt's answer has arrived and is about to be passed to the caller. The
+    /// I/O layer calls `is_running` afterwards, since another attempt may have been first.
     Begun {
         attempt: AttemptId,
     },
-    /// The caller is gone.
+    /// The caller has disconnected.
     Cancelled {
         call: CallId,
     },
@@ -103,13 +103,13 @@
         attempt: AttemptId,
         outcome: Outcome,
     },
-    /// A planned stop has begun.
+    /// A planned stop of this host has begun.
     Leave,
-    /// Peers told of requests that crash targets.
+    /// Peers reported requests that crash targets.
     Marked {
         marks: Vec<Mark>,
     },
-    /// A target's own word on its load.
+    /// A target reported its load.
     Reported {
         report: LoadReport,
         target: TargetId,
--- a/src/routing/hedge.rs
+++ b/src/routing/hedge.rs
@@ -1,11 +1,11 @@
-//! Hedged reads: a second attempt beside one that takes long; the first whole answer wins.
+//! Hedged reads: a second attempt in parallel with a slow one. The first complete answer wins.
 
 use rand::Rng;
 
 use super::{
     Action, AttemptId, CallId, Outcome, Router, Via,
-    call::{Attempt, Call, Place},
-    route::{EXPECTED_TIME, MAX_ATTEMPTS, Way},
+    call::{Attempt, Call, Destination},
+    route::{MAX_ATTEMPTS, MIN_SERVICE_TIME, ReachableTarget},
 };
 use crate::{
     manifest::Service,
@@ -17,8 +17,8 @@
 };
 
 impl Router {
-    /// Makes a second attempt at each read that takes longer than usual.
-    pub(super) fn hedge_slow(&mut self, now: Moment, rng: &mut impl Rng) {
+    /// Hedges each read that takes longer than the hedge delay of its service.
+    pub(super) fn hedge_slow_reads(&mut self, now: Moment, rng: &mut impl Rng) {
         if !self.tuning.hedge || self.leaving {
             return;
         }
@@ -29,165 +29,182 @@
             .map(|(id, _)| *id)
             .collect();
         for call in slow {
-            // Weighed once: asked again at each tick, an overload would be busy with this alone.
-            self.state(call).hedged = true;
-            self.hedge(call, now, rng);
+            // Considered once per call. Repeated at each tick, it would take up all processor time
+            // in an overload.
+            self.call_mut(call).hedge_considered = true;
+            self.start_hedge(call, now, rng);
         }
     }
 
     fn is_slow(&self, call: &Call, now: Moment) -> bool {
-        let [attempt] = call.running[..] else { return false };
-        if call.begun || call.hedged || !call.is_home_read() || MAX_ATTEMPTS <= call.attempts {
+        let [attempt] = call.running_attempts[..] else { return false };
+        if call.answer_begun
+            || call.hedge_considered
+            || !call.is_home_read()
+            || MAX_ATTEMPTS <= call.attempts
+        {
             return false;
         }
-        let Some(usual) = self.paces.usual(&call.arrival.service) else { return false };
-        let hopeless = call.arrival.deadline <= now + EXPECTED_TIME;
-        let since = self.attempts.get(&attempt).map_or(now, |attempt| attempt.since);
-        !hopeless && usual < now.saturating_sub(since)
+        let Some(delay) = self.read_latencies.hedge_delay(&call.arrival.service) else {
+            return false;
+        };
+        let too_late = call.arrival.deadline <= now + MIN_SERVICE_TIME;
+        let since = self.attempts.get(&attempt).map_or(now, |attempt| attempt.started_at);
+        !too_late && delay < now.saturating_sub(since)
     }
 
-    fn hedge(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
+    fn start_hedge(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
         let Some(view) = self.view.clone() else { return };
         let state = &self.calls[&call];
         let Some(service) = view.manifest.service(&state.arrival.service) else { return };
-        let home = self.home_or_own(&state.arrival);
-        // One that may have crashed a target must not run on two at a time.
+        let home = self.home_region(&state.arrival);
+        // A request that may have crashed a target must not run on two targets at once.
         let clear = self.quarantine.standing(state.arrival.fingerprint, now) == Standing::Clear;
         if !clear || home != view.own.region {
             return;
         }
-        let Some(way) = self.hedge_way(call, &view, service, now, rng) else { return };
+        let Some(option) = self.hedge_target(call, &view, service, now, rng) else { return };
         let slow = self.slow_target(call);
         let request = self.calls[&call].arrival.request.clone();
-        // Beyond the budget, a service whose targets all slow down would be sent everything twice
-        // and slow down more. Half of the budget is left to failures.
-        if !self.retries.take_hedge(now) || !self.send(call, &view, way, Via::HedgeHop, now) {
+        // Without a budget, a service whose targets all slow down would get every request twice and
+        // slow down further. Half of the budget is reserved for retries after failures.
+        if !self.retry_budget.take_hedge(now) || !self.send(call, &view, option, Via::HedgeHop, now)
+        {
             return;
         }
         if let Some(target) = slow {
-            self.note(Some(&request), EventKind::Hedged { target });
+            self.record_event(Some(&request), EventKind::Hedged { target });
         }
     }
 
-    /// Where a second attempt may go: to a sound target of the region that has a slot to spare.
-    /// The owner of another host's target decides for itself, by the same rule.
-    fn hedge_way(
+    /// Chooses a target for the second attempt: one in this region that is not ejected and has a
+    /// spare slot. For a target of another host, its owner applies the same rule.
+    fn hedge_target(
         &mut self,
         call: CallId,
         view: &View,
         service: &Service,
         now: Moment,
         rng: &mut impl Rng,
-    ) -> Option<Way> {
-        let spare = self.takes_guest(view, &service.name, now);
-        let mut ways = self.options(call, view, service, &view.own.region, now);
-        ways.retain(|way| {
-            let Candidate { target, tier, .. } = &way.candidate;
-            let near = *tier != Tier::Foreign;
-            near && (spare || way.peer.is_some()) && !self.selector.ejected(target, now)
+    ) -> Option<ReachableTarget> {
+        let spare = self.has_spare_slots(view, &service.name, now);
+        let mut options = self.reachable_targets(call, view, service, &view.own.region, now);
+        options.retain(|option| {
+            let Candidate { target, tier, .. } = &option.candidate;
+            let in_region = *tier != Tier::Foreign;
+            in_region && (spare || option.peer.is_some()) && !self.selector.ejected(target, now)
         });
-        let candidates: Vec<Candidate> = ways.iter().map(|way| way.candidate.clone()).collect();
+        let candidates: Vec<Candidate> =
+            options.iter().map(|option| option.candidate.clone()).collect();
         let chosen = self.selector.pick(&service.name, &candidates, now, rng)?;
-        Some(ways.swap_remove(chosen))
+        Some(options.swap_remove(chosen))
     }
 
     fn slow_target(&self, call: CallId) -> Option<TargetId> {
-        let attempt = self.calls[&call].running.first()?;
-        self.attempts.get(attempt)?.place.target().cloned()
+        let attempt = self.calls[&call].running_attempts.first()?;
+        self.attempts.get(attempt)?.destination.target().cloned()
     }
 
-    /// Keeps a hedge from the targets where this host already runs its request. The host that sent
-    /// both names targets, but their owner chooses; it would choose the slow one again, which
-    /// looks like a fast one until something on it has ended.
-    pub(super) fn avoid_rivals(&mut self, call: CallId) {
+    /// Excludes the targets on which this host already runs the same request. The host that sent
+    /// both attempts names targets, but their owner chooses. It could choose the slow target again,
+    /// since that one looks fast until a request on it has ended.
+    pub(super) fn exclude_running_targets(&mut self, call: CallId) {
         let request = &self.calls[&call].arrival.request;
-        let rivals = self.attempts.values().filter(|attempt| {
-            self.calls.get(&attempt.call).is_some_and(|rival| rival.arrival.request == *request)
+        let same_request = self.attempts.values().filter(|attempt| {
+            self.calls.get(&attempt.call).is_some_and(|other| other.arrival.request == *request)
         });
-        let tried = rivals.filter_map(|attempt| attempt.place.target().cloned()).collect();
-        self.state(call).tried = tried;
+        let tried =
+            same_request.filter_map(|attempt| attempt.destination.target().cloned()).collect();
+        self.call_mut(call).tried_targets = tried;
     }
 
-    /// The head of an attempt's answer goes to the caller: the other attempt has lost.
-    pub(super) fn begun(&mut self, attempt: AttemptId, now: Moment) {
+    /// Cancels the other attempt when the head of this one's answer is passed to the caller.
+    pub(super) fn on_answer_begun(&mut self, attempt: AttemptId, now: Moment) {
         let Some(call) = self.attempts.get(&attempt).map(|attempt| attempt.call) else { return };
         if !self.calls.contains_key(&call) {
             return;
         }
-        self.stop_attempts(call, Some(attempt), now);
-        self.state(call).begun = true;
+        self.cancel_attempts(call, Some(attempt), now);
+        self.call_mut(call).answer_begun = true;
     }
 
-    /// Whether a call whose attempt ended without an answer waits for its other attempt.
-    pub(super) fn other_goes_on(&mut self, call: CallId, outcome: &Outcome, now: Moment) -> bool {
+    /// Whether a call whose attempt failed has another one to wait for. Cancels the other attempt
+    /// after a complete answer or a crash.
+    pub(super) fn awaits_other_attempt(
+        &mut self,
+        call: CallId,
+        outcome: &Outcome,
+        now: Moment,
+    ) -> bool {
         let error = match outcome {
             Outcome::Answered { .. } => None,
             Outcome::Failed { error, .. }
             | Outcome::Interrupted { error, .. }
             | Outcome::Refused { error, .. } => Some(*error),
         };
-        // After a whole answer the other attempt is of no use. After a crash the request is a
-        // suspect: it must not go on beside innocent ones, and is placed again to run alone.
+        // After a complete answer the other attempt is useless. After a crash the request is a
+        // suspect: it must not run beside other requests, and is routed again to run alone.
         if error.is_none_or(|error| error == ErrorKind::DispatchLost) {
-            self.stop_attempts(call, None, now);
+            self.cancel_attempts(call, None, now);
             return false;
         }
-        let state = self.state(call);
-        if state.running.is_empty() {
+        let state = self.call_mut(call);
+        if state.running_attempts.is_empty() {
             return false;
         }
         state.last_error = error;
         true
     }
 
-    /// Gives up the attempts of a call, but for the one to keep.
-    pub(super) fn stop_attempts(&mut self, call: CallId, keep: Option<AttemptId>, now: Moment) {
-        let running = self.state(call).running.clone();
+    /// Cancels the attempts of a call, except `keep`.
+    pub(super) fn cancel_attempts(&mut self, call: CallId, keep: Option<AttemptId>, now: Moment) {
+        let running = self.call_mut(call).running_attempts.clone();
         for attempt in running.into_iter().filter(|attempt| Some(*attempt) != keep) {
-            self.stop(attempt, now);
+            self.cancel_attempt(attempt, now);
         }
     }
 
-    fn stop(&mut self, attempt: AttemptId, now: Moment) {
+    fn cancel_attempt(&mut self, attempt: AttemptId, now: Moment) {
         let Some(stopped) = self.attempts.remove(&attempt) else { return };
-        self.state(stopped.call).end_attempt(attempt);
-        self.out.push(Action::Cancel { attempt });
-        let age = self.wasted(&stopped, now);
-        self.note_usual(&stopped, age);
-        if let Some(target) = stopped.place.target() {
+        self.call_mut(stopped.call).remove_attempt(attempt);
+        self.actions.push(Action::Cancel { attempt });
+        let age = self.waiting_time(&stopped, now);
+        self.record_read_latency(&stopped, age);
+        if let Some(target) = stopped.destination.target() {
             self.selector.ended(target, Signal::Cancelled, age, now);
         }
-        let Place::Own { slot, target } = &stopped.place else { return };
+        let Destination::OwnTarget { slot, target } = &stopped.destination else { return };
         let fingerprint = self.calls[&stopped.call].arrival.fingerprint;
         self.quarantine.abandoned(fingerprint, target);
         self.slots.release(target, *slot, now);
     }
 
-    /// Time that a given-up attempt waited for its answer; none where the answer had begun. That
-    /// one went on for as long as its caller read: a slow caller's time would pass for the target's.
-    fn wasted(&self, stopped: &Attempt, now: Moment) -> Duration {
-        let begun = self.calls.get(&stopped.call).is_some_and(|call| call.begun);
-        if begun { Duration::ZERO } else { now.saturating_sub(stopped.since) }
+    /// Time that a cancelled attempt waited for its answer; zero if the answer had begun. After
+    /// that, the duration depends on how fast the caller reads, and would be taken for the target's
+    /// latency.
+    fn waiting_time(&self, stopped: &Attempt, now: Moment) -> Duration {
+        let begun = self.calls.get(&stopped.call).is_some_and(|call| call.answer_begun);
+        if begun { Duration::ZERO } else { now.saturating_sub(stopped.started_at) }
     }
 
-    /// Learns from an ended attempt how long reads usually take.
-    pub(super) fn note_pace(&mut self, ended: &Attempt, outcome: &Outcome) {
+    /// Records the latency of an attempt that was answered or timed out.
+    pub(super) fn record_outcome_latency(&mut self, ended: &Attempt, outcome: &Outcome) {
         match outcome {
             Outcome::Answered { latency, .. }
             | Outcome::Failed { error: ErrorKind::DispatchTimeout, latency, .. } => {
-                self.note_usual(ended, *latency);
+                self.record_read_latency(ended, *latency);
             }
             _ => {}
         }
     }
 
-    /// Second attempts are left out: they would count the slow requests twice. First ones that
-    /// were given up are in, or what is usual would sink with each hedge that wins, and the next
-    /// ones would start sooner and sooner.
-    fn note_usual(&mut self, attempt: &Attempt, took: Duration) {
+    /// Records the latency of a first attempt. Second attempts are left out, since they would count
+    /// slow requests twice. Cancelled first attempts are included: without them the estimate would
+    /// fall with each hedge that wins, and hedges would start earlier and earlier.
+    fn record_read_latency(&mut self, attempt: &Attempt, took: Duration) {
         let Some(call) = self.calls.get(&attempt.call) else { return };
-        if attempt.first && call.is_home_read() && !took.is_zero() {
-            self.paces.note(&call.arrival.service, took);
+        if attempt.is_first && call.is_home_read() && !took.is_zero() {
+            self.read_latencies.record(&call.arrival.service, took);
         }
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,7 +1,8 @@
-//! The decisions of one host about its requests, composed of the slices.
+//! Routing of requests by one host: admission, choice of a target, retries and hedges.
 //!
-//! `Router::handle(event, now, rng)` takes one event and returns the actions that the shell carries out.
-//! It does no I/O and reads no clock, so that a recorded trace gives the same actions again.
+//! `Router::handle(event, now, rng)` takes one event and returns the actions for the I/O layer to
+//! carry out. It does no I/O and reads no clock, so that the replay of a recorded trace gives the
+//! same actions.
 
 mod action;
 mod arrival;
@@ -26,8 +27,8 @@
     target_status::TargetStatus,
 };
 
-/// Number of one request at this host, given by the shell; never used twice.
+/// Number of one request at this host, assigned by the I/O layer; never reused.
 pub type CallId = u64;
 
-/// Number of one attempt to have a request served, given by the decisions.
+/// Number of one attempt to serve a request, assigned by the router.
 pub type AttemptId = u64;
--- a/src/routing/owners.rs
+++ b/src/routing/owners.rs
@@ -1,6 +1,6 @@
-//! Which other host owns each target, worked out once for a set of hosts.
+//! The other hosts that own targets, computed once per view.
 //!
-//! Searched for each request, it cost a walk over all hosts for each target.
+//! A search per request would walk over all hosts for each target.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,21 @@
     view::{HostView, View},
 };
 
-/// The live hosts that own the targets of other hosts, by target.
+/// The owners of the targets that this host doesn't own, by target. Only live hosts are listed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Owners {
-    by_target: BTreeMap<TargetId, Owner>,
+pub(super) struct TargetOwners {
+    by_target: BTreeMap<TargetId, TargetOwner>,
 }
 
-/// A host and where it serves requests.
+/// A host that owns a target, and the address at which it serves requests.
 #[derive(Clone, Debug)]
-pub(super) struct Owner {
+pub(super) struct TargetOwner {
     pub address: SocketAddr,
     pub host: HostId,
 }
 
-impl Owners {
-    /// Works out the owners of a view.
+impl TargetOwners {
+    /// Computes the owners from a view.
     pub fn of(view: &View) -> Self {
         let zones = hosts_by_zone(view);
         let others = view.hosts.iter().filter(|host| host.id != view.own.id);
@@ -33,26 +33,27 @@
         let owners = targets.filter_map(|target| {
             let hosts = zones.get(&target.zone)?;
             let host = others.get(owner_of(&target.name, hosts)?)?;
-            let owner = Owner { address: host.address, host: host.id.clone() };
+            let owner = TargetOwner { address: host.address, host: host.id.clone() };
             Some((target.name.clone(), owner))
         });
         Self { by_target: owners.collect() }
     }
 
-    /// Whether a view has the same owners as the one before.
-    pub fn are_same(old: &View, new: &View) -> bool {
+    /// Whether the inputs of `of` are the same in both views.
+    pub fn are_unchanged(old: &View, new: &View) -> bool {
         Arc::ptr_eq(&old.manifest, &new.manifest)
             && old.tenure.owners == new.tenure.owners
             && old.hosts == new.hosts
     }
 
-    /// The host that owns a target; `None` for this host's own and for those that nobody owns.
-    pub fn get(&self, target: &TargetId) -> Option<&Owner> {
+    /// The host that owns a target; `None` if this host owns it or no host does.
+    pub fn get(&self, target: &TargetId) -> Option<&TargetOwner> {
         self.by_target.get(target)
     }
 }
 
-/// Who shares the targets of each zone: by the tenure in the own zone, else the live hosts.
+/// The hosts among which the targets of each zone are divided: the owners by tenure in this host's
+/// zone, and all hosts that are not leaving in the others.
 fn hosts_by_zone(view: &View) -> BTreeMap<&ZoneId, Vec<HostId>> {
     let mut zones: BTreeMap<&ZoneId, Vec<HostId>> = BTreeMap::new();
     for host in view.hosts.iter().filter(|host| !host.leaving) {
--- a/src/routing/read_latency.rs
+++ b/src/routing/read_latency.rs
@@ -1,54 +1,55 @@
-//! How long the reads of each service usually take.
+//! Latency estimates of each service's reads, from which the hedge delay follows.
 
 use crate::prelude::*;
 
-/// Reads that a time is worked out from.
-const SAMPLES: usize = 64;
-/// Of a hundred reads, those that end within the usual time.
-const USUAL_OF_HUNDRED: usize = 97;
+/// Reads from which one estimate is computed.
+const SAMPLES_PER_ESTIMATE: usize = 64;
+/// Percentile of the read latency after which a read is hedged.
+const HEDGE_PERCENTILE: usize = 97;
 
-/// The usual time of each service's reads, as callers at this host see it.
+/// Read latencies by service, as seen by the callers of this host.
 #[derive(Debug, Default)]
-pub(super) struct Paces {
-    services: BTreeMap<ServiceId, Pace>,
+pub(super) struct ReadLatencies {
+    services: BTreeMap<ServiceId, LatencyEstimate>,
 }
 
 #[derive(Debug, Default)]
-struct Pace {
+struct LatencyEstimate {
     samples: Vec<Duration>,
-    usual: Option<Duration>,
+    hedge_delay: Option<Duration>,
 }
 
-impl Paces {
-    /// Takes in the time of a read's first attempt, or the time after which it was given up.
-    pub fn note(&mut self, service: &ServiceId, took: Duration) {
+impl ReadLatencies {
+    /// Records the latency of a read's first attempt, or the time after which it was cancelled.
+    pub fn record(&mut self, service: &ServiceId, took: Duration) {
         if !self.services.contains_key(service) {
-            self.services.insert(service.clone(), Pace::default());
+            self.services.insert(service.clone(), LatencyEstimate::default());
         }
-        let pace = self.services.get_mut(service).expect("inserted above if it was missing");
-        pace.note(took);
+        let estimate = self.services.get_mut(service).expect("inserted above");
+        estimate.record(took);
     }
 
-    /// The time within which 97 of 100 reads of a service end; `None` until enough were seen.
-    pub fn usual(&self, service: &ServiceId) -> Option<Duration> {
-        self.services.get(service)?.usual
+    /// The time within which 97 of 100 reads of a service end; `None` until `SAMPLES_PER_ESTIMATE`
+    /// reads were recorded.
+    pub fn hedge_delay(&self, service: &ServiceId) -> Option<Duration> {
+        self.services.get(service)?.hedge_delay
     }
 
-    /// Forgets services that are no longer in the manifest.
+    /// Drops the services for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(&ServiceId) -> bool) {
         self.services.retain(|service, _| is_known(service));
     }
 }
 
-impl Pace {
-    fn note(&mut self, took: Duration) {
+impl LatencyEstimate {
+    fn record(&mut self, took: Duration) {
         self.samples.push(took);
-        if self.samples.len() < SAMPLES {
+        if self.samples.len() < SAMPLES_PER_ESTIMATE {
             return;
         }
-        let rank = SAMPLES * USUAL_OF_HUNDRED / 100;
-        let (_, usual, _) = self.samples.select_nth_unstable(rank);
-        self.usual = Some(*usual);
+        let rank = SAMPLES_PER_ESTIMATE * HEDGE_PERCENTILE / 100;
+        let (_, hedge_delay, _) = self.samples.select_nth_unstable(rank);
+        self.hedge_delay = Some(*hedge_delay);
         self.samples.clear();
     }
 }
--- a/src/routing/region_load.rs
+++ b/src/routing/region_load.rs
@@ -1,11 +1,12 @@
-//! Use of the regions, as far as one host can tell.
+//! Load of the regions, estimated from what one host observes.
 
 use super::Router;
 use crate::{drain::Load, prelude::*};
 
 impl Router {
-    /// Mean slots in use by each region's callers: its baseline times the mean latency of the
-    /// targets that this host has used. Nothing for a service that it has not used.
+    /// Mean number of slots in use by each region's callers, by service: the baseline request rate
+    /// times the mean latency of the targets that this host has used. Services that it has not
+    /// used are left out.
     pub fn region_loads(&self) -> Vec<Load> {
         let Some(view) = &self.view else { return Vec::new() };
         let load = |baseline: &crate::view::Baseline| {
--- a/src/routing/resume.rs
+++ b/src/routing/resume.rs
@@ -1,35 +1,37 @@
-//! An interrupted file goes on from another target, or ends.
+//! Resumption of an interrupted file at another target.
 //!
-//! The rest is one more attempt: it takes a retry out of the budget and a slot, asks the shift cap,
-//! and keeps to the time limit, the quarantine, the drains and the number of attempts. The slot of
-//! the attempt that broke off is free again before the next one is chosen.
+//! The rest of the file is requested by one more attempt, which needs a retry from the budget, a
+//! slot and, if shifted, room under the shift cap, and which obeys the deadline, the quarantine,
+//! the drains and the limit on attempts. The slot of the interrupted attempt is released before the
+//! next target is chosen.
 
 use rand::Rng;
 
 use super::{
     CallId, Router,
-    call::{Call, Place},
+    call::{Call, Destination},
 };
 use crate::prelude::*;
 
 impl Router {
-    /// Another attempt for the rest, or the end of a body that stays short.
-    pub(super) fn interrupted(
+    /// Requests the rest from another target, or ends the call with a truncated body.
+    pub(super) fn attempt_interrupted(
         &mut self,
         call: CallId,
-        place: &Place,
+        destination: &Destination,
         error: ErrorKind,
         now: Moment,
         rng: &mut impl Rng,
     ) {
-        self.state(call).interrupted = true;
-        self.failed(call, place, error, now, rng);
+        self.call_mut(call).interrupted = true;
+        self.attempt_failed(call, destination, error, now, rng);
     }
 }
 
 impl Call {
-    /// What a call ends with. One whose caller has the beginning of a file did run, whatever became
-    /// of the attempts at the rest: `not run` on the time line would be untrue.
+    /// The error that a call ends with. If its caller has received the beginning of a file, the
+    /// request did run, even if the attempts at the rest did not, and the timeline must not show
+    /// `not run`.
     pub(super) fn final_error(&self, error: ErrorKind) -> ErrorKind {
         let untrue = self.interrupted && error.row().ran == Ran::No;
         if untrue { ErrorKind::StreamCut } else { error }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -1,10 +1,10 @@
-//! Where a request goes: the candidates, the choice, the dispatch.
+//! Routing of one request: lists the candidates, chooses one, and dispatches or queues.
 
 use rand::Rng;
 
 use super::{
     Action, CallId, Router, Via,
-    call::{Call, Place},
+    call::{Call, Destination},
 };
 use crate::{
     admission::Queue,
@@ -18,26 +18,26 @@
     view::View,
 };
 
-/// Most attempts at one request, the first included.
+/// Maximum number of attempts at one request, including the first.
 pub(super) const MAX_ATTEMPTS: u32 = 3;
 
-/// Time that a request needs at least once it has a slot; with less left it is hopeless.
-pub(super) const EXPECTED_TIME: Duration = Duration::from_millis(20);
+/// Minimum time that a request needs once it has a slot; one with less time left is given up.
+pub(super) const MIN_SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// Requests that this host may have waiting at an owner, by slot of the target.
-const WAITING_PER_SLOT: u32 = 4;
+/// Requests that this host may have waiting at the owner of a target, per slot of that target.
+const MAX_WAITING_PER_SLOT: u32 = 4;
 
-/// A candidate and how to reach it.
-pub(super) struct Way {
+/// A candidate target and the address to reach it.
+pub(super) struct ReachableTarget {
     pub address: SocketAddr,
     pub candidate: Candidate,
-    /// The host that owns the target, where it is not this one.
+    /// The host that owns the target, if it is not this one.
     pub peer: Option<HostId>,
 }
 
 impl Router {
-    /// Sends the request somewhere, queues it, or refuses it.
-    pub(super) fn place(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
+    /// Sends the request to a target or another host, queues it, or refuses it.
+    pub(super) fn route(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
         let Some(view) = self.view.clone() else { return };
         let state = &self.calls[&call];
         let Some(service) = view.manifest.service(&state.arrival.service) else {
@@ -51,17 +51,17 @@
             let error = state.last_error.unwrap_or(ErrorKind::NoSlots);
             return self.fail(call, error, now, rng);
         }
-        let home = self.home_or_own(&state.arrival);
+        let home = self.home_region(&state.arrival);
         let via = state.arrival.via;
-        let is_guest = via == Via::SlotHop && home != view.own.region;
-        let spare_only = is_guest || via == Via::HedgeHop;
-        if spare_only && !self.takes_guest(&view, &service.name, now) {
+        let from_other_region = via == Via::SlotHop && home != view.own.region;
+        let spare_only = from_other_region || via == Via::HedgeHop;
+        if spare_only && !self.has_spare_slots(&view, &service.name, now) {
             return self.fail(call, ErrorKind::NoSlots, now, rng);
         }
-        self.choose(call, &view, service, &home, now, rng);
+        self.send_or_wait(call, &view, service, &home, now, rng);
     }
 
-    fn choose(
+    fn send_or_wait(
         &mut self,
         call: CallId,
         view: &View,
@@ -70,7 +70,7 @@
         now: Moment,
         rng: &mut impl Rng,
     ) {
-        let mut options = self.options(call, view, service, home, now);
+        let mut options = self.reachable_targets(call, view, service, home, now);
         let mut error = if options.is_empty() { ErrorKind::NoTarget } else { ErrorKind::NoSlots };
         loop {
             let candidates: Vec<Candidate> =
@@ -79,57 +79,62 @@
                 break;
             };
             let foreign = candidates[chosen].tier == Tier::Foreign;
-            if foreign && !self.may_shift(call, view, home, now) {
+            if foreign && !self.try_shift(call, view, home, now) {
                 error = ErrorKind::CapReached;
-                // They stay in sight as full ones: were they taken out, targets at home that are
-                // ejected would be the whole pool and get every request that may not shift.
-                let away = options.iter_mut().filter(|way| way.candidate.tier == Tier::Foreign);
-                away.for_each(|way| way.candidate.in_flight = way.candidate.limit);
+                // Foreign candidates stay in the list, marked as full. If they were removed while
+                // all home targets are ejected, the selector would choose among the ejected ones
+                // only and send them every request that may not shift.
+                let away =
+                    options.iter_mut().filter(|option| option.candidate.tier == Tier::Foreign);
+                away.for_each(|option| option.candidate.in_flight = option.candidate.limit);
                 continue;
             }
             let option = options.swap_remove(chosen);
             if self.send(call, view, option, Via::SlotHop, now) {
                 return;
             }
-            self.unshift(call, now);
+            self.undo_shift(call, now);
         }
-        // A hedge that waits for a slot is no faster than the attempt that it is to overtake.
+        // A hedge that waits for a slot is no faster than the attempt that it duplicates.
         if self.calls[&call].arrival.via == Via::HedgeHop {
             return self.fail(call, error, now, rng);
         }
-        if self.waits_here(call, service, now) || !self.wait_at_owner(call, options, now) {
+        if self.can_wait_here(call, service, now) || !self.wait_at_owner(call, options, now) {
             self.enqueue(call, service, error, now, rng);
         }
     }
 
-    /// A host that owns no target of the service has no queue that a freed slot would empty: it
-    /// would refuse in a short burst what the owners' queues could hold. It forwards to the owner
-    /// with the least forwarded, where the request waits.
-    fn wait_at_owner(&mut self, call: CallId, options: Vec<Way>, now: Moment) -> bool {
+    /// Forwards the request to wait in another host's queue: that of the owner of the nearest
+    /// target with the fewest requests from this host. A host that owns no target of the service
+    /// has no freed slots to serve a queue of its own from; it would refuse requests in a short
+    /// burst that the owners' queues could hold.
+    fn wait_at_owner(&mut self, call: CallId, options: Vec<ReachableTarget>, now: Moment) -> bool {
         let state = &self.calls[&call];
         if state.arrival.via.requests_slot() {
             return false;
         }
-        let may_wait = |way: &Way| {
-            let Candidate { in_flight, limit, target, tier } = &way.candidate;
+        let may_wait = |option: &ReachableTarget| {
+            let Candidate { in_flight, limit, target, tier } = &option.candidate;
             *tier != Tier::Foreign
-                && *in_flight < limit.saturating_mul(WAITING_PER_SLOT)
+                && *in_flight < limit.saturating_mul(MAX_WAITING_PER_SLOT)
                 && !self.selector.ejected(target, now)
         };
-        let way = options
+        let option = options
             .into_iter()
             .filter(may_wait)
-            .min_by_key(|way| (way.candidate.tier, way.candidate.in_flight));
-        let Some(Way { address, candidate, peer: Some(peer) }) = way else { return false };
-        self.state(call).tried.push(candidate.target.clone());
-        let place = Place::Peer { target: candidate.target, via: Via::SlotHop };
-        self.forward(call, peer, address, place, now);
+            .min_by_key(|option| (option.candidate.tier, option.candidate.in_flight));
+        let Some(ReachableTarget { address, candidate, peer: Some(peer) }) = option else {
+            return false;
+        };
+        self.call_mut(call).tried_targets.push(candidate.target.clone());
+        let destination = Destination::PeerTarget { target: candidate.target, via: Via::SlotHop };
+        self.forward(call, peer, address, destination, now);
         true
     }
 
-    /// Whether a freed slot of this host could serve the request.
-    fn waits_here(&self, call: CallId, service: &Service, now: Moment) -> bool {
-        let tried = &self.calls[&call].tried;
+    /// Whether a freed slot on one of this host's targets could serve the request.
+    fn can_wait_here(&self, call: CallId, service: &Service, now: Moment) -> bool {
+        let tried = &self.calls[&call].tried_targets;
         service.targets.iter().any(|target| {
             self.slots.owns(&target.name)
                 && !self.selector.ejected(&target.name, now)
@@ -138,40 +143,42 @@
         })
     }
 
-    /// Every target that may serve the request now, with the room that is known of.
-    pub(super) fn options(
+    /// Every target that may serve the request, with its load as far as this host knows it.
+    pub(super) fn reachable_targets(
         &self,
         call: CallId,
         view: &View,
         service: &Service,
         home: &RegionId,
         now: Moment,
-    ) -> Vec<Way> {
+    ) -> Vec<ReachableTarget> {
         let state = &self.calls[&call];
-        let usable = service
+        let available = service
             .targets
             .iter()
-            .filter(|target| !state.tried.contains(&target.name))
+            .filter(|target| !state.tried_targets.contains(&target.name))
             .filter(|target| !self.is_draining(view, target));
-        usable.filter_map(|target| self.option(state, view, target, home, now)).collect()
+        available
+            .filter_map(|target| self.reachable_target(state, view, target, home, now))
+            .collect()
     }
 
-    fn option(
+    fn reachable_target(
         &self,
         call: &Call,
         view: &View,
         target: &Target,
         home: &RegionId,
         now: Moment,
-    ) -> Option<Way> {
+    ) -> Option<ReachableTarget> {
         let region = &view.manifest.region_of(&target.zone)?.name;
         let own = self.slots.owns(&target.name);
         if call.arrival.via.requests_slot() && !own {
             return None;
         }
-        let home_lives = view.hosts.iter().any(|host| host.region == *home && !host.leaving);
-        let is_guest = *home != view.own.region && !call.arrival.via.requests_slot();
-        if is_guest && home_lives && region != home {
+        let home_has_hosts = view.hosts.iter().any(|host| host.region == *home && !host.leaving);
+        let from_other_region = *home != view.own.region && !call.arrival.via.requests_slot();
+        if from_other_region && home_has_hosts && region != home {
             return None;
         }
         let tier = if target.zone == view.own.zone {
@@ -182,8 +189,9 @@
             Tier::Foreign
         };
         if own {
-            // A caller whose own hosts are gone gets spare slots only, like a forwarded request.
-            if is_guest && !self.takes_guest(view, &call.arrival.service, now) {
+            // A caller whose home region has no live host gets spare slots only, like a forwarded
+            // request from another region.
+            if from_other_region && !self.has_spare_slots(view, &call.arrival.service, now) {
                 return None;
             }
             let limit = self.selector.limit(&target.name, target.slots, now);
@@ -194,41 +202,44 @@
                 target: target.name.clone(),
                 tier,
             };
-            return Some(Way { address: target.address, candidate, peer: None });
+            return Some(ReachableTarget { address: target.address, candidate, peer: None });
         }
         let owner = self.owners.get(&target.name)?;
         let candidate = Candidate {
-            in_flight: self.forwarded_to(&target.name),
+            in_flight: self.forwarded_count(&target.name),
             limit: target.slots,
             target: target.name.clone(),
             tier,
         };
-        Some(Way { address: owner.address, candidate, peer: Some(owner.host.clone()) })
+        Some(ReachableTarget { address: owner.address, candidate, peer: Some(owner.host.clone()) })
     }
 
-    /// Whether slots are spare beyond the reserve.
-    pub(super) fn takes_guest(&self, view: &View, service: &ServiceId, now: Moment) -> bool {
+    /// Whether this host has free slots beyond the region's reserve.
+    pub(super) fn has_spare_slots(&self, view: &View, service: &ServiceId, now: Moment) -> bool {
         let reserve = view.manifest.region_of(&view.own.zone).map_or(0.0, |region| region.reserve);
         view.manifest.service(service).is_some_and(|service| {
-            let (free, slots) = self.spare(service, now);
+            let (free, slots) = self.free_and_total_slots(service, now);
             accept_foreign(free, slots, reserve)
         })
     }
 
-    fn forwarded_to(&self, target: &TargetId) -> u32 {
+    fn forwarded_count(&self, target: &TargetId) -> u32 {
         let count = self
             .attempts
             .values()
-            .filter(
-                |attempt| matches!(&attempt.place, Place::Peer { target: to, .. } if to == target),
-            )
+            .filter(|attempt| {
+                matches!(
+                    &attempt.destination,
+                    Destination::PeerTarget { target: to, .. } if to == target
+                )
+            })
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    fn may_shift(&mut self, call: CallId, view: &View, home: &RegionId, now: Moment) -> bool {
+    fn try_shift(&mut self, call: CallId, view: &View, home: &RegionId, now: Moment) -> bool {
         let state = &self.calls[&call];
-        // A caller from elsewhere was already counted by `count_home` when it came directly.
+        // A caller from another region was already counted by `admit_by_home_region`.
         if *home != view.own.region {
             return true;
         }
@@ -243,16 +254,16 @@
         }
         let request = state.arrival.request.clone();
         let kind = EventKind::Shifted { home: home.clone(), service: ask.service };
-        self.state(call).shifted = true;
-        self.state(call).tried_away = true;
-        self.note(Some(&request), kind);
+        self.call_mut(call).shifted = true;
+        self.call_mut(call).shift_attempted = true;
+        self.record_event(Some(&request), kind);
         true
     }
 
-    /// Takes back a counted shift that did not come about.
-    pub(super) fn unshift(&mut self, call: CallId, now: Moment) {
+    /// Takes a shift that did not take place off the count.
+    pub(super) fn undo_shift(&mut self, call: CallId, now: Moment) {
         let Some(view) = self.view.clone() else { return };
-        let state = self.state(call);
+        let state = self.call_mut(call);
         if !std::mem::take(&mut state.shifted) {
             return;
         }
@@ -260,22 +271,23 @@
         self.caps.undo(&service, &view.own.region, now);
     }
 
-    /// Sends to a target, by its owner as `via` where that is another host.
+    /// Sends to a target: directly if this host owns it, otherwise through its owner as `via`.
+    /// Returns whether it was sent.
     pub(super) fn send(
         &mut self,
         call: CallId,
         view: &View,
-        option: Way,
+        option: ReachableTarget,
         via: Via,
         now: Moment,
     ) -> bool {
         let target = option.candidate.target.clone();
         if let Some(peer) = option.peer {
-            self.state(call).tried.push(target.clone());
-            self.forward(call, peer, option.address, Place::Peer { target, via }, now);
+            self.call_mut(call).tried_targets.push(target.clone());
+            self.forward(call, peer, option.address, Destination::PeerTarget { target, via }, now);
             return true;
         }
-        if !self.has_right(view, now) || !self.suspect_may_run(call, &target, now) {
+        if !self.holds_lease(view, now) || !self.quarantine_allows(call, &target, now) {
             return false;
         }
         let Some(slot) = self.slots.acquire(&target, option.candidate.limit, now) else {
@@ -285,16 +297,17 @@
         true
     }
 
-    /// A host that was paused past its lease may no longer own its targets: without this check
-    /// it would send to a target that its successor has already filled, and the target would
-    /// run more requests than it has slots. The lease is counted by this host's own boot clock,
-    /// so that no message has to reach it first.
-    fn has_right(&self, view: &View, now: Moment) -> bool {
+    /// Whether this host's lease on its targets is still valid. A host that was paused past its
+    /// lease may no longer own them; without this check it could send to a target that its
+    /// successor has already filled, which would run more requests than it has slots. The lease is
+    /// measured on this host's boot clock, so that it ends without any message.
+    fn holds_lease(&self, view: &View, now: Moment) -> bool {
         now < view.tenure.valid_until
     }
 
-    /// A suspect in company would take innocent requests down with the target.
-    fn suspect_may_run(&self, call: CallId, target: &TargetId, now: Moment) -> bool {
+    /// Whether the quarantine allows the request on the target. A suspect must run alone, since it
+    /// would take the other requests down with the target.
+    fn quarantine_allows(&self, call: CallId, target: &TargetId, now: Moment) -> bool {
         let fingerprint = self.calls[&call].arrival.fingerprint;
         match self.quarantine.standing(fingerprint, now) {
             Standing::Alone => self.slots.in_flight(target) == 0,
@@ -303,17 +316,20 @@
         }
     }
 
-    /// Whether the quarantine refuses the request. One that has just proved guilty would wait in the
-    /// queue for a slot that it never gets, and be told `deadline-passed` and `not run` though it ran.
-    pub(super) fn is_refused(&self, call: CallId, now: Moment) -> bool {
+    /// Whether the quarantine refuses the request. One that has just been refused there must not
+    /// queue: it would never get a slot and be told `deadline-passed` and `not run`, though it ran.
+    pub(super) fn is_quarantined(&self, call: CallId, now: Moment) -> bool {
         let fingerprint = self.calls[&call].arrival.fingerprint;
         matches!(self.quarantine.standing(fingerprint, now), Standing::Refused { .. })
     }
 
     fn runs_suspect(&self, target: &TargetId, now: Moment) -> bool {
-        let on_target = self.attempts.values().filter(
-            |attempt| matches!(&attempt.place, Place::Own { target: on, .. } if on == target),
-        );
+        let on_target = self.attempts.values().filter(|attempt| {
+            matches!(
+                &attempt.destination,
+                Destination::OwnTarget { target: on, .. } if on == target
+            )
+        });
         on_target
             .filter_map(|attempt| self.calls.get(&attempt.call))
             .any(|call| self.quarantine.standing(call.arrival.fingerprint, now) != Standing::Clear)
@@ -327,24 +343,25 @@
         slot: crate::admission::SlotId,
         now: Moment,
     ) {
-        let attempt = self.new_attempt(call, Place::Own { slot, target: target.clone() }, now);
-        let state = self.state(call);
-        state.tried.push(target.clone());
+        let attempt =
+            self.start_attempt(call, Destination::OwnTarget { slot, target: target.clone() }, now);
+        let state = self.call_mut(call);
+        state.tried_targets.push(target.clone());
         let left = state.arrival.deadline.saturating_sub(now);
         let timeout = left.min(state.timeout);
         let arrival = state.arrival.clone();
-        let protected = state.is_booking() && arrival.via != Via::SlotHop;
-        let entered = state.in_ledger;
-        invariant::hold(!protected || entered, "entry-before-dispatch", || {
+        let needs_entry = state.is_booking() && arrival.via != Via::SlotHop;
+        let has_entry = state.in_ledger;
+        invariant::hold(!needs_entry || has_entry, "entry-before-dispatch", || {
             format!("request {} has no ledger entry", arrival.request)
         });
         self.quarantine.started(arrival.fingerprint, &target, now);
         self.selector.started(&target, now);
-        self.note(Some(&arrival.request), EventKind::Dispatched { target: target.clone() });
-        self.out.push(Action::Dispatch { address, attempt, call, target, timeout });
+        self.record_event(Some(&arrival.request), EventKind::Dispatched { target: target.clone() });
+        self.actions.push(Action::Dispatch { address, attempt, call, target, timeout });
     }
 
-    /// Waits for a slot of this host's own targets, or gets its final answer at once.
+    /// Queues the request for a slot on this host's own targets, or ends it with an error.
     fn enqueue(
         &mut self,
         call: CallId,
@@ -354,7 +371,7 @@
         rng: &mut impl Rng,
     ) {
         let state = &self.calls[&call];
-        if !self.waits_here(call, service, now) {
+        if !self.can_wait_here(call, service, now) {
             let error = state.last_error.unwrap_or(error);
             return self.fail(call, error, now, rng);
         }
@@ -362,13 +379,13 @@
         let deadline = state.latest_start;
         let limit = self.queue_limit;
         let queue = self.queues.entry(service.name.clone());
-        let queue = queue.or_insert_with(|| Queue::new(limit, EXPECTED_TIME));
+        let queue = queue.or_insert_with(|| Queue::new(limit, MIN_SERVICE_TIME));
         let pushed = queue.push(id, deadline, now);
         let expired = queue.expire(now);
         if pushed.is_err() {
             return self.fail(call, error, now, rng);
         }
-        self.state(call).queued = true;
+        self.call_mut(call).queued = true;
         for id in expired {
             self.fail_queued(&id, ErrorKind::DeadlinePassed, now, rng);
         }
@@ -385,15 +402,16 @@
         self.fail(call, error, now, rng);
     }
 
-    /// A stopping host, or one that lost its targets, gets no slot free for what waits here: a
-    /// request left in the queue would stand there until its deadline, and then be sent to a target
-    /// with too little time, so that its caller hears `unknown`. It goes where the targets went; the
-    /// holder of a booking's entry is told at once, and tries another owner.
-    pub(super) fn move_queued(&mut self, now: Moment, rng: &mut impl Rng) {
+    /// Routes queued requests again that no freed slot of this host can serve, because the host is
+    /// stopping or lost its targets. Left in the queue until shortly before the deadline, such a
+    /// request would be sent to a target with too little time, and its caller told `unknown`. It is
+    /// forwarded to the new owner of the targets; if it came from the holder of a booking's entry,
+    /// that host is told at once and tries another owner.
+    pub(super) fn reroute_stuck(&mut self, now: Moment, rng: &mut impl Rng) {
         let Some(view) = self.view.clone() else { return };
         let is_stuck = |id: CallId, call: &Call| {
             let service = view.manifest.service(&call.arrival.service);
-            call.queued && !service.is_some_and(|service| self.waits_here(id, service, now))
+            call.queued && !service.is_some_and(|service| self.can_wait_here(id, service, now))
         };
         let calls = self.calls.iter().filter(|(id, call)| is_stuck(**id, call));
         let stuck: Vec<CallId> = calls.map(|(id, _)| *id).collect();
@@ -402,39 +420,40 @@
             if let Some(queue) = self.queues.get_mut(&service) {
                 queue.remove(&queue_id(call));
             }
-            self.state(call).queued = false;
-            self.place(call, now, rng);
+            self.call_mut(call).queued = false;
+            self.route(call, now, rng);
         }
     }
 
-    /// Offers freed slots to the requests that wait for one.
-    pub(super) fn drain_queues(&mut self, now: Moment, rng: &mut impl Rng) {
+    /// Gives free slots to queued requests.
+    pub(super) fn serve_queues(&mut self, now: Moment, rng: &mut impl Rng) {
         let Some(view) = self.view.clone() else { return };
         for service in &view.manifest.services {
-            self.drain_queue(service, now, rng);
+            self.serve_queue(service, now, rng);
         }
     }
 
-    fn drain_queue(&mut self, service: &Service, now: Moment, rng: &mut impl Rng) {
+    fn serve_queue(&mut self, service: &Service, now: Moment, rng: &mut impl Rng) {
         let expired =
             self.queues.get_mut(&service.name).map(|queue| queue.expire(now)).unwrap_or_default();
         for id in expired {
             self.fail_queued(&id, ErrorKind::DeadlinePassed, now, rng);
         }
-        let (mut free, _) = self.spare(service, now);
+        let (mut free, _) = self.free_and_total_slots(service, now);
         while 0 < free {
             free -= 1;
             let next = self.queues.get_mut(&service.name).and_then(|queue| queue.pop(now));
             let Some(call) = next.and_then(|id| id.parse::<CallId>().ok()) else { return };
             if self.calls.contains_key(&call) {
-                self.state(call).queued = false;
-                self.place(call, now, rng);
+                self.call_mut(call).queued = false;
+                self.route(call, now, rng);
             }
         }
     }
 }
 
-/// Requests wait under their call number: the ids that callers choose may come twice.
+/// The id of a call in its queue: the call number, since callers choose request ids and may repeat
+/// them.
 pub(super) fn queue_id(call: CallId) -> RequestId {
     call.to_string().into()
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The machine: its state and the distribution of events.
+//! The router: its state, the dispatch of events and the queries for other modules.
 
 use std::collections::BTreeSet;
 
@@ -7,8 +7,8 @@
 use super::{
     Action, Answer, AttemptId, CallId, Event,
     call::{Attempt, Call},
-    owners::Owners,
-    read_latency::Paces,
+    owners::TargetOwners,
+    read_latency::ReadLatencies,
 };
 use crate::{
     admission::{OwnedTarget, Queue, RetryBudget, Slots},
@@ -24,27 +24,27 @@
     view::{Baseline, View},
 };
 
-/// Bounds of the machine's state.
+/// Limits on the router's state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterLimits {
-    /// How long the slots of a former owner count as taken, unless a report frees them: the
-    /// longest time that a request may run on a target.
+    /// How long the slots used by a target's former owner count as taken, unless a load report
+    /// frees them: the longest time that a request may run on a target.
     pub hold: Duration,
     pub ledger: LedgerLimits,
     pub quarantine: QuarantineLimits,
-    /// Requests of one service that may wait for a slot.
+    /// Maximum length of each service's queue.
     pub queue: usize,
     #[serde(default)]
     pub tuning: RouterTuning,
 }
 
-/// Safeguards that measurements turn off, and the policy that they put in the member's place.
+/// Overrides for benchmarks: safeguards to turn off, and a policy to replace the member's.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct RouterTuning {
-    /// Reads that take long get a second attempt.
+    /// Whether slow reads are hedged.
     pub hedge: bool,
-    /// Instead of the manifest's weighing.
+    /// Replaces the weighing in the manifest.
     pub policy: Option<Policy>,
     pub selection: Rules,
     pub shift: ShiftRules,
@@ -73,7 +73,7 @@
     }
 }
 
-/// The decisions of one incarnation of one host.
+/// Routes the requests of one incarnation of one host.
 pub struct Router {
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
     pub(super) blocks: Arc<BlockTable>,
@@ -81,14 +81,14 @@
     pub(super) caps: ShiftCaps,
     pub(super) leaving: bool,
     pub(super) ledger: Ledger,
-    pub(super) next_attempt: AttemptId,
-    pub(super) out: Vec<Action>,
+    pub(super) last_attempt: AttemptId,
+    pub(super) actions: Vec<Action>,
     pub(super) quarantine: Quarantine,
-    pub(super) owners: Owners,
-    pub(super) paces: Paces,
+    pub(super) owners: TargetOwners,
+    pub(super) read_latencies: ReadLatencies,
     pub(super) queue_limit: usize,
     pub(super) queues: BTreeMap<ServiceId, Queue>,
-    pub(super) retries: RetryBudget,
+    pub(super) retry_budget: RetryBudget,
     pub(super) selector: Selector,
     pub(super) slots: Slots,
     pub(super) tuning: RouterTuning,
@@ -96,7 +96,7 @@
 }
 
 impl Router {
-    /// A machine that knows nothing yet: it answers `NoManifest` until it is shown a view.
+    /// A router without a view. It answers `NoManifest` until `Event::Viewed` brings one.
     pub fn new(host: HostId, incarnation: Incarnation, limits: RouterLimits) -> Self {
         Self {
             attempts: BTreeMap::new(),
@@ -105,13 +105,13 @@
             caps: ShiftCaps::with_rules(limits.tuning.shift, Duration::ZERO),
             leaving: false,
             ledger: Ledger::new(host, incarnation, limits.ledger),
-            next_attempt: 0,
-            out: Vec::new(),
-            owners: Owners::default(),
-            paces: Paces::default(),
+            last_attempt: 0,
+            actions: Vec::new(),
+            owners: TargetOwners::default(),
+            read_latencies: ReadLatencies::default(),
             quarantine: Quarantine::new(limits.quarantine),
             queues: BTreeMap::new(),
-            retries: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             selector: Selector::with_rules(
                 limits.tuning.policy.unwrap_or(Policy::Weighed(Weighing::Latency)),
                 limits.tuning.selection,
@@ -123,36 +123,36 @@
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn handle(&mut self, event: Event, now: Moment, rng: &mut impl Rng) -> Vec<Action> {
         match event {
-            Event::Arrived(arrival) => self.arrived(arrival, now, rng),
-            Event::Begun { attempt } => self.begun(attempt, now),
-            Event::Cancelled { call } => self.cancelled(call, now, rng),
-            Event::Ended { attempt, outcome } => self.ended(attempt, outcome, now, rng),
-            Event::Leave => self.leave(),
+            Event::Arrived(arrival) => self.on_arrived(arrival, now, rng),
+            Event::Begun { attempt } => self.on_answer_begun(attempt, now),
+            Event::Cancelled { call } => self.on_cancelled(call, now, rng),
+            Event::Ended { attempt, outcome } => self.on_attempt_ended(attempt, outcome, now, rng),
+            Event::Leave => self.on_leave(),
             Event::Marked { marks } => {
                 marks.iter().for_each(|mark| self.quarantine.learn(mark, now))
             }
             Event::Reported { report, target } => {
                 self.slots.report(&target, report.busy, now);
                 self.selector.report(&target, report, now);
-                self.drain_queues(now, rng);
+                self.serve_queues(now, rng);
             }
-            Event::Tick => self.ticked(now, rng),
-            Event::Viewed { view } => self.viewed(view, now, rng),
+            Event::Tick => self.on_tick(now, rng),
+            Event::Viewed { view } => self.on_viewed(view, now, rng),
         }
-        self.note_changes();
-        self.note_broken();
-        std::mem::take(&mut self.out)
+        self.record_target_changes();
+        self.record_broken_invariants();
+        std::mem::take(&mut self.actions)
     }
 
-    /// The binding that look-ups on this host give out.
+    /// The binding that lookups on this host return.
     pub fn binding(&self) -> Binding {
         self.ledger.binding()
     }
 
-    /// The table from client address to home region.
+    /// The table that maps client addresses to home regions.
     pub fn blocks(&self) -> &Arc<BlockTable> {
         &self.blocks
     }
@@ -162,54 +162,55 @@
         self.calls.len()
     }
 
-    /// Traffic by service at home here, for the regions that may have to stand in.
+    /// Request rates by service of this region's own callers, for the regions that serve them if
+    /// this one fails.
     pub fn baselines(&self, now: Moment) -> Vec<Baseline> {
         self.caps.rates(now)
     }
 
-    /// What a host that gets a request from this one, or gave it, should know of it.
+    /// The quarantine mark of a request, for the hosts that it is forwarded to or came from.
     pub fn mark(&self, fingerprint: Fingerprint, now: Moment) -> Option<Mark> {
         self.quarantine.mark(fingerprint, now)
     }
 
-    /// Requests that crash targets, for the peers.
+    /// The quarantine marks of requests that crash targets, for the peers.
     pub fn marks(&self, now: Moment) -> Vec<Mark> {
         self.quarantine.marks(now)
     }
 
-    /// Closes the ledger for a successor; every later request of this binding is `not run`.
+    /// Seals the ledger for a successor; every later request with this binding is `not run`.
     pub fn seal(&mut self, now: Moment) -> SealedLedger {
         self.leaving = true;
         self.ledger.seal(now)
     }
 
-    /// Takes over the sealed ledger of a host that stops.
+    /// Adopts the sealed ledger of a host that stops.
     pub fn adopt(&mut self, sealed: SealedLedger, now: Moment) -> crate::ledger::Result<()> {
         self.ledger.adopt(sealed, now)
     }
 
-    /// Stopped incarnations that this host answers for.
+    /// Stopped incarnations whose ledgers this host has adopted.
     pub fn adopted(&self) -> Vec<Incarnation> {
         self.ledger.adopted()
     }
 
-    /// Share of this region's own requests, of those that came here, that went elsewhere.
+    /// Of the requests from this region's own callers at this host, the share that was shifted to
+    /// other regions.
     pub fn shifted_share(&self, service: &ServiceId, now: Moment) -> Share {
         let Some(view) = &self.view else { return 0.0 };
         self.caps.share(service, &view.own.region, now)
     }
 
-    /// Whether an attempt is under way and not given up.
+    /// Whether an attempt is in progress and not cancelled.
     pub fn is_running(&self, attempt: AttemptId) -> bool {
         self.attempts.contains_key(&attempt)
     }
 
-    /// Whether this host owns the target.
     pub fn owns(&self, target: &TargetId) -> bool {
         self.slots.owns(target)
     }
 
-    /// Targets that get no work since they failed.
+    /// Targets that are ejected after failures and get no requests.
     pub fn ejected_targets(&self, now: Moment) -> Vec<TargetId> {
         let Some(view) = &self.view else { return Vec::new() };
         let targets = view.manifest.services.iter().flat_map(|service| &service.targets);
@@ -217,17 +218,18 @@
         names.filter(|name| self.selector.ejected(name, now)).cloned().collect()
     }
 
-    /// This host's requests on each target that has any, its own or another host's.
+    /// The number of this host's attempts in progress on each target that has any, including the
+    /// targets of other hosts.
     pub fn in_flight_by_target(&self) -> Vec<TargetInFlight> {
         let mut busy: BTreeMap<&TargetId, u32> = BTreeMap::new();
-        for target in self.attempts.values().filter_map(|attempt| attempt.place.target()) {
+        for target in self.attempts.values().filter_map(|attempt| attempt.destination.target()) {
             *busy.entry(target).or_default() += 1;
         }
         let rows = busy.into_iter();
         rows.map(|(target, requests)| TargetInFlight { requests, target: target.clone() }).collect()
     }
 
-    /// Slots in use and slots in all at the targets that this host owns, by service.
+    /// Slots in use and total slots on the targets that this host owns, by service.
     pub fn slot_usage(&self) -> Vec<SlotUsage> {
         let Some(view) = &self.view else { return Vec::new() };
         view.manifest
@@ -250,15 +252,16 @@
             Answer::Kept { kept } => EventKind::Answered { ran: Ran::Yes, status: kept.status },
             Answer::Pass => EventKind::Answered { ran: Ran::Yes, status: 0 },
         };
-        self.note(Some(&call_state.arrival.request), kind);
-        self.out.push(Action::Answer { answer, call });
+        self.record_event(Some(&call_state.arrival.request), kind);
+        self.actions.push(Action::Answer { answer, call });
     }
 
-    pub(super) fn note(&mut self, request: Option<&RequestId>, kind: EventKind) {
-        self.out.push(Action::Note { kind, request: request.cloned() });
+    pub(super) fn record_event(&mut self, request: Option<&RequestId>, kind: EventKind) {
+        self.actions.push(Action::Note { kind, request: request.cloned() });
     }
 
-    /// Whether the drains of the manifest or of operators take `target` out of use.
+    /// Whether `target` reports that it is draining, or a drain of the manifest or an operator
+    /// covers it.
     pub(super) fn is_draining(&self, view: &View, target: &Target) -> bool {
         if self.selector.draining(&target.name) {
             return true;
@@ -267,8 +270,8 @@
         drains.any(|scope| scope.covers(target, &view.manifest))
     }
 
-    /// What is spare for the service among the targets of this host: free slots and all slots.
-    pub(super) fn spare(&self, service: &Service, now: Moment) -> (u32, u32) {
+    /// Free slots and total slots for the service on this host's targets.
+    pub(super) fn free_and_total_slots(&self, service: &Service, now: Moment) -> (u32, u32) {
         let owned = service.targets.iter().filter(|target| self.slots.owns(&target.name));
         owned.fold((0, 0), |(free, slots), target| {
             let limit = self.selector.limit(&target.name, target.slots, now);
@@ -276,14 +279,14 @@
         })
     }
 
-    fn viewed(&mut self, view: Arc<View>, now: Moment, rng: &mut impl Rng) {
+    fn on_viewed(&mut self, view: Arc<View>, now: Moment, rng: &mut impl Rng) {
         let same_manifest =
             self.view.as_ref().is_some_and(|old| Arc::ptr_eq(&old.manifest, &view.manifest));
         if let Some(old) = &self.view {
             invariant::hold(
                 old.manifest.sequence <= view.manifest.sequence,
                 "manifest-moves-up",
-                || format!("{} after {}", view.manifest.sequence, old.manifest.sequence),
+                || format!("sequence {} after {}", view.manifest.sequence, old.manifest.sequence),
             );
         }
         if !same_manifest {
@@ -293,25 +296,28 @@
             let targets = view.manifest.services.iter().flat_map(|service| &service.targets);
             let known: BTreeSet<&TargetId> = targets.map(|target| &target.name).collect();
             self.selector.retain(|target| known.contains(target));
-            self.paces.retain(|service| view.manifest.service(service).is_some());
-            self.note(None, EventKind::ManifestInForce { sequence: view.manifest.sequence });
+            self.read_latencies.retain(|service| view.manifest.service(service).is_some());
+            self.record_event(
+                None,
+                EventKind::ManifestInForce { sequence: view.manifest.sequence },
+            );
         }
         if self.view.is_none() {
-            // Windows start with the host: one that restarts has no credit from before.
+            // The windows start with the host: a restarted host has no allowance from before.
             self.caps = ShiftCaps::with_rules(self.tuning.shift, now);
         }
         let owned = self.owned_targets(&view);
         self.slots.set_owned(&owned, now);
-        if !self.view.as_ref().is_some_and(|old| Owners::are_same(old, &view)) {
-            self.owners = Owners::of(&view);
+        if !self.view.as_ref().is_some_and(|old| TargetOwners::are_unchanged(old, &view)) {
+            self.owners = TargetOwners::of(&view);
         }
         self.view = Some(view);
-        self.move_queued(now, rng);
-        self.drain_queues(now, rng);
+        self.reroute_stuck(now, rng);
+        self.serve_queues(now, rng);
     }
 
-    /// The targets of this zone that fall to this host. One gained after the first view comes
-    /// from another host, whose requests may still be running on it.
+    /// The targets of this zone that this host owns by the view. One that it did not own before is
+    /// marked as inherited, since requests of its former owner may still be running on it.
     fn owned_targets(&self, view: &View) -> Vec<OwnedTarget> {
         let mut owned = Vec::new();
         for target in view.manifest.services.iter().flat_map(|service| &service.targets) {
@@ -332,46 +338,47 @@
         owned
     }
 
-    /// New bookings are told at once that this binding is closed, and go elsewhere.
-    fn leave(&mut self) {
+    /// Closes the ledger for new bookings. They are refused at once, so that their callers can go
+    /// to another host.
+    fn on_leave(&mut self) {
         self.leaving = true;
         self.ledger.close();
     }
 
-    fn ticked(&mut self, now: Moment, rng: &mut impl Rng) {
+    fn on_tick(&mut self, now: Moment, rng: &mut impl Rng) {
         self.ledger.rotate(now);
-        self.expire_calls(now);
-        self.drain_queues(now, rng);
-        self.hedge_slow(now, rng);
+        self.expire_waiting_copies(now);
+        self.serve_queues(now, rng);
+        self.hedge_slow_reads(now, rng);
     }
 
-    fn note_changes(&mut self) {
+    fn record_target_changes(&mut self) {
         for change in self.selector.take_changes() {
             let kind = match change {
                 Change::Ejected(target) => EventKind::TargetEjected { target },
                 Change::Returned(target) => EventKind::TargetReturned { target },
             };
-            self.note(None, kind);
+            self.record_event(None, kind);
         }
     }
 
-    fn note_broken(&mut self) {
+    fn record_broken_invariants(&mut self) {
         for broken in invariant::take() {
             let kind =
                 EventKind::InvariantBroken { detail: broken.detail, name: broken.name.into() };
-            self.note(None, kind);
+            self.record_event(None, kind);
         }
     }
 }
 
-/// Requests on one target.
+/// Requests of this host in progress on one target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetInFlight {
     pub requests: u32,
     pub target: TargetId,
 }
 
-/// Use of the slots of one service at this host's own targets.
+/// Slot usage of one service on this host's own targets.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SlotUsage {
     pub busy: u32,
--- a/src/routing/target_status.rs
+++ b/src/routing/target_status.rs
@@ -1,17 +1,18 @@
-//! What the decisions would offer a request now, for operators; changes nothing.
+//! The targets that a request would be offered now, for display to operators. Read-only.
 
 use std::fmt;
 
 use super::Router;
 use crate::{lookup::owner_of, prelude::*};
 
-/// One target as an operator is shown it.
+/// State of one target, for display to an operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetStatus {
     pub draining: bool,
     pub ejected: bool,
+    /// Free slots, if this host owns the target.
     pub free: Option<u32>,
-    /// Host that owns it, where it is in this host's zone.
+    /// Owner of the target, if the target is in this host's zone.
     pub owner: Option<HostId>,
     pub region: RegionId,
     pub slots: u32,
@@ -29,7 +30,7 @@
             write!(f, ", {free} of {} slots free", self.slots)?;
         }
         let states = [(self.draining, "draining"), (self.ejected, "ejected")];
-        for (_, state) in states.into_iter().filter(|(is_so, _)| *is_so) {
+        for (_, state) in states.into_iter().filter(|(is_set, _)| *is_set) {
             write!(f, ", {state}")?;
         }
         Ok(())
@@ -37,7 +38,7 @@
 }
 
 impl Router {
-    /// The targets of a service in the order in which a request from `home` would be offered them.
+    /// The targets of a service, in the order of preference for a request from `home`.
     pub fn target_statuses(
         &self,
         service: &ServiceId,
@@ -49,14 +50,14 @@
         let mut targets: Vec<TargetStatus> = Vec::new();
         for target in &service.targets {
             let Some(region) = view.manifest.region_of(&target.zone) else { continue };
-            let near = target.zone == view.own.zone;
+            let in_own_zone = target.zone == view.own.zone;
             let own = self.slots.owns(&target.name);
             let limit = self.selector.limit(&target.name, target.slots, now);
             targets.push(TargetStatus {
                 draining: self.is_draining(view, target),
                 ejected: self.selector.ejected(&target.name, now),
                 free: own.then(|| self.slots.free(&target.name, limit, now)),
-                owner: owner_of(&target.name, &view.tenure.owners).filter(|_| near).cloned(),
+                owner: owner_of(&target.name, &view.tenure.owners).filter(|_| in_own_zone).cloned(),
                 region: region.name.clone(),
                 slots: target.slots,
                 target: target.name.clone(),
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::{call::Place, *};
+use super::{call::Destination, *};
 use crate::{
     ledger::{KeptAnswer, body_digest},
     manifest::{DrainScope, Manifest, Region, Service, ServiceKind, Target, Weighing},
@@ -22,12 +22,12 @@
 
 const START: Moment = Duration::from_secs(100);
 
-/// One host of one zone with two targets of each service, of one slot each.
+/// The only host of one zone, which owns two targets of each service with one slot each.
 struct Host {
     calls: CallId,
     now: Moment,
     rng: ChaCha8Rng,
-    steer: Router,
+    router: Router,
 }
 
 impl Host {
@@ -36,23 +36,23 @@
             calls: 0,
             now: START,
             rng: ChaCha8Rng::seed_from_u64(1),
-            steer: Router::new("a-1".into(), 1, RouterLimits::default()),
+            router: Router::new("a-1".into(), 1, RouterLimits::default()),
         };
-        host.on(Event::Tick);
-        host.on(Event::Viewed { view: Arc::new(view(START + Duration::from_secs(3600))) });
+        host.handle(Event::Tick);
+        host.handle(Event::Viewed { view: Arc::new(view(START + Duration::from_secs(3600))) });
         for target in ["read-1", "read-2", "book-1", "book-2"] {
-            host.pass(Duration::from_millis(1));
+            host.advance(Duration::from_millis(1));
             let report = LoadReport { busy: 0, draining: false, slots: 1 };
-            host.on(Event::Reported { report, target: target.into() });
+            host.handle(Event::Reported { report, target: target.into() });
         }
         host
     }
 
-    fn on(&mut self, event: Event) -> Vec<Action> {
-        self.steer.handle(event, self.now, &mut self.rng)
+    fn handle(&mut self, event: Event) -> Vec<Action> {
+        self.router.handle(event, self.now, &mut self.rng)
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 
@@ -75,32 +75,32 @@
     }
 
     fn booking(&mut self, key: &str) -> Arrival {
-        let binding = Some(self.steer.binding());
+        let binding = Some(self.router.binding());
         Arrival { binding, key: Some(key.into()), ..self.arrival("book") }
     }
 
-    /// Sends the arrival and gives the attempt that it led to.
+    /// Delivers the arrival and returns the attempt that it was dispatched as.
     fn dispatch(&mut self, arrival: Arrival) -> AttemptId {
-        let actions = self.on(Event::Arrived(arrival));
-        attempt(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
+        let actions = self.handle(Event::Arrived(arrival));
+        dispatched_attempt(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
     }
 
     fn fail(&mut self, attempt: AttemptId, error: ErrorKind) -> Vec<Action> {
         let latency = Duration::from_millis(5);
         let outcome = Outcome::Failed { error, latency, passed: false };
-        self.on(Event::Ended { attempt, outcome })
+        self.handle(Event::Ended { attempt, outcome })
     }
 
     fn interrupt(&mut self, attempt: AttemptId) -> Vec<Action> {
         let (error, latency) = (ErrorKind::AnswerBroken, Duration::from_millis(5));
-        self.on(Event::Ended { attempt, outcome: Outcome::Interrupted { error, latency } })
+        self.handle(Event::Ended { attempt, outcome: Outcome::Interrupted { error, latency } })
     }
 
     fn answer(&mut self, attempt: AttemptId) -> Vec<Action> {
         let kept = KeptAnswer { body: "ok".into(), headers: Vec::new(), status: 200 };
         let latency = Duration::from_millis(5);
         let outcome = Outcome::Answered { kept: Some(Arc::new(kept)), latency, status: 200 };
-        self.on(Event::Ended { attempt, outcome })
+        self.handle(Event::Ended { attempt, outcome })
     }
 }
 
@@ -149,14 +149,14 @@
     }
 }
 
-fn attempt(actions: &[Action]) -> Option<AttemptId> {
+fn dispatched_attempt(actions: &[Action]) -> Option<AttemptId> {
     actions.iter().find_map(|action| match action {
         Action::Dispatch { attempt, .. } => Some(*attempt),
         _ => None,
     })
 }
 
-fn error(actions: &[Action]) -> Option<ErrorKind> {
+fn error_answer(actions: &[Action]) -> Option<ErrorKind> {
     actions.iter().find_map(|action| match action {
         Action::Answer { answer: Answer::Error { error, .. }, .. } => Some(*error),
         _ => None,
@@ -164,9 +164,9 @@
 }
 
 // A read may be sent to a second target after any failure, a booking only after one that proves
-// that it did not run. Sent again after its first byte, it could run twice.
+// that it did not run. A booking sent again after its first byte could run twice.
 #[test]
-fn only_what_may_repeat_is_sent_again() {
+fn bookings_are_retried_only_if_they_did_not_run() {
     let cases = [
         ("read", ErrorKind::ConnectFailed, true),
         ("read", ErrorKind::DispatchLost, true),
@@ -182,32 +182,36 @@
         let arrival = if service == "book" { host.booking("k") } else { host.arrival(service) };
         let first = host.dispatch(arrival);
         let actions = host.fail(first, failure);
-        assert_eq!(attempt(&actions).is_some(), again, "{service}, {failure:?}");
+        assert_eq!(dispatched_attempt(&actions).is_some(), again, "{service}, {failure:?}");
         if !again {
-            assert_eq!(error(&actions), Some(failure), "{service}");
+            assert_eq!(error_answer(&actions), Some(failure), "{service}");
         }
     }
 }
 
-// A file breaks off behind its head. The rest is one more attempt, at the other target, and the
-// slot of the first is free by then. Past the time limit, with the other target drained, or after
-// the caller has left there is none; and nobody is told that what the caller holds was not run.
+// A file breaks off after its head. The rest is requested by one more attempt, at the other target,
+// after the first slot is released. There is no such attempt past the deadline, with the other
+// target drained, or after the caller has disconnected. The call is never reported as `not run`,
+// since the caller holds a part of the answer.
 #[test]
-fn the_rest_of_a_file_is_an_attempt_like_any_other() {
+fn resuming_a_file_obeys_the_limits_of_any_attempt() {
     let mut host = Host::new();
     let file = host.arrival("read");
     let first = host.dispatch(file);
     let actions = host.interrupt(first);
-    let second = attempt(&actions).expect("the rest is asked for");
-    assert_eq!(host.steer.in_flight_by_target().iter().map(|busy| busy.requests).sum::<u32>(), 1);
-    assert_eq!(error(&host.fail(second, ErrorKind::ConnectFailed)), Some(ErrorKind::StreamCut));
-    assert_eq!(host.steer.slot_usage()[0].busy, 0);
+    let second = dispatched_attempt(&actions).expect("the rest is asked for");
+    assert_eq!(host.router.in_flight_by_target().iter().map(|busy| busy.requests).sum::<u32>(), 1);
+    assert_eq!(
+        error_answer(&host.fail(second, ErrorKind::ConnectFailed)),
+        Some(ErrorKind::StreamCut)
+    );
+    assert_eq!(host.router.slot_usage()[0].busy, 0);
 
     let mut late = Host::new();
     let file = late.arrival("read");
     let first = late.dispatch(file);
-    late.pass(Duration::from_secs(6));
-    assert_eq!(error(&late.interrupt(first)), Some(ErrorKind::StreamCut));
+    late.advance(Duration::from_secs(6));
+    assert_eq!(error_answer(&late.interrupt(first)), Some(ErrorKind::StreamCut));
 
     let mut drained = Host::new();
     let file = drained.arrival("read");
@@ -215,189 +219,205 @@
     let scopes = ["read-1", "read-2"].map(|target| DrainScope::Target(target.into()));
     let until = drained.now + Duration::from_secs(60);
     let view = View { drains: scopes.into(), ..view(until) };
-    drained.on(Event::Viewed { view: Arc::new(view) });
-    let told = error(&drained.interrupt(first)).map(|error| error.row().ran);
+    drained.handle(Event::Viewed { view: Arc::new(view) });
+    let told = error_answer(&drained.interrupt(first)).map(|error| error.row().ran);
     assert_eq!(told, Some(Ran::Unknown));
 
     let mut left = Host::new();
     let file = left.arrival("read");
     let first = left.dispatch(file);
-    let second = attempt(&left.interrupt(first)).expect("the rest is asked for");
-    let actions = left.on(Event::Cancelled { call: 1 });
+    let second = dispatched_attempt(&left.interrupt(first)).expect("the rest is asked for");
+    let actions = left.handle(Event::Cancelled { call: 1 });
     assert!(actions.contains(&Action::Cancel { attempt: second }));
-    assert_eq!(left.steer.slot_usage()[0].busy, 0);
+    assert_eq!(left.router.slot_usage()[0].busy, 0);
 }
 
-// Targets break off every file that they begin. Without the retry budget each would be asked for up
-// to three times, and the load that made them break would grow by its own failures.
+// Targets interrupt every file. Without the retry budget each file would be requested up to three
+// times, and the load that caused the interruptions would grow by its own failures.
 #[test]
-fn rests_are_paid_out_of_the_retry_budget() {
+fn resumptions_use_the_retry_budget() {
     let mut host = Host::new();
-    let mut rests = 0;
+    let mut resumptions = 0;
     for _ in 0..20 {
         let file = host.arrival("read");
-        let mut next = attempt(&host.on(Event::Arrived(file)));
-        while let Some(under_way) = next {
-            next = attempt(&host.interrupt(under_way));
-            rests += u32::from(next.is_some());
+        let mut next = dispatched_attempt(&host.handle(Event::Arrived(file)));
+        while let Some(running) = next {
+            next = dispatched_attempt(&host.interrupt(running));
+            resumptions += u32::from(next.is_some());
         }
     }
-    assert!((1..=5).contains(&rests), "{rests}");
+    assert!((1..=5).contains(&resumptions), "{resumptions}");
 }
 
-// A read that is suspect runs alone, crashes its target and is refused from then on. Its caller hears
-// of the crash at once; left in the queue for another target it would wait out its time limit, and be
-// told `not run` of a request that ran.
+// A suspect read runs alone, crashes its target and is refused from then on. Its caller is told of
+// the crash at once. If queued for another target, it would wait until its deadline and be reported
+// as `not run`, though it ran.
 #[test]
-fn a_request_that_has_just_proved_guilty_does_not_wait() {
+fn a_newly_quarantined_request_is_not_queued() {
     let mut host = Host::new();
     let read = host.arrival("read");
     let left = Duration::from_secs(50);
     let mark = Mark { fingerprint: read.fingerprint, left, verdict: Verdict::Suspect };
-    host.on(Event::Marked { marks: vec![mark] });
+    host.handle(Event::Marked { marks: vec![mark] });
     let attempt = host.dispatch(read.clone());
-    assert_eq!(error(&host.fail(attempt, ErrorKind::DispatchLost)), Some(ErrorKind::DispatchLost));
-    let verdict = host.steer.mark(read.fingerprint, host.now).map(|mark| mark.verdict);
+    assert_eq!(
+        error_answer(&host.fail(attempt, ErrorKind::DispatchLost)),
+        Some(ErrorKind::DispatchLost)
+    );
+    let verdict = host.router.mark(read.fingerprint, host.now).map(|mark| mark.verdict);
     assert_eq!(verdict, Some(Verdict::Refused));
     let again = Arrival { call: 99, request: "again".into(), ..read };
-    assert_eq!(error(&host.on(Event::Arrived(again))), Some(ErrorKind::Quarantined));
+    assert_eq!(error_answer(&host.handle(Event::Arrived(again))), Some(ErrorKind::Quarantined));
 }
 
 // A second copy of a booking arrives while the first one runs. It waits, and both callers get the
-// one answer; a third copy that comes later gets it from the ledger.
+// same answer; a later third copy gets it from the ledger.
 #[test]
 fn copies_of_a_booking_share_one_run() {
     let mut host = Host::new();
     let first = host.booking("k");
     let attempt_id = host.dispatch(first);
     let second = host.booking("k");
-    let actions = host.on(Event::Arrived(second));
-    assert_eq!((attempt(&actions), error(&actions)), (None, None));
+    let actions = host.handle(Event::Arrived(second));
+    assert_eq!((dispatched_attempt(&actions), error_answer(&actions)), (None, None));
     let actions = host.answer(attempt_id);
     let answers = actions.iter().filter(|action| matches!(action, Action::Answer { .. }));
     assert_eq!(answers.count(), 2);
     let third = host.booking("k");
-    let actions = host.on(Event::Arrived(third));
+    let actions = host.handle(Event::Arrived(third));
     assert_matches!(actions.as_slice(), [.., Action::Answer { answer: Answer::Kept { .. }, .. }]);
 }
 
-// The host was paused and its right to its targets ran out meanwhile. Another host may have filled
-// their slots, so nothing is sent until the right is confirmed again; then what waited goes out.
+// The host was paused past the end of its lease on its targets. Another host may have filled their
+// slots, so nothing is sent until the lease is renewed; then the queued requests are sent.
 #[test]
-fn nothing_is_sent_without_the_right() {
+fn nothing_is_sent_without_a_valid_lease() {
     let mut host = Host::new();
-    host.on(Event::Viewed { view: Arc::new(view(host.now + Duration::from_secs(4))) });
-    host.pass(Duration::from_secs(4));
+    host.handle(Event::Viewed { view: Arc::new(view(host.now + Duration::from_secs(4))) });
+    host.advance(Duration::from_secs(4));
     let arrival = host.arrival("read");
-    let actions = host.on(Event::Arrived(arrival));
-    assert_eq!((attempt(&actions), error(&actions)), (None, None));
+    let actions = host.handle(Event::Arrived(arrival));
+    assert_eq!((dispatched_attempt(&actions), error_answer(&actions)), (None, None));
     let actions =
-        host.on(Event::Viewed { view: Arc::new(view(host.now + Duration::from_secs(4))) });
-    assert!(attempt(&actions).is_some());
+        host.handle(Event::Viewed { view: Arc::new(view(host.now + Duration::from_secs(4))) });
+    assert!(dispatched_attempt(&actions).is_some());
 }
 
-// The owner of a binding is not known, is known and cannot be reached, or this host is told that it
-// is the owner and is not: then it sends the request no further. An earlier copy may have run, so
-// nobody may say `not run`.
+// The owner of a binding is unknown or unreachable, or a peer wrongly takes this host for the
+// owner, which then doesn't forward the request. An earlier copy may have run, so the error must
+// not say `not run`.
 #[test]
-fn a_missing_owner_is_never_not_run() {
+fn a_missing_ledger_owner_is_never_reported_as_not_run() {
     let stranger = Binding { generation: 0, host: "a-2".into(), incarnation: 9 };
     for via in [Via::Caller, Via::LedgerHop] {
         let mut host = Host::new();
         let arrival = Arrival { binding: Some(stranger.clone()), via, ..host.booking("k") };
-        let kind = error(&host.on(Event::Arrived(arrival)));
+        let kind = error_answer(&host.handle(Event::Arrived(arrival)));
         assert_eq!(kind.map(|kind| kind.row().ran), Some(Ran::Unknown), "{via:?}");
     }
     let mut host = Host::new();
     let mut known = view(host.now + Duration::from_secs(4));
     let owner = HostView { id: "a-2".into(), incarnation: 9, ..known.own.clone() };
     known.hosts.push(owner);
-    host.on(Event::Viewed { view: Arc::new(known) });
+    host.handle(Event::Viewed { view: Arc::new(known) });
     let arrival = Arrival { binding: Some(stranger), ..host.booking("k") };
     let sent_on = Arrival { call: 99, via: Via::LedgerHop, ..arrival.clone() };
-    assert_eq!(error(&host.on(Event::Arrived(sent_on))), Some(ErrorKind::OwnerGone));
-    let actions = host.on(Event::Arrived(arrival));
+    assert_eq!(error_answer(&host.handle(Event::Arrived(sent_on))), Some(ErrorKind::OwnerGone));
+    let actions = host.handle(Event::Arrived(arrival));
     let hop = actions.iter().find_map(|action| match action {
         Action::Forward { attempt, via: Via::LedgerHop, .. } => Some(*attempt),
         _ => None,
     });
     let actions = host.fail(hop.expect("it is carried to the owner"), ErrorKind::ConnectFailed);
-    assert_eq!(error(&actions), Some(ErrorKind::OwnerUnreachable));
+    assert_eq!(error_answer(&actions), Some(ErrorKind::OwnerUnreachable));
 }
 
-// A stopping host gets new work of both kinds. Nothing new is sent; a booking's binding is closed
-// for good, so its caller may go on with another; what already runs still gets its answer.
+// A stopping host gets a new booking and a new read. Neither is sent; the booking's binding is
+// closed permanently, so its caller may use another one. A running request still gets its answer.
 #[test]
-fn a_stopping_host_ends_what_runs_and_takes_nothing_new() {
+fn a_stopping_host_finishes_running_requests_and_refuses_new_ones() {
     let mut host = Host::new();
     let running = host.booking("k-1");
     let running = host.dispatch(running);
-    host.on(Event::Leave);
+    host.handle(Event::Leave);
     let booking = host.booking("k-2");
-    assert_eq!(error(&host.on(Event::Arrived(booking))), Some(ErrorKind::BindingClosed));
+    assert_eq!(error_answer(&host.handle(Event::Arrived(booking))), Some(ErrorKind::BindingClosed));
     let read = host.arrival("read");
-    assert_eq!(error(&host.on(Event::Arrived(read))), Some(ErrorKind::HostLeaving));
+    assert_eq!(error_answer(&host.handle(Event::Arrived(read))), Some(ErrorKind::HostLeaving));
     let actions = host.answer(running);
     let passed = Action::Answer { answer: Answer::Pass, call: 1 };
     assert!(actions.contains(&passed));
-    assert_eq!(host.steer.pending_calls(), 0);
+    assert_eq!(host.router.pending_calls(), 0);
 }
 
-// A booking comes before the manifest that opens its service, or is larger than this manifest
-// allows. Its ledger refuses the key for good, so that `not run` stays true when an earlier copy
-// arrives late, under a manifest by which it could run.
+// A booking arrives before the manifest that adds its service, or is larger than the manifest
+// allows. Its ledger refuses the key permanently, so that `not run` stays true if an earlier copy
+// arrives late, under a manifest that would allow it.
 #[test]
-fn a_booking_unfit_for_the_manifest_is_refused_by_its_ledger_for_good() {
+fn a_booking_that_the_manifest_forbids_is_refused_permanently() {
     let mut host = Host::new();
-    let known = host.steer.view.clone().unwrap();
+    let known = host.router.view.clone().unwrap();
     let mut closed = Manifest::clone(&known.manifest);
     closed.services.retain(|service| &*service.name != "book");
     let without = View { manifest: Arc::new(closed), ..View::clone(&known) };
-    host.on(Event::Viewed { view: Arc::new(without) });
+    host.handle(Event::Viewed { view: Arc::new(without) });
     let early = host.booking("k-1");
-    assert_eq!(error(&host.on(Event::Arrived(early))), Some(ErrorKind::ServiceUnknown));
-    host.on(Event::Viewed { view: known });
+    assert_eq!(error_answer(&host.handle(Event::Arrived(early))), Some(ErrorKind::ServiceUnknown));
+    host.handle(Event::Viewed { view: known });
     let large = Arrival { body_len: 101, ..host.booking("k-2") };
-    assert_eq!(error(&host.on(Event::Arrived(large))), Some(ErrorKind::BodyTooLarge));
+    assert_eq!(error_answer(&host.handle(Event::Arrived(large))), Some(ErrorKind::BodyTooLarge));
     for key in ["k-1", "k-2"] {
         let late = host.booking(key);
-        let actions = host.on(Event::Arrived(late));
-        assert_eq!((attempt(&actions), error(&actions)), (None, Some(ErrorKind::KeyRefused)));
+        let actions = host.handle(Event::Arrived(late));
+        assert_eq!(
+            (dispatched_attempt(&actions), error_answer(&actions)),
+            (None, Some(ErrorKind::KeyRefused))
+        );
     }
 }
 
-// Another host asks for a slot here, for a booking whose entry it holds, and this host's manifest
-// does not know the service. Its refusal is about this one attempt and proves that it did not run;
-// `unknown` would keep the holder of the entry from trying the next target.
+// Another host asks for a slot for a booking whose ledger entry it holds, and this host's manifest
+// does not contain the service. The refusal concerns this attempt only and proves that it did not
+// run; `unknown` would keep the holder of the entry from trying the next target.
 #[test]
-fn a_refused_slot_is_proof_for_the_holder_of_the_entry() {
+fn a_refused_slot_hop_proves_that_the_attempt_did_not_run() {
     let mut host = Host::new();
     let attempt = Arrival { service: "new".into(), via: Via::SlotHop, ..host.booking("k") };
-    assert_eq!(error(&host.on(Event::Arrived(attempt))), Some(ErrorKind::ServiceUnknown));
+    assert_eq!(
+        error_answer(&host.handle(Event::Arrived(attempt))),
+        Some(ErrorKind::ServiceUnknown)
+    );
 }
 
-// A host that has just started has no manifest, and a read with a stray key comes as well as a
-// booking that lost its binding. Only what can be a booking is answered with doubt.
+// A read with a superfluous key and a booking without its binding arrive, also at a host that has
+// no manifest yet. Only a request that may be a booking gets an error that says that an earlier
+// copy may have run.
 #[test]
-fn doubt_is_kept_for_what_can_be_a_booking() {
+fn only_possible_bookings_are_answered_as_unknown() {
     let mut host = Host::new();
     let read = Arrival { key: Some("k".into()), deadline: host.now, ..host.arrival("read") };
-    assert_eq!(error(&host.on(Event::Arrived(read))), Some(ErrorKind::DeadlinePassed));
+    assert_eq!(error_answer(&host.handle(Event::Arrived(read))), Some(ErrorKind::DeadlinePassed));
     let part = Arrival { key: Some("k".into()), ..host.arrival("book") };
-    assert_eq!(error(&host.on(Event::Arrived(part))), Some(ErrorKind::BookingIncomplete));
-    host.steer = Router::new("a-1".into(), 1, RouterLimits::default());
+    assert_eq!(
+        error_answer(&host.handle(Event::Arrived(part))),
+        Some(ErrorKind::BookingIncomplete)
+    );
+    host.router = Router::new("a-1".into(), 1, RouterLimits::default());
     let early = Arrival { key: Some("k".into()), ..host.arrival("book") };
-    assert_eq!(error(&host.on(Event::Arrived(early))), Some(ErrorKind::OwnerUnreachable));
+    assert_eq!(
+        error_answer(&host.handle(Event::Arrived(early))),
+        Some(ErrorKind::OwnerUnreachable)
+    );
     let bare = host.arrival("read");
-    assert_eq!(error(&host.on(Event::Arrived(bare))), Some(ErrorKind::NoManifest));
+    assert_eq!(error_answer(&host.handle(Event::Arrived(bare))), Some(ErrorKind::NoManifest));
 }
 
-// A host gets two bookings more than it has slots, one from its caller and one from the host that
-// holds its entry, and both wait. Then it stops, and its targets go to another host: no slot will
-// be free here again. Left in the queue until their deadlines, both ended as `unknown`; now one
-// goes to the new owner at once and the other is refused with proof.
+// A host has two queued bookings, one from its caller and one from the host that holds its ledger
+// entry. Then the host stops, and another one takes over its targets, so no slot will become free
+// here. Left in the queue until their deadlines, both would end as `unknown`. One must be forwarded
+// to the new owner at once, and the other refused as `not run`.
 #[test]
-fn what_waits_at_a_host_that_loses_its_targets_goes_on_at_once() {
+fn requests_queued_at_a_host_that_loses_its_targets_are_rerouted() {
     let mut host = Host::new();
     for key in ["k-1", "k-2"] {
         let running = host.booking(key);
@@ -407,14 +427,14 @@
     let hop = Arrival { via: Via::SlotHop, ..host.booking("k-4") };
     let (own_call, hop_call) = (own.call, hop.call);
     for waiting in [own, hop] {
-        let actions = host.on(Event::Arrived(waiting));
-        assert_eq!((attempt(&actions), error(&actions)), (None, None));
+        let actions = host.handle(Event::Arrived(waiting));
+        assert_eq!((dispatched_attempt(&actions), error_answer(&actions)), (None, None));
     }
     let mut given_up = view(Moment::ZERO);
     let successor = HostView { id: "a-2".into(), incarnation: 2, ..given_up.own.clone() };
     given_up.hosts.push(successor);
     given_up.tenure.owners = vec!["a-2".into()];
-    let actions = host.on(Event::Viewed { view: Arc::new(given_up) });
+    let actions = host.handle(Event::Viewed { view: Arc::new(given_up) });
     let forwarded = actions.iter().any(|action| {
         matches!(action, Action::Forward { call, via: Via::SlotHop, .. } if *call == own_call)
     });
@@ -428,11 +448,11 @@
     assert_eq!(refused, Some(Ran::No));
 }
 
-// A booking waits for a slot until almost no time is left, or gets its slot then. Sent to a target,
-// it would run for a caller that has hung up and be `unknown` to all; so it is refused with proof,
-// early enough for the caller to hear it.
+// A booking is still queued, or has to be retried, shortly before its deadline. Sent to a target,
+// it would run for a caller that has timed out, and its outcome would be `unknown`. So it is
+// refused as `not run`, early enough for the caller to be told.
 #[test]
-fn a_booking_is_not_started_in_its_last_moments() {
+fn a_booking_is_not_started_shortly_before_its_deadline() {
     let mut host = Host::new();
     for key in ["k-1", "k-2"] {
         let running = host.booking(key);
@@ -440,22 +460,25 @@
     }
     let waiting = host.booking("k-3");
     let deadline = waiting.deadline;
-    host.on(Event::Arrived(waiting));
-    host.pass(Duration::from_millis(4_550));
-    let actions = host.on(Event::Tick);
-    assert_eq!(error(&actions), Some(ErrorKind::DeadlinePassed));
+    host.handle(Event::Arrived(waiting));
+    host.advance(Duration::from_millis(4_550));
+    let actions = host.handle(Event::Tick);
+    assert_eq!(error_answer(&actions), Some(ErrorKind::DeadlinePassed));
     assert!(host.now < deadline);
 
     let mut host = Host::new();
     let late = host.booking("k-1");
     let running = host.dispatch(late);
-    host.pass(Duration::from_millis(4_550));
+    host.advance(Duration::from_millis(4_550));
     let actions = host.fail(running, ErrorKind::ConnectFailed);
-    assert_eq!((attempt(&actions), error(&actions)), (None, Some(ErrorKind::DeadlinePassed)));
+    assert_eq!(
+        (dispatched_attempt(&actions), error_answer(&actions)),
+        (None, Some(ErrorKind::DeadlinePassed))
+    );
 }
 
-/// Names of the invariants that were noted as broken.
-fn fired(actions: &[Action]) -> Vec<Arc<str>> {
+/// Names of the invariants that are recorded as broken.
+fn broken_invariants(actions: &[Action]) -> Vec<Arc<str>> {
     let name = |action: &Action| match action {
         Action::Note { kind: EventKind::InvariantBroken { name, .. }, .. } => Some(name.clone()),
         _ => None,
@@ -463,31 +486,32 @@
     actions.iter().filter_map(name).collect()
 }
 
-// A booking is sent twice at a time, or without its entry, or is answered by another owner although
-// it has an entry here. No input leads there; each state is forced, to see that it would be noted.
+// A booking has two attempts at once, is sent without a ledger entry, or is answered by another
+// owner although it has an entry here. No input leads to these states; each is forced to check that
+// its invariant is recorded as broken.
 #[test]
-fn broken_safeguards_of_bookings_are_noted() {
+fn broken_booking_invariants_are_recorded() {
     let mut host = Host::new();
     let booking = host.booking("k-1");
     let call = booking.call;
     host.dispatch(booking);
     let now = host.now;
-    host.steer.new_attempt(call, Place::Owner, now);
-    assert_eq!(fired(&host.on(Event::Tick)), ["one-attempt-a-booking".into()]);
+    host.router.start_attempt(call, Destination::LedgerOwner, now);
+    assert_eq!(broken_invariants(&host.handle(Event::Tick)), ["one-attempt-a-booking".into()]);
 
     let mut host = Host::new();
     let booking = host.booking("k-1");
     let call = booking.call;
     let attempt = host.dispatch(booking);
-    host.steer.calls.get_mut(&call).unwrap().in_ledger = false;
+    host.router.calls.get_mut(&call).unwrap().in_ledger = false;
     assert_eq!(
-        fired(&host.fail(attempt, ErrorKind::ConnectFailed)),
+        broken_invariants(&host.fail(attempt, ErrorKind::ConnectFailed)),
         ["entry-before-dispatch".into()]
     );
 
     let mut host = Host::new();
     let booking = host.booking("k-1");
     let attempt = host.dispatch(booking);
-    host.steer.attempts.get_mut(&attempt).unwrap().place = Place::Owner;
-    assert_eq!(fired(&host.answer(attempt)), ["one-owner-a-booking".into()]);
+    host.router.attempts.get_mut(&attempt).unwrap().destination = Destination::LedgerOwner;
+    assert_eq!(broken_invariants(&host.answer(attempt)), ["one-owner-a-booking".into()]);
 }
