--- a/src/measure/placement.rs
+++ b/src/measure/placement.rs
@@ -10,7 +10,7 @@
 use crate::{
     base::ManualClock,
     entry::{
-        KnownTarget, PlacementRequest, Repeat, Route, Search, TargetEntry, TrafficState, View,
+        Idempotency, KnownTarget, PlacementRequest, Route, Search, TargetEntry, TrafficState, View,
     },
     event_log::NoEvents,
     placement::Forecast,
@@ -60,7 +60,7 @@
             SocketAddr::from(([127, 0, 0, 1], 1)),
         );
         let bounds = Arc::new(ArcSwap::from_pointee(settings.bounds.clone()));
-        let state = TrafficState::open(
+        let state = TrafficState::new(
             Arc::new(settings),
             bounds,
             Arc::new(ManualClock::default()),
@@ -73,7 +73,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..(targets as f64 * RUNNING_A_TARGET) as usize {
             let at = rng.random_range(0..targets);
-            *view.elsewhere.entry(known[at].tag).or_default() += 1;
+            *view.in_flight_elsewhere.entry(known[at].tag).or_default() += 1;
         }
         view.targets.insert(service(), known);
         let objects = (targets as f64 * OBJECTS_A_TARGET).ceil() as u32;
@@ -90,7 +90,7 @@
             route: Arc::new(route()),
             service: service(),
             team: None,
-            tried: Vec::new(),
+            tried_targets: Vec::new(),
         }
     }
 
@@ -100,21 +100,21 @@
         let placement = self.state.place(&self.view, &wanted);
         if let Some(target) = &placement.target {
             let forecast = Forecast { object: wanted.object, ..placement.forecast };
-            drop(self.state.start(target, 0, forecast));
+            drop(self.state.start_attempt(target, 0, forecast));
         }
     }
 }
 
 /// Measures both ways of looking.
 pub fn measure(targets: usize, requests: usize) -> [Row; 2] {
-    [(Search::All, "all"), (Search::Few, "few")].map(|(search, name)| {
+    [(Search::All, "all"), (Search::Shortlist, "few")].map(|(search, name)| {
         let mut scene = Scene::new(targets, SEED);
         let mut spans: Histogram<u64> =
             Histogram::new_with_bounds(1, LONGEST_NS, 3).expect("the bounds are allowed");
         for _ in 0..requests {
             let wanted = scene.request();
             let since = Instant::now();
-            let placement = scene.state.place_by(search, &scene.view, &wanted);
+            let placement = scene.state.place_with_search(search, &scene.view, &wanted);
             let took = since.elapsed().as_nanos() as u64;
             std::hint::black_box(placement);
             spans.saturating_record(took);
@@ -139,7 +139,7 @@
 fn target(at: usize) -> Arc<KnownTarget> {
     let entry = TargetEntry {
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         id: format!("t-{at}").into(),
         ready: true,
         service: service(),
@@ -154,14 +154,14 @@
 
 fn route() -> Route {
     Route {
-        attempts: 2,
+        max_attempts: 2,
         key: "host/desk/".into(),
         objective: Duration::from_millis(800),
         prefix: "/desk/".into(),
         priority: 0,
         public: false,
-        regions: Vec::new(),
-        repeat: Repeat::Idempotent,
+        allowed_regions: Vec::new(),
+        idempotency: Idempotency::Idempotent,
         split: vec![(service(), 1.0)],
         sticky: true,
         timeout: Duration::from_secs(2),
