--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    CallerNote, KnownTarget, ReplyNote, Team, TrafficState,
+    CallerMetadata, KnownTarget, ReplyMetadata, Team, TrafficState,
     body_memory::BodyReservation,
     response::{
         CallerResponse, ResponseBody, StreamCompletion, StreamingBody, remove_hop_by_hop_headers,
@@ -50,7 +50,7 @@
     pub head: Parts,
     /// The key that identifies the request in the log.
     pub key: RequestKey,
-    pub note: CallerNote,
+    pub note: CallerMetadata,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
 }
@@ -102,11 +102,11 @@
         Err(error) => return guard.not_sent(&error),
     };
     guard.first_byte = Some(guard.elapsed());
-    let note = state.protocol.reply(response.status(), response.headers());
-    if note.not_run || note.other_target {
+    let note = state.protocol.reply_metadata(response.status(), response.headers());
+    if note.not_run || note.wrong_target {
         return guard.refused(&note, response, connection).await;
     }
-    let is_mismatched = note.attempt != request.note.attempt;
+    let is_mismatched = note.attempt_id != request.note.attempt_id;
     if is_mismatched || (response.status().is_success() && !note.signed) {
         // A response to an earlier request, or one that no target sent. Later responses on this
         // connection cannot be matched to their requests either, so it is closed.
@@ -144,7 +144,7 @@
     headers.remove(header::EXPECT);
     let time_left = request.deadline.saturating_sub(state.clock.now());
     let team = request.team.as_ref().map(|team| &team.name);
-    state.protocol.mark(headers, &target.entry.id, team, time_left);
+    state.protocol.add_target_headers(headers, &target.entry.id, team, time_left);
     req
 }
 
@@ -220,11 +220,11 @@
 
     async fn refused(
         &mut self,
-        note: &ReplyNote,
+        note: &ReplyMetadata,
         response: Response<Incoming>,
         connection: TargetConnection,
     ) -> AttemptOutcome {
-        if note.other_target {
+        if note.wrong_target {
             // Another target has taken over the address: the known entry is out of date.
             self.record_end(
                 HealthSignal::Unreachable,
@@ -244,7 +244,7 @@
 
     async fn receive_response(
         &mut self,
-        note: ReplyNote,
+        note: ReplyMetadata,
         response: Response<Incoming>,
         connection: TargetConnection,
         in_flight: InFlight,
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -40,7 +40,8 @@
 
     fn allows_region(&self, region: &RegionId) -> bool {
         let allow = |regions: &[RegionId]| regions.is_empty() || regions.contains(region);
-        allow(&self.route.regions) && self.team.as_ref().is_none_or(|team| allow(&team.regions))
+        allow(&self.route.allowed_regions)
+            && self.team.as_ref().is_none_or(|team| allow(&team.allowed_regions))
     }
 
     /// Regions with at least one target that the request may be sent to.
@@ -258,9 +259,12 @@
         let target_health = self.target_health.borrow();
         let health = target_health.get(&target.tag);
         let own_in_flight = health.map_or(0, |health| health.in_flight);
-        let elsewhere = view.elsewhere.get(&target.tag).copied().unwrap_or_default();
-        let reported =
-            view.slow.get(&target.tag).copied().filter(|_| self.tuning.use_reported_slowness);
+        let elsewhere = view.in_flight_elsewhere.get(&target.tag).copied().unwrap_or_default();
+        let reported = view
+            .slow_targets
+            .get(&target.tag)
+            .copied()
+            .filter(|_| self.tuning.use_reported_slowness);
         let cold = target.is_cold(now);
         let cold_unavailable = cold
             && (!is_cold_sender(target, &self.settings.host, &view.hosts)
--- a/src/entry/request_handler.rs
+++ b/src/entry/request_handler.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::{
-    Access, CallerKey, Declared, Repeat, Route, TrafficState, View,
+    Access, CallerKey, Declaration, Idempotency, Route, TrafficState, View,
     attempt::{AttemptOutcome, OutboundRequest, send_attempt},
     body_memory::BodyReservation,
     caller_io::Disconnect,
@@ -74,8 +74,8 @@
 ) -> Option<CallerResponse> {
     let accepted_at = state.clock.now();
     let (mut head, body) = req.into_parts();
-    let note = state.protocol.caller(&head.headers);
-    let key = state.new_request_key(note.attempt.as_ref());
+    let note = state.protocol.caller_metadata(&head.headers);
+    let key = state.new_request_key(note.attempt_id.as_ref());
     let version = Cell::new(0);
     let team_name: RefCell<Option<TeamId>> = RefCell::default();
     let refuse = |kind: ErrorKind, retry_after: Option<Duration>| {
@@ -109,9 +109,8 @@
         return refuse(ErrorKind::HostLeaving, Some(RETRY_AFTER_MIN));
     }
     let body = tokio::select! {
-        body = read_body(&state, &declared, body) => body,
-        () = disconnect.gone() => return None,
-    };
+    body =read_body(&state, &declared, body)=>body,()=disconnect.closed()=>return None,
+        };
     let (body, reservation) = match body {
         Ok(read) => read,
         Err(kind @ ErrorKind::HostBusy) => return refuse(kind, Some(RETRY_AFTER_DEFAULT)),
@@ -145,7 +144,7 @@
         body_bytes: body.len(),
         declaration: declared.version,
         fingerprint,
-        idempotent: route.repeat == Repeat::Idempotent,
+        idempotent: route.idempotency == Idempotency::Idempotent,
         left_ms: timeout.as_millis() as u64,
         route: route.key.clone(),
         service: service.clone(),
@@ -174,7 +173,7 @@
 pub fn may_start_early(state: &TrafficState, head: &Parts) -> bool {
     let declared = state.view().and_then(|view| view.declared.clone());
     let route = declared.and_then(|declared| find_route(&declared, head));
-    route.is_some_and(|route| route.repeat == Repeat::Idempotent)
+    route.is_some_and(|route| route.idempotency == Idempotency::Idempotent)
 }
 
 fn check_access(state: &TrafficState, view: &View, route: &Route, key: &CallerKey) -> Access {
@@ -183,7 +182,7 @@
     Access::check(declared, route, key, age, &state.bounds())
 }
 
-fn find_route(declared: &Declared, head: &Parts) -> Option<Arc<Route>> {
+fn find_route(declared: &Declaration, head: &Parts) -> Option<Arc<Route>> {
     declared.route(host_of(head)?, head.uri.path()).cloned()
 }
 
@@ -219,7 +218,7 @@
     async fn run(mut self, disconnect: Disconnect) -> Option<CallerResponse> {
         let mut attempts = Attempts::new();
         let mut progress = CallProgress::default();
-        let mut may_hedge = self.route.repeat == Repeat::Idempotent;
+        let mut may_hedge = self.route.idempotency == Idempotency::Idempotent;
         let mean_work = self.state.mean_work(&self.request.service);
         let hedge_after = mean_work.mul_f64(HEDGE_DELAY_FACTOR).max(HEDGE_DELAY_MIN);
         let mut hedge_at = self.state.clock.now() + hedge_after;
@@ -239,29 +238,27 @@
             let wake_at =
                 if may_hedge { hedge_at.min(self.request.deadline) } else { self.request.deadline };
             tokio::select! {
-                biased;
-                Some((target, outcome)) = attempts.next() => {
-                    if let Some(response) = progress.record(&target, outcome) {
-                        let outcome = RequestOutcome::from_target(target, progress.sent);
-                        return Some(self.log.record_answered(response, outcome));
-                    }
-                    // Not idempotent: a request that may have run must not be sent again.
-                    if progress.maybe_ran && self.route.repeat == Repeat::Once {
-                        return Some(self.final_response(progress));
-                    }
-                }
-                () = disconnect.gone() => return None,
-                () = tokio::time::sleep(wake_at.saturating_sub(now)) => {
-                    if self.request.deadline <= self.state.clock.now() {
-                        progress.maybe_ran = true;
-                        progress.error = Some(ErrorKind::DispatchTimeout);
-                        return Some(self.final_response(progress));
-                    }
-                    may_hedge = false;
-                    hedge_at = self.request.deadline;
-                    attempts.extend(self.launch_attempt(&mut progress, AttemptReason::Hedge));
-                }
-            }
+                            biased;
+                            Some((target, outcome)) = attempts.next() => {
+                                if let Some(response) = progress.record(&target, outcome) {
+                                    let outcome = RequestOutcome::from_target(target, progress.sent);
+                                    return Some(self.log.record_answered(response, outcome));
+                                }
+                                // Not idempotent: a request that may have run must not be sent again.
+            if progress.maybe_ran &&self.route.idempotency ==Idempotency::NonIdempotent { return Some(self.final_response(progress));
+                                }
+                            }
+            ()=disconnect.closed()=>return None,()=tokio::time::sleep(wake_at.saturating_sub(now))=>{
+                                if self.request.deadline <= self.state.clock.now() {
+                                    progress.maybe_ran = true;
+                                    progress.error = Some(ErrorKind::DispatchTimeout);
+                                    return Some(self.final_response(progress));
+                                }
+                                may_hedge = false;
+                                hedge_at = self.request.deadline;
+                                attempts.extend(self.launch_attempt(&mut progress, AttemptReason::Hedge));
+                            }
+                        }
         }
     }
 
@@ -271,7 +268,7 @@
         progress: &mut CallProgress,
         reason: AttemptReason,
     ) -> Option<Attempt> {
-        if self.route.attempts.max(1) <= progress.sent {
+        if self.route.max_attempts.max(1) <= progress.sent {
             return self.deny_retry(progress, "attempts of the route");
         }
         if MAX_UNREACHABLE_TARGETS <= progress.unreachable_targets {
@@ -416,7 +413,7 @@
 /// Reads the whole body, within the declared size limit and the memory limit of all bodies.
 async fn read_body(
     state: &TrafficState,
-    declared: &Declared,
+    declared: &Declaration,
     body: RequestBody,
 ) -> Result<(Bytes, BodyReservation), ErrorKind> {
     let mut reservation = state.body_memory.start_reservation();
@@ -426,7 +423,7 @@
         let frame = frame.map_err(|_| ErrorKind::BadRequest)?;
         // Trailers are hop-by-hop and are not forwarded.
         let Ok(bytes) = frame.into_data() else { continue };
-        if declared.body_bytes < bytes_read.len() + bytes.len() {
+        if declared.max_body_bytes < bytes_read.len() + bytes.len() {
             return Err(ErrorKind::BodyTooLarge);
         }
         if !reservation.grow(bytes.len()) {
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -103,7 +103,7 @@
             service: self.service.clone(),
             slots: target.entry.slots,
             target: target.entry.id.clone(),
-            view_age_ms: millis(now.saturating_sub(view.at)),
+            view_age_ms: millis(now.saturating_sub(view.published_at)),
             zone: target.entry.zone.clone(),
         };
         self.state.record(&self.key, event);
@@ -130,7 +130,7 @@
             room_in_ms: free_in.map(millis),
             service: self.service.clone(),
             shut: placement.unavailable,
-            view_age_ms: millis(self.state.clock.now().saturating_sub(view.at)),
+            view_age_ms: millis(self.state.clock.now().saturating_sub(view.published_at)),
             work_ms: millis(placement.mean_work),
         };
         self.state.record(&self.key, event);
--- a/src/entry/response.rs
+++ b/src/entry/response.rs
@@ -13,7 +13,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    CallerNote, KnownTarget, TrafficState, traffic_state::InFlight, upstream::TargetConnection,
+    CallerMetadata, KnownTarget, TrafficState, traffic_state::InFlight, upstream::TargetConnection,
 };
 use crate::{
     base::Ran,
@@ -126,7 +126,7 @@
 /// request has run: 503 promises that it has not and never will; 502 and 504 promise nothing.
 pub fn host_response(
     state: &TrafficState,
-    note: &CallerNote,
+    note: &CallerMetadata,
     kind: ErrorKind,
     retry_after: Option<Duration>,
 ) -> CallerResponse {
@@ -144,7 +144,7 @@
     let mut response = Response::new(ResponseBody::Whole(Full::new(body)));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
-    state.protocol.mark_own(headers, note);
+    state.protocol.add_own_response_headers(headers, note);
     if let Some(span) = retry_after
         && matches!(status, 429 | 503)
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64()))
