--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target.
+//! One attempt to have a target run a request.
 
 use std::rc::Rc;
 
@@ -8,11 +8,13 @@
 use hyper::body::Incoming;
 
 use super::{
-    CallerNote, KnownTarget, ReplyNote, Team, TrafficState,
-    answer::{Answer, AnswerBody, Relay, RelayEnd, strip},
-    bodies::HeldBody,
+    CallerMetadata, KnownTarget, ReplyMetadata, Team, TrafficState,
+    body_memory::BodyReservation,
+    response::{
+        CallerResponse, ResponseBody, StreamCompletion, StreamingBody, remove_hop_by_hop_headers,
+    },
     traffic_state::InFlight,
-    upstream::{Line, SendError, connect, keep_alive},
+    upstream::{SendError, TargetConnection, connect, keep_alive_timeout},
 };
 use crate::{
     base::with_cause,
@@ -21,104 +23,113 @@
     prelude::*,
 };
 
-/// Largest answer that is held whole before its head goes out: it can then be asked for again
-/// elsewhere if it breaks off. Larger ones are passed on as they arrive.
-const WHOLE_BYTES: u64 = 64 * 1024;
+/// Largest successful response that is buffered completely before its head goes to the caller, so
+/// that the request can be retried at another target if the response is cut off. Larger ones are
+/// streamed.
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// How an attempt ended.
 pub enum AttemptOutcome {
-    /// The target's answer, whole or on its way.
-    Answer(Answer),
-    /// The target's own failure, whole; another target may do better.
-    Poor(Answer),
-    /// It has not run there and never will.
+    /// The target's response, buffered or streaming.
+    Response(CallerResponse),
+    /// The target's error response, buffered; another target may succeed.
+    TargetError(CallerResponse),
+    /// The target has not run the request and never will.
     NotRun(ErrorKind),
-    /// It may have run.
+    /// The target may have run the request.
     Lost(ErrorKind),
 }
 
-/// One request, as each attempt needs it.
+/// A request in the form that all its attempts share.
 pub struct OutboundRequest {
     pub body: Bytes,
-    /// Its memory; free again when the last attempt has ended.
-    pub _held: HeldBody,
+    /// Memory reserved for the body, released when the last attempt has ended.
+    pub _body_reservation: BodyReservation,
     pub deadline: Moment,
     pub fingerprint: u64,
     pub head: Parts,
-    /// Names it in the log.
+    /// The key that identifies the request in the log.
     pub key: RequestKey,
-    pub note: CallerNote,
+    pub note: CallerMetadata,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
 }
 
-/// Sends the request to a target and takes its answer in.
+/// Sends the request to a target and receives the response.
 pub async fn send_attempt(
     state: Rc<TrafficState>,
     request: Rc<OutboundRequest>,
     target: Arc<KnownTarget>,
-    running: InFlight,
+    in_flight: InFlight,
 ) -> AttemptOutcome {
     let mut guard = AttemptGuard {
         state: state.clone(),
         request: request.clone(),
         target: target.clone(),
-        forecast: running.forecast,
-        started: running.started,
-        connect: None,
-        done: false,
+        forecast: in_flight.forecast,
+        started: in_flight.started,
+        connect_time: None,
+        is_recorded: false,
         first_byte: None,
     };
-    let mut line = match line(&state, &target).await {
-        Ok(line) => line,
-        Err(error) => return guard.unsent(&error),
+    let mut connection = match acquire_connection(&state, &target).await {
+        Ok(connection) => connection,
+        Err(error) => return guard.not_sent(&error),
     };
-    guard.connect = (!line.reused).then(|| guard.took());
-    if let Some(took) = guard.connect {
-        state.connected(&target, took);
+    guard.connect_time = (!connection.reused).then(|| guard.elapsed());
+    if let Some(took) = guard.connect_time {
+        state.record_connect(&target, took);
     }
-    let mut sent = line.send(order(&state, &request, &target)).await;
+    let mut sent = connection.send(build_request(&state, &request, &target)).await;
     if let Err(SendError::NotSent(reason)) = &sent
-        && line.reused
+        && connection.reused
     {
-        // The target closed an idle connection; no byte was written, so a new one may serve.
-        log::debug!("{}: idle connection was closed: {reason}", target.entry.id);
-        line = match connect(target.entry.addr).await {
-            Ok(line) => line,
-            Err(error) => return guard.unsent(&error),
+        // The target had closed the idle connection. No byte was written, so the request can be
+        // sent over a new connection.
+        log::debug!(
+            "{}: the target closed the idle connection: {reason}; connecting again",
+            target.entry.id
+        );
+        connection = match connect(target.entry.addr).await {
+            Ok(connection) => connection,
+            Err(error) => return guard.not_sent(&error),
         };
-        sent = line.send(order(&state, &request, &target)).await;
+        sent = connection.send(build_request(&state, &request, &target)).await;
     }
-    let answer = match sent {
-        Ok(answer) => answer,
+    let response = match sent {
+        Ok(response) => response,
         Err(SendError::Lost(reason)) => return guard.lost(&reason),
-        Err(error) => return guard.unsent(&error),
+        Err(error) => return guard.not_sent(&error),
     };
-    guard.first_byte = Some(guard.took());
-    let note = state.protocol.reply(answer.status(), answer.headers());
-    if note.not_run || note.other_target {
-        return guard.refused(&note, answer, line).await;
+    guard.first_byte = Some(guard.elapsed());
+    let note = state.protocol.reply_metadata(response.status(), response.headers());
+    if note.not_run || note.wrong_target {
+        return guard.refused(&note, response, connection).await;
     }
-    let strange = note.attempt != request.note.attempt;
-    if strange || (answer.status().is_success() && !note.signed) {
-        // An answer to an earlier request, or one that no target gave. Whatever comes on this
-        // connection next can't be told from it, so the connection is closed.
-        return guard.lost("the answer is another request's");
+    let is_mismatched = note.attempt_id != request.note.attempt_id;
+    if is_mismatched || (response.status().is_success() && !note.signed) {
+        // A response to an earlier request, or one that no target sent. Later responses on this
+        // connection cannot be matched to their requests either, so it is closed.
+        return guard
+            .lost("the response belongs to another request, or lacks the target's signature");
     }
-    guard.take(note, answer, line, running).await
+    guard.receive_response(note, response, connection, in_flight).await
 }
 
-/// An idle connection, or a new one.
-async fn line(state: &TrafficState, target: &KnownTarget) -> super::upstream::Result<Line> {
+/// Takes an idle connection to the target, or opens a new one.
+async fn acquire_connection(
+    state: &TrafficState,
+    target: &KnownTarget,
+) -> super::upstream::Result<TargetConnection> {
     let idle = state.pool.borrow_mut().take(target, state.clock.now());
     match idle {
-        Some(line) => Ok(line),
+        Some(connection) => Ok(connection),
         None => connect(target.entry.addr).await,
     }
 }
 
-/// The request as the target gets it.
-fn order(
+/// Builds the request that is sent to the target.
+fn build_request(
     state: &TrafficState,
     request: &OutboundRequest,
     target: &KnownTarget,
@@ -128,23 +139,24 @@
     *req.uri_mut() = request.head.uri.clone();
     let headers = req.headers_mut();
     *headers = request.head.headers.clone();
-    strip(headers);
+    remove_hop_by_hop_headers(headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    let left = request.deadline.saturating_sub(state.clock.now());
+    let time_left = request.deadline.saturating_sub(state.clock.now());
     let team = request.team.as_ref().map(|team| &team.name);
-    state.protocol.mark(headers, &target.entry.id, team, left);
+    state.protocol.add_target_headers(headers, &target.entry.id, team, time_left);
     req
 }
 
-/// Tells the state how the attempt ended, also when it is dropped half way.
+/// Records how the attempt ended; an attempt that is dropped before its end is recorded as
+/// cancelled.
 struct AttemptGuard {
     forecast: Forecast,
     state: Rc<TrafficState>,
-    /// Time to a new connection.
-    connect: Option<Duration>,
-    done: bool,
-    /// Time to the head of the answer.
+    /// Time taken to open a new connection; `None` for a reused one.
+    connect_time: Option<Duration>,
+    is_recorded: bool,
+    /// Time until the head of the response arrived.
     first_byte: Option<Duration>,
     request: Rc<OutboundRequest>,
     started: Moment,
@@ -153,129 +165,132 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if !self.done {
-            let took = self.took();
-            self.ended(
+        if !self.is_recorded {
+            let took = self.elapsed();
+            self.record_end(
                 HealthSignal::Cancelled(took),
                 AttemptEnd::Cancelled,
-                "nobody waits for it any more",
+                "cancelled: its response is no longer needed",
             );
         }
     }
 }
 
 impl AttemptGuard {
-    /// The time without that for a new connection.
-    fn answered(&self) -> HealthSignal {
-        HealthSignal::Answered(self.took().saturating_sub(self.connect.unwrap_or_default()))
+    /// The signal for an answered attempt. Its time leaves out that for opening a new connection.
+    fn answered_signal(&self) -> HealthSignal {
+        HealthSignal::Answered(self.elapsed().saturating_sub(self.connect_time.unwrap_or_default()))
     }
 
-    fn took(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         self.state.clock.now().saturating_sub(self.started)
     }
 
-    fn ended(&mut self, ended: HealthSignal, end: AttemptEnd, detail: &str) {
-        self.done = true;
-        let left = self.request.deadline.saturating_sub(self.state.clock.now());
+    fn record_end(&mut self, signal: HealthSignal, end: AttemptEnd, detail: &str) {
+        self.is_recorded = true;
+        let time_left = self.request.deadline.saturating_sub(self.state.clock.now());
         let event = Event::AttemptEnded {
-            connect_ms: self.connect.map(|took| took.as_millis() as u64),
-            left_ms: left.as_millis() as u64,
+            connect_ms: self.connect_time.map(|took| took.as_millis() as u64),
+            left_ms: time_left.as_millis() as u64,
             end,
             first_byte_ms: self.first_byte.map(|took| took.as_millis() as u64),
             detail: detail.into(),
             service: self.request.service.clone(),
             target: self.target.entry.id.clone(),
-            took_ms: self.took().as_millis() as u64,
+            took_ms: self.elapsed().as_millis() as u64,
         };
         self.state.record(&self.request.key, event);
-        self.state.ended(&self.target, &self.request.service, &self.forecast, ended);
+        self.state.record_attempt_end(&self.target, &self.request.service, &self.forecast, signal);
     }
 
-    fn unsent(&mut self, error: &SendError) -> AttemptOutcome {
-        let ended = match error {
+    fn not_sent(&mut self, error: &SendError) -> AttemptOutcome {
+        let signal = match error {
             SendError::Unreachable(_) => HealthSignal::Unreachable,
             _ => HealthSignal::Failed,
         };
-        self.ended(ended, AttemptEnd::Unreachable, &error.to_string());
+        self.record_end(signal, AttemptEnd::Unreachable, &error.to_string());
         AttemptOutcome::NotRun(ErrorKind::ConnectFailed)
     }
 
     fn lost(&mut self, reason: &str) -> AttemptOutcome {
-        self.ended(HealthSignal::Failed, AttemptEnd::Lost, reason);
+        self.record_end(HealthSignal::Failed, AttemptEnd::Lost, reason);
         self.state.check_for_crash(&self.target, &self.request.service);
         AttemptOutcome::Lost(ErrorKind::DispatchLost)
     }
 
     async fn refused(
         &mut self,
-        note: &ReplyNote,
-        answer: Response<Incoming>,
-        line: Line,
+        note: &ReplyMetadata,
+        response: Response<Incoming>,
+        connection: TargetConnection,
     ) -> AttemptOutcome {
-        if note.other_target {
-            // The address has a new owner: the entry is out of date.
-            self.ended(
+        if note.wrong_target {
+            // Another target has taken over the address: the known entry is out of date.
+            self.record_end(
                 HealthSignal::Unreachable,
                 AttemptEnd::WrongTarget,
-                "another target is there",
+                "another target answers at this address",
             );
             return AttemptOutcome::NotRun(ErrorKind::NoTarget);
         }
-        self.ended(HealthSignal::Full, AttemptEnd::Shed, answer.status().as_str());
-        let keep = keep_alive(answer.headers());
-        if answer.into_body().collect().await.is_ok() {
+        self.record_end(HealthSignal::Full, AttemptEnd::Shed, response.status().as_str());
+        let keep_alive = keep_alive_timeout(response.headers());
+        if response.into_body().collect().await.is_ok() {
             let now = self.state.clock.now();
-            self.state.pool.borrow_mut().put(&self.target, line, keep, now);
+            self.state.pool.borrow_mut().put(&self.target, connection, keep_alive, now);
         }
         AttemptOutcome::NotRun(ErrorKind::Shed)
     }
 
-    async fn take(
+    async fn receive_response(
         &mut self,
-        note: ReplyNote,
-        answer: Response<Incoming>,
-        line: Line,
-        running: InFlight,
+        note: ReplyMetadata,
+        response: Response<Incoming>,
+        connection: TargetConnection,
+        in_flight: InFlight,
     ) -> AttemptOutcome {
-        let status = answer.status();
-        let (mut head, body) = answer.into_parts();
-        let keep = keep_alive(&head.headers);
-        strip(&mut head.headers);
+        let status = response.status();
+        let (mut head, body) = response.into_parts();
+        let keep_alive = keep_alive_timeout(&head.headers);
+        remove_hop_by_hop_headers(&mut head.headers);
         let size = http_body::Body::size_hint(&body).exact();
-        if size.is_none_or(|size| WHOLE_BYTES < size) && status.is_success() {
-            self.ended(self.answered(), AttemptEnd::Answered, status.as_str());
-            let end = RelayEnd {
+        if size.is_none_or(|size| MAX_BUFFERED_BYTES < size) && status.is_success() {
+            self.record_end(self.answered_signal(), AttemptEnd::Answered, status.as_str());
+            let completion = StreamCompletion {
                 state: self.state.clone(),
-                keep,
-                line,
+                keep_alive,
+                connection,
                 key: self.request.key.clone(),
-                running,
+                in_flight,
                 service: self.request.service.clone(),
                 target: self.target.clone(),
             };
-            let relay = Relay { body, ended: Some(Box::new(end)) };
-            return AttemptOutcome::Answer(Response::from_parts(head, AnswerBody::Stream(relay)));
+            let body = StreamingBody { body, completion: Some(Box::new(completion)) };
+            return AttemptOutcome::Response(Response::from_parts(
+                head,
+                ResponseBody::Stream(body),
+            ));
         }
-        let whole = match body.collect().await {
-            Ok(whole) => whole.to_bytes(),
+        let bytes = match body.collect().await {
+            Ok(bytes) => bytes.to_bytes(),
             Err(error) => {
-                return self.lost(&format!("the answer broke off: {}", with_cause(&error)));
+                return self.lost(&format!("the response was cut off: {}", with_cause(&error)));
             }
         };
         let now = self.state.clock.now();
-        self.state.pool.borrow_mut().put(&self.target, line, keep, now);
-        let answered = self.answered();
-        let answer = Response::from_parts(head, AnswerBody::Whole(Full::new(whole)));
+        self.state.pool.borrow_mut().put(&self.target, connection, keep_alive, now);
+        let signal = self.answered_signal();
+        let response = Response::from_parts(head, ResponseBody::Whole(Full::new(bytes)));
         if status.is_server_error() {
-            self.ended(HealthSignal::Failed, AttemptEnd::Failed, status.as_str());
+            self.record_end(HealthSignal::Failed, AttemptEnd::Failed, status.as_str());
             return if note.signed {
-                AttemptOutcome::Poor(answer)
+                AttemptOutcome::TargetError(response)
             } else {
                 AttemptOutcome::Lost(ErrorKind::AnswerBroken)
             };
         }
-        self.ended(answered, AttemptEnd::Answered, status.as_str());
-        self.state.cleared(self.request.fingerprint);
-        AttemptOutcome::Answer(answer)
+        self.record_end(signal, AttemptEnd::Answered, status.as_str());
+        self.state.clear_crash_suspect(self.request.fingerprint);
+        AttemptOutcome::Response(response)
     }
 }
--- a/src/entry/control/messages.rs
+++ b/src/entry/control/messages.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     entry::{
-        EntrySettings, Part, Revisions,
-        records::HostRecord,
+        EntrySettings, Revisions, StorePart,
+        stale_records::HostRecord,
         sync::{self, ReceivedState},
     },
     prelude::*,
@@ -11,7 +11,7 @@
 };
 
 /// News from the store.
-pub struct StoreUpdate(pub Part, pub Followed);
+pub struct StoreUpdate(pub StorePart, pub Followed);
 
 /// A datagram from another host.
 pub struct Datagram(pub Vec<u8>);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -6,28 +6,28 @@
 //! nor do I/O; the rest of the slice carries them out.
 
 mod access;
-mod answer;
 mod attempt;
-mod bodies;
+mod body_memory;
 mod caller_io;
 mod control;
 mod crash_suspects;
-mod declared;
-mod exchange;
+mod declaration;
 mod host;
 mod known_state;
+mod listeners;
 mod lookup;
-mod part;
-mod pipeline;
+mod peer_queries;
+mod pipelining;
 mod place;
 mod protocol;
-mod questions;
-mod records;
+mod request_handler;
 mod request_log;
-mod serve;
+mod response;
 mod service_state;
 mod settings;
 mod settings_file;
+mod stale_records;
+mod store_part;
 mod strain;
 mod sync;
 mod target;
@@ -37,23 +37,25 @@
 mod traffic_state;
 mod upstream;
 mod view;
-mod watchers;
+mod watcher_election;
 
 pub use self::{
     access::Access,
     control::EntryControl,
     crash_suspects::CrashSuspects,
-    declared::{Declared, DeclaredVersion, Repeat, Route, ServiceRules},
+    declaration::{Declaration, DeclarationVersion, Idempotency, Route, ServiceRules},
     host::{EntryHost, EntryParts, OpenError},
     known_state::{KnownState, Revisions, Stamp, UsableTargets},
-    part::Part,
     place::{Placement, PlacementRequest, Search},
-    protocol::{CallerNote, LookupPlace, Protocol, ReplyNote, StoreKeys, Unreadable},
+    protocol::{
+        CallerLocation, CallerMetadata, DecodeError, Protocol, ReplyMetadata, StorePrefixes,
+    },
     settings::{Bounds, EntrySettings, Listen},
-    settings_file::{Look, SettingsFile, reloaded},
+    settings_file::{SettingsChange, SettingsFile, reload_event},
+    store_part::StorePart,
     target::{KnownTarget, TargetEntry},
     team::{CallerKey, KeyDigest, Team, TeamError, TeamLimit, Teams},
     traffic_state::{BoundsCell, TrafficState},
-    upstream::Pool,
+    upstream::ConnectionPool,
     view::{LiveHost, View, ViewCell},
 };
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -1,8 +1,8 @@
-//! The log of one request on one host, from its acceptance to its end.
+//! Writes the log events of one request on one host, from its acceptance to its end.
 
 use std::{cell::Cell, rc::Rc};
 
-use super::{KnownTarget, TrafficState, View, answer::Answer, place::Placement};
+use super::{KnownTarget, TrafficState, View, place::Placement, response::CallerResponse};
 use crate::{
     base::Ran,
     event_log::{AttemptReason, End, Event, RequestKey},
@@ -10,9 +10,9 @@
     prelude::*,
 };
 
-/// How a request ended, beside the answer itself.
-pub struct Outcome {
-    /// The host's own reason; `None` where the target's answer is passed on.
+/// How a request ended, apart from the response itself.
+pub struct RequestOutcome {
+    /// Why the host answered by itself; `None` if it passes on a target's response.
     error: Option<ErrorKind>,
     ran: Ran,
     retry_after: Option<Duration>,
@@ -20,14 +20,14 @@
     target: Option<TargetId>,
 }
 
-impl Outcome {
-    /// A target's answer is passed on.
-    pub fn of_target(target: TargetId, sent: u32) -> Self {
+impl RequestOutcome {
+    /// The outcome of a request whose response comes from a target.
+    pub fn from_target(target: TargetId, sent: u32) -> Self {
         Self { error: None, ran: Ran::Yes, retry_after: None, sent, target: Some(target) }
     }
 
-    /// The host answers itself.
-    pub fn own(error: ErrorKind, sent: u32, retry_after: Option<Duration>) -> Self {
+    /// The outcome of a request that the host answers by itself.
+    pub fn from_host(error: ErrorKind, sent: u32, retry_after: Option<Duration>) -> Self {
         let ran = error.row().ran;
         let retry_after = retry_after.filter(|_| ran == Ran::No);
         Self { error: Some(error), ran, retry_after, sent, target: None }
@@ -44,7 +44,8 @@
     }
 }
 
-/// Tells of one request; dropped before an answer, it tells that the caller has left.
+/// Writes the log events of one request. If dropped before a response was recorded, it records that
+/// the caller has left.
 pub struct RequestLog {
     state: Rc<TrafficState>,
     ended: Cell<bool>,
@@ -52,29 +53,29 @@
     objective: Duration,
     sent: Cell<u32>,
     service: ServiceId,
-    since: Moment,
+    accepted_at: Moment,
 }
 
 impl RequestLog {
-    /// The log of a request that was accepted at `since`.
+    /// Creates the log of a request that was accepted at `accepted_at`.
     pub fn new(
         state: Rc<TrafficState>,
         key: RequestKey,
         service: ServiceId,
         objective: Duration,
-        since: Moment,
+        accepted_at: Moment,
     ) -> Self {
         let (ended, sent) = (Cell::new(false), Cell::new(0));
-        Self { state, ended, key, objective, sent, service, since }
+        Self { state, ended, key, objective, sent, service, accepted_at }
     }
 
-    /// Names the request.
+    /// The key that identifies the request in the log.
     pub fn key(&self) -> &RequestKey {
         &self.key
     }
 
-    /// It goes to a target.
-    pub fn sent(
+    /// Records that the request is sent to a target.
+    pub fn record_sent(
         &self,
         view: &View,
         placement: &Placement,
@@ -86,13 +87,13 @@
         self.sent.set(attempt);
         let now = self.state.clock.now();
         let expected = match placement.choice {
-            Choice::Send(offer) => offer.expected(),
+            Choice::Send(estimate) => estimate.expected(),
             _ => Duration::ZERO,
         };
         let event = Event::Sent {
             attempt,
             cold: target.is_cold(now),
-            declaration: version(view),
+            declaration: declaration_version(view),
             expected_ms: millis(expected),
             knows_percent: (placement.forecast.hit_probability * 100.0).round() as u8,
             left_ms: millis(deadline.saturating_sub(now)),
@@ -102,50 +103,54 @@
             service: self.service.clone(),
             slots: target.entry.slots,
             target: target.entry.id.clone(),
-            view_age_ms: millis(now.saturating_sub(view.at)),
+            view_age_ms: millis(now.saturating_sub(view.published_at)),
             zone: target.entry.zone.clone(),
         };
         self.state.record(&self.key, event);
     }
 
-    /// No target can take it.
-    pub fn not_placed(
+    /// Records that no target can take the request.
+    pub fn record_not_placed(
         &self,
         view: &View,
         placement: &Placement,
         error: ErrorKind,
-        room_in: Option<Duration>,
+        free_in: Option<Duration>,
     ) {
         let event = Event::NotPlaced {
             candidates: placement.candidates,
-            cold: placement.cold,
-            crowded: placement.crowded.as_ref().map(|(target, _)| target.clone()),
-            declaration: version(view),
+            cold: placement.cold_candidates,
+            crowded: placement.best_busy.as_ref().map(|(target, _)| target.clone()),
+            declaration: declaration_version(view),
             error,
-            expected_ms: placement.crowded.as_ref().map(|(_, expected)| millis(*expected)),
+            expected_ms: placement.best_busy.as_ref().map(|(_, expected)| millis(*expected)),
             free_elsewhere: placement.free_elsewhere,
             limit_ms: millis(placement.limit),
             region: placement.region.clone(),
-            room_in_ms: room_in.map(millis),
+            room_in_ms: free_in.map(millis),
             service: self.service.clone(),
-            shut: placement.shut,
-            view_age_ms: millis(self.state.clock.now().saturating_sub(view.at)),
-            work_ms: millis(placement.work),
+            shut: placement.unavailable,
+            view_age_ms: millis(self.state.clock.now().saturating_sub(view.published_at)),
+            work_ms: millis(placement.mean_work),
         };
         self.state.record(&self.key, event);
     }
 
-    /// A further attempt is not allowed by `limit`.
-    pub fn retry_denied(&self, limit: &str, sent: u32) {
+    /// Records that `limit` does not allow a further attempt.
+    pub fn record_retry_denied(&self, limit: &str, sent: u32) {
         let event = Event::RetryDenied { limit: limit.into(), sent, service: self.service.clone() };
         self.state.record(&self.key, event);
     }
 
-    /// Its answer goes out.
-    pub fn answered(&self, answer: Answer, outcome: Outcome) -> Answer {
+    /// Records the response and passes it through.
+    pub fn record_answered(
+        &self,
+        response: CallerResponse,
+        outcome: RequestOutcome,
+    ) -> CallerResponse {
         self.ended.set(true);
-        let took = self.took();
-        let status = answer.status();
+        let took = self.elapsed();
+        let status = response.status();
         let event = Event::Answered {
             end: outcome.end(status.is_success(), self.objective < took),
             error: outcome.error,
@@ -159,11 +164,11 @@
             took_ms: millis(took),
         };
         self.state.record(&self.key, event);
-        answer
+        response
     }
 
-    fn took(&self) -> Duration {
-        self.state.clock.now().saturating_sub(self.since)
+    fn elapsed(&self) -> Duration {
+        self.state.clock.now().saturating_sub(self.accepted_at)
     }
 }
 
@@ -175,7 +180,7 @@
         let event = Event::CallerLeft {
             sent: self.sent.get(),
             service: self.service.clone(),
-            took_ms: millis(self.took()),
+            took_ms: millis(self.elapsed()),
         };
         self.state.record(&self.key, event);
     }
@@ -185,6 +190,6 @@
     span.as_millis() as u64
 }
 
-fn version(view: &View) -> u64 {
+fn declaration_version(view: &View) -> u64 {
     view.declared.as_ref().map_or(0, |declared| declared.version)
 }
--- a/src/placement/tests/target_index.rs
+++ b/src/placement/tests/target_index.rs
@@ -16,20 +16,27 @@
 fn a_shortlist_selects_nearly_the_same_targets() {
     for (targets, seed) in [(16, 1), (120, 2), (606, 3), (606, 4)] {
         let mut scene = Scene::new(targets, seed);
-        let (mut same, mut sent, mut few_secs, mut all_secs) = (0, 0, 0.0, 0.0);
+        let (mut same, mut sent, mut shortlisted_secs, mut all_secs) = (0, 0, 0.0, 0.0);
         for _ in 0..1_000 {
             let query = scene.request();
-            let all = scene.state.place_by(Search::All, &scene.view, &query);
-            let few = scene.state.place_by(Search::Few, &scene.view, &query);
-            assert_eq!(all.target.is_some(), few.target.is_some(), "{targets} targets: {query:?}");
-            let (Some(best), Some(chosen)) = (&all.target, &few.target) else { continue };
+            let all = scene.state.place_with_search(Search::All, &scene.view, &query);
+            let shortlisted = scene.state.place_with_search(Search::Shortlist, &scene.view, &query);
+            assert_eq!(
+                all.target.is_some(),
+                shortlisted.target.is_some(),
+                "{targets} targets: {query:?}"
+            );
+            let (Some(best), Some(chosen)) = (&all.target, &shortlisted.target) else { continue };
             sent += 1;
             same += usize::from(best.tag == chosen.tag);
             all_secs += all.forecast.expected.as_secs_f64();
-            few_secs += few.forecast.expected.as_secs_f64();
+            shortlisted_secs += shortlisted.forecast.expected.as_secs_f64();
         }
         assert!(sent * 9 <= same * 10, "{targets} targets: {same} of {sent}");
-        assert!(few_secs <= all_secs * 1.02, "{targets} targets: {few_secs} {all_secs}");
+        assert!(
+            shortlisted_secs <= all_secs * 1.02,
+            "{targets} targets: {shortlisted_secs} {all_secs}"
+        );
     }
 }
 
