--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 pub use self::{
-    queue::{Full, Queue},
-    retry_budget::{Allowance, RetryBudget},
+    queue::{Queue, QueueFull},
+    retry_budget::{RetryAllowance, RetryBudget},
     slots::{OwnedTarget, SlotId, Slots},
 };
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -7,7 +7,7 @@
 /// The queue is full of requests that can still be served in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the queue is full; come back after Retry-After")]
-pub struct Full;
+pub struct QueueFull;
 
 /// First in, first out, bounded; hopeless requests never leave it towards a target.
 ///
@@ -16,9 +16,9 @@
 #[derive(Debug)]
 pub struct Queue {
     capacity: usize,
-    /// Hopeless ones that made room for newcomers, until `expire` hands them out.
+    /// Hopeless ones that made room for newcomers, until `take_expired` hands them out.
     evicted: Vec<RequestId>,
-    expected: Duration,
+    expected_time: Duration,
     waiting: VecDeque<Waiting>,
 }
 
@@ -30,20 +30,25 @@
 
 impl Queue {
     /// A queue of at most `capacity` requests that take about `expected` each.
-    pub fn new(capacity: usize, expected: Duration) -> Self {
-        Self { capacity, evicted: Vec::new(), expected, waiting: VecDeque::new() }
+    pub fn new(capacity: usize, expected_time: Duration) -> Self {
+        Self { capacity, evicted: Vec::new(), expected_time, waiting: VecDeque::new() }
     }
 
     /// Takes up a new estimate of the service's time.
-    pub fn set_expected(&mut self, expected: Duration) {
-        self.expected = expected;
+    pub fn set_expected_time(&mut self, expected_time: Duration) {
+        self.expected_time = expected_time;
     }
 
-    /// Adds a request. When full, the oldest hopeless one goes (see `expire`), else the newcomer.
-    pub fn push(&mut self, request: RequestId, deadline: Moment, now: Moment) -> Result<(), Full> {
+    /// Adds a request. When full, the oldest hopeless one goes (see `take_expired`), else the newcomer.
+    pub fn push(
+        &mut self,
+        request: RequestId,
+        deadline: Moment,
+        now: Moment,
+    ) -> Result<(), QueueFull> {
         if self.capacity <= self.waiting.len() {
             let hopeless = self.waiting.iter().position(|waiting| self.is_hopeless(waiting, now));
-            let evicted = hopeless.and_then(|index| self.waiting.remove(index)).ok_or(Full)?;
+            let evicted = hopeless.and_then(|index| self.waiting.remove(index)).ok_or(QueueFull)?;
             self.evicted.push(evicted.request);
         }
         self.add(Waiting { deadline, request });
@@ -52,20 +57,20 @@
 
     /// Adds a request without asking for room, to see the invariant fire.
     #[cfg(test)]
-    pub(super) fn push_unasked(&mut self, request: RequestId, deadline: Moment) {
+    pub(super) fn push_unchecked(&mut self, request: RequestId, deadline: Moment) {
         self.add(Waiting { deadline, request });
     }
 
-    /// The oldest request that can still be served in time; hopeless ones wait for `expire`.
+    /// The oldest request that can still be served in time; hopeless ones wait for `take_expired`.
     pub fn pop(&mut self, now: Moment) -> Option<RequestId> {
         let index = self.waiting.iter().position(|waiting| !self.is_hopeless(waiting, now))?;
         self.waiting.remove(index).map(|waiting| waiting.request)
     }
 
     /// Takes out every hopeless request, oldest first.
-    pub fn expire(&mut self, now: Moment) -> Vec<RequestId> {
+    pub fn take_expired(&mut self, now: Moment) -> Vec<RequestId> {
         let mut expired = std::mem::take(&mut self.evicted);
-        let latest = now + self.expected;
+        let latest = now + self.expected_time;
         self.waiting.retain(|waiting| {
             let hopeless = waiting.deadline < latest;
             if hopeless {
@@ -88,7 +93,7 @@
     /// When the next waiting request turns hopeless.
     pub fn next_expiry(&self) -> Option<Moment> {
         let deadline = self.waiting.iter().map(|waiting| waiting.deadline).min()?;
-        Some(deadline.saturating_sub(self.expected))
+        Some(deadline.saturating_sub(self.expected_time))
     }
 
     /// Requests that wait.
@@ -108,6 +113,6 @@
     }
 
     fn is_hopeless(&self, waiting: &Waiting, now: Moment) -> bool {
-        waiting.deadline < now + self.expected
+        waiting.deadline < now + self.expected_time
     }
 }
--- a/src/admission/retry_budget.rs
+++ b/src/admission/retry_budget.rs
@@ -5,24 +5,24 @@
 /// Length of the sliding window, in buckets of one second.
 const BUCKETS: usize = 10;
 /// Retries that a window allows on top of the share, so that a quiet service can retry at all.
-const FLOOR: f64 = 3.0;
+const RETRY_SLACK: f64 = 3.0;
 /// Part of the budget that hedges may use up: failures must still find some.
-const HEDGE_PART: f64 = 0.5;
+const HEDGE_SHARE: f64 = 0.5;
 /// Retries as a share of first attempts.
-const SHARE: f64 = 0.1;
+const RETRY_RATIO: f64 = 0.1;
 
 /// What a budget allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct RetryAllowance {
     /// Retries that a window allows on top of the share.
-    pub floor: f64,
+    pub slack: f64,
     /// Retries as a share of first attempts.
-    pub share: f64,
+    pub ratio: f64,
 }
 
-impl Allowance {
+impl RetryAllowance {
     /// A tenth of the first attempts, and three.
-    pub const USUAL: Self = Self { floor: FLOOR, share: SHARE };
+    pub const DEFAULT: Self = Self { slack: RETRY_SLACK, ratio: RETRY_RATIO };
 }
 
 /// Allows retries up to a share of the first attempts of the last ten seconds.
@@ -31,7 +31,7 @@
 /// that are left get twice the traffic and fail too.
 #[derive(Debug)]
 pub struct RetryBudget {
-    allowance: Allowance,
+    allowance: RetryAllowance,
     buckets: [Bucket; BUCKETS],
     unlimited: bool,
 }
@@ -45,13 +45,13 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { allowance: Allowance::USUAL, buckets: Default::default(), unlimited: false }
+        Self { allowance: RetryAllowance::DEFAULT, buckets: Default::default(), unlimited: false }
     }
 }
 
 impl RetryBudget {
     /// From now on allows that much.
-    pub fn allow(&mut self, allowance: Allowance) {
+    pub fn set_allowance(&mut self, allowance: RetryAllowance) {
         self.allowance = allowance;
     }
 
@@ -66,25 +66,25 @@
     }
 
     /// Counts a first attempt.
-    pub fn noted(&mut self, now: Moment) {
+    pub fn record_first_attempt(&mut self, now: Moment) {
         let bucket = self.bucket(now);
         bucket.first = bucket.first.saturating_add(1);
     }
 
     /// Takes one retry out of the budget; false when it is used up.
-    pub fn take(&mut self, now: Moment) -> bool {
-        self.take_of(1.0, now)
+    pub fn take_retry(&mut self, now: Moment) -> bool {
+        self.take_share(1.0, now)
     }
 
     /// Takes one hedge out of the budget; false when half of it is used up.
     pub fn take_hedge(&mut self, now: Moment) -> bool {
-        self.take_of(HEDGE_PART, now)
+        self.take_share(HEDGE_SHARE, now)
     }
 
-    fn take_of(&mut self, part: f64, now: Moment) -> bool {
+    fn take_share(&mut self, share: f64, now: Moment) -> bool {
         let (first, retries) = self.sums(now);
-        let Allowance { floor, share } = self.allowance;
-        let allowed = (f64::from(first) * share + floor) * part;
+        let RetryAllowance { slack, ratio } = self.allowance;
+        let allowed = (f64::from(first) * ratio + slack) * share;
         if !self.unlimited && allowed < f64::from(retries + 1) {
             return false;
         }
--- a/src/admission/slots.rs
+++ b/src/admission/slots.rs
@@ -26,11 +26,11 @@
 pub struct Slots {
     hold: Duration,
     next: SlotId,
-    targets: BTreeMap<TargetId, Usage>,
+    targets: BTreeMap<TargetId, TargetUsage>,
 }
 
 #[derive(Debug, Default)]
-struct Usage {
+struct TargetUsage {
     /// The slot of a request that must run alone; nothing may start beside it.
     exclusive: Option<SlotId>,
     /// Since when this host owns it; reports taken earlier prove nothing.
@@ -84,7 +84,7 @@
 
     /// Takes a slot without asking whether one is free, to see the invariants fire.
     #[cfg(test)]
-    pub(super) fn acquire_unasked(&mut self, target: &TargetId, now: Moment) {
+    pub(super) fn acquire_unchecked(&mut self, target: &TargetId, now: Moment) {
         let usage = self.targets.get_mut(target).expect("owned");
         usage.running.insert(SlotId::MAX);
         usage.check(target, now);
@@ -92,7 +92,12 @@
 
     /// Takes the whole target for one request, if nothing runs there: for suspects of a crash,
     /// whose second crash must hit nobody else.
-    pub fn acquire_alone(&mut self, target: &TargetId, limit: u32, now: Moment) -> Option<SlotId> {
+    pub fn acquire_exclusive(
+        &mut self,
+        target: &TargetId,
+        limit: u32,
+        now: Moment,
+    ) -> Option<SlotId> {
         if self.occupied(target, now) != 0 {
             return None;
         }
@@ -121,7 +126,7 @@
 
     /// This host's own requests in flight.
     pub fn in_flight(&self, target: &TargetId) -> u32 {
-        self.targets.get(target).map_or(0, Usage::in_flight)
+        self.targets.get(target).map_or(0, TargetUsage::in_flight)
     }
 
     /// Own requests in flight and those that a former owner may still have.
@@ -138,7 +143,7 @@
     ///
     /// One that was asked for before the target changed hands says nothing about it, and one that
     /// counts fewer than this host's own requests is wrong; both are ignored.
-    pub fn report(&mut self, target: &TargetId, busy: u32, taken: Moment) {
+    pub fn apply_report(&mut self, target: &TargetId, busy: u32, taken: Moment) {
         let Some(usage) = self.targets.get_mut(target) else { return };
         if taken <= usage.gained_at || busy < usage.in_flight() {
             return;
@@ -147,7 +152,7 @@
     }
 }
 
-impl Usage {
+impl TargetUsage {
     fn gain(&mut self, target: &OwnedTarget, known: bool, hold: Duration, now: Moment) {
         let promoted = known && self.provisional && !target.provisional;
         self.owned = true;
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -18,9 +18,9 @@
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(true, false)], secs(10));
     assert_eq!(slots.acquire(&target, 3, secs(10)), None);
-    slots.report(&target, 0, secs(9));
+    slots.apply_report(&target, 0, secs(9));
     assert_eq!(slots.free(&target, 3, secs(11)), 0, "the report is older than the change");
-    slots.report(&target, 1, secs(11));
+    slots.apply_report(&target, 1, secs(11));
     assert_eq!(slots.free(&target, 3, secs(11)), 2);
     assert_eq!(slots.free(&target, 3, secs(15)), 3);
 }
@@ -55,7 +55,7 @@
     assert_eq!((slots.occupied(&target, secs(2)), slots.free(&target, 3, secs(2))), (3, 0));
     slots.release(&target, slot, secs(2));
     assert_eq!(slots.free(&target, 3, secs(2)), 1);
-    slots.report(&target, 0, secs(3));
+    slots.apply_report(&target, 0, secs(3));
     assert_eq!(slots.free(&target, 3, secs(3)), 3);
 }
 
@@ -65,9 +65,9 @@
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(false, false)], secs(0));
     let other = slots.acquire(&target, 3, secs(0)).unwrap();
-    assert_eq!(slots.acquire_alone(&target, 3, secs(0)), None);
+    assert_eq!(slots.acquire_exclusive(&target, 3, secs(0)), None);
     slots.release(&target, other, secs(0));
-    let alone = slots.acquire_alone(&target, 3, secs(0)).unwrap();
+    let alone = slots.acquire_exclusive(&target, 3, secs(0)).unwrap();
     assert_eq!(slots.acquire(&target, 3, secs(0)), None);
     slots.release(&target, alone, secs(0));
     assert!(slots.acquire(&target, 3, secs(0)).is_some());
@@ -79,20 +79,20 @@
     let names = || invariant::take().iter().map(|broken| broken.name).collect::<Vec<_>>();
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(false, false)], secs(0));
-    let slot = slots.acquire_alone(&target, 3, secs(0)).unwrap();
-    slots.acquire_unasked(&target, secs(0));
+    let slot = slots.acquire_exclusive(&target, 3, secs(0)).unwrap();
+    slots.acquire_unchecked(&target, secs(0));
     assert_eq!(names(), ["exclusive-slot-alone"]);
     slots.release(&target, slot, secs(0));
     slots.release(&target, slot, secs(0));
     assert_eq!(names(), ["slot-released-once"]);
     (0..2).for_each(|_| assert!(slots.acquire(&target, 3, secs(0)).is_some()));
     slots.set_owned(&[OwnedTarget { slots: 1, ..owned(false, false) }], secs(0));
-    slots.acquire_unasked(&target, secs(0));
+    slots.acquire_unchecked(&target, secs(0));
     assert_eq!(names(), ["slots-within-target"]);
-    Queue::new(0, secs(1)).push_unasked("a".into(), secs(9));
+    Queue::new(0, secs(1)).push_unchecked("a".into(), secs(9));
     assert_eq!(names(), ["queue-bounded"]);
     let mut budget = RetryBudget::unlimited();
-    assert!((0..4).all(|_| budget.take(secs(0))));
+    assert!((0..4).all(|_| budget.take_retry(secs(0))));
     assert_eq!(names(), ["retry-budget"]);
 }
 
@@ -101,22 +101,22 @@
     let mut queue = Queue::new(2, secs(1));
     queue.push("old".into(), secs(2), secs(0)).unwrap();
     queue.push("young".into(), secs(9), secs(0)).unwrap();
-    assert_eq!(queue.push("third".into(), secs(9), secs(0)), Err(Full));
+    assert_eq!(queue.push("third".into(), secs(9), secs(0)), Err(QueueFull));
     queue.push("third".into(), secs(9), secs(2)).unwrap();
-    assert_eq!(queue.expire(secs(2)), ["old".into()]);
+    assert_eq!(queue.take_expired(secs(2)), ["old".into()]);
     assert_eq!(queue.pop(secs(2)).as_deref(), Some("young"));
     assert_eq!(queue.pop(secs(9)), None);
-    assert_eq!(queue.expire(secs(9)), ["third".into()]);
+    assert_eq!(queue.take_expired(secs(9)), ["third".into()]);
 }
 
 #[test]
 fn retries_stay_a_share_of_traffic() {
     let mut budget = RetryBudget::new();
     for _ in 0..100 {
-        budget.noted(secs(20));
+        budget.record_first_attempt(secs(20));
     }
-    let taken = (0..100).filter(|_| budget.take(secs(21))).count();
+    let taken = (0..100).filter(|_| budget.take_retry(secs(21))).count();
     assert_eq!(taken, 13);
-    assert!(!budget.take(secs(29)));
-    assert!(budget.take(secs(31)), "the window has moved on");
+    assert!(!budget.take_retry(secs(29)));
+    assert!(budget.take_retry(secs(31)), "the window has moved on");
 }
--- a/src/daemon/control/actor.rs
+++ b/src/daemon/control/actor.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     daemon::{PeerLink, traffic::Traffic},
-    drain::{Drains, Progress},
+    drain::{DrainSet, ProgressTracker},
     ledger::SealedPart,
     manifest::Store,
     membership::{Baselines, Membership, MembershipEvent},
@@ -41,7 +41,7 @@
 /// The control state of one host.
 pub struct Control {
     pub(super) baselines: Baselines,
-    pub(super) drains: Drains,
+    pub(super) drains: DrainSet,
     /// Parts of sealed ledgers that are still incomplete, by the digest of the whole.
     pub(super) handovers: BTreeMap<String, Vec<SealedPart>>,
     pub(super) newcomer: Newcomer,
@@ -49,7 +49,7 @@
     pub(super) platform_at: Option<Moment>,
     /// Whether the last call to the platform failed; further ones are spaced out.
     pub(super) platform_fails: bool,
-    pub(super) progress: Progress,
+    pub(super) progress: ProgressTracker,
     /// Highest sequence that a pull is under way for.
     pub(super) pulling: Option<Sequence>,
     /// Whether a write of the drains to the platform is under way.
@@ -66,13 +66,13 @@
         let own = parts.membership.own().clone();
         let control = Self {
             baselines: Baselines::default(),
-            drains: Drains::new(own.id.clone()),
+            drains: DrainSet::new(own.id.clone()),
             handovers: BTreeMap::new(),
             newcomer: Newcomer::default(),
             parts,
             platform_at: None,
             platform_fails: false,
-            progress: Progress::default(),
+            progress: ProgressTracker::default(),
             pulling: None,
             settling: false,
             shown: None,
--- a/src/daemon/control/drains.rs
+++ b/src/daemon/control/drains.rs
@@ -8,7 +8,7 @@
     messages::{DrainAnswer, OrderDrain, OrderUndrain, UndrainAnswer},
 };
 use crate::{
-    drain::{DrainError, DrainRecord, key, settle},
+    drain::{DrainError, DrainRecord, object_key, sync_with_platform},
     manifest::DrainScope,
     peer::PeerError,
     prelude::*,
@@ -21,10 +21,10 @@
 impl Control {
     /// Starts what waited, looks how far drains have come, and settles them on the platform.
     pub(super) fn tick_drains(&mut self, me: &WeakAddress<Self>) {
-        self.drains.forget(wall_millis());
+        self.drains.purge_tombstones(wall_millis());
         self.start_drains();
         self.observe_drains();
-        if self.settles_drains() && self.drains.is_unsettled() && !self.settling {
+        if self.settles_drains() && self.drains.needs_sync() && !self.settling {
             self.settle_drains(me);
         }
     }
@@ -71,9 +71,9 @@
     fn settle_drains(&mut self, me: &WeakAddress<Self>) {
         self.settling = true;
         let platform = self.parts.platform.clone();
-        let (key, own) = (key(&self.parts.member), self.drains.records());
+        let (key, own) = (object_key(&self.parts.member), self.drains.records());
         Self::beside(me.clone(), async move {
-            let held = settle(&*platform, &key, &own, wall_millis()).await;
+            let held = sync_with_platform(&*platform, &key, &own, wall_millis()).await;
             Some(DrainsSettled(held.ok()))
         });
     }
@@ -93,7 +93,7 @@
     async fn handle(&mut self, settled: DrainsSettled, _cx: &mut xtra::Context<Self>) {
         self.settling = false;
         let Some(held) = settled.0 else { return };
-        if self.drains.settled(held, wall_millis()) {
+        if self.drains.record_platform_copy(held, wall_millis()) {
             self.start_drains();
             self.tell_notes();
             self.publish();
@@ -110,7 +110,7 @@
         };
         let at = self.parts.recorder.stamp();
         let loads = self.parts.traffic.with_steer(|steer, _| steer.region_loads());
-        let record = self.drains.order(order.0, at, &manifest, &loads).map_err(refused)?;
+        let record = self.drains.apply_order(order.0, at, &manifest, &loads).map_err(refused)?;
         self.announce_drains(&cx.mailbox().address());
         Ok(record)
     }
--- a/src/daemon/control/operator.rs
+++ b/src/daemon/control/operator.rs
@@ -33,11 +33,11 @@
             slots: u64::from(usage.slots),
         });
         let drains = self.drains.records().into_iter().map(|record| {
-            let seen = self.progress.of(&record.id);
+            let seen = self.progress.get(&record.id);
             DrainStatus {
                 in_flight: seen.map_or(0, |seen| seen.in_flight),
-                took_ms: seen.and_then(|seen| seen.took()).map(millis),
-                waits: self.drains.why_waits(&record.id).cloned(),
+                took_ms: seen.and_then(|seen| seen.elapsed()).map(millis),
+                waits: self.drains.wait_reason(&record.id).cloned(),
                 record,
             }
         });
--- a/src/drain/check.rs
+++ b/src/drain/capacity.rs
@@ -9,7 +9,7 @@
 
 /// Use of a service by the callers of a region.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Load {
+pub struct ServiceLoad {
     /// Mean number of slots in use.
     pub busy: f64,
     pub region: RegionId,
@@ -26,11 +26,11 @@
 /// Why draining `scope` on top of `drained` has to wait, or `None` if there is room. Without a load
 /// for a service nothing is known of its use: then only a drain that leaves a region without any
 /// slot of it counts, since all of its traffic would have to move.
-pub fn why_wait(
+pub fn wait_reason(
     scope: &DrainScope,
     drained: &BTreeSet<DrainScope>,
     manifest: &Manifest,
-    loads: &[Load],
+    loads: &[ServiceLoad],
 ) -> Option<Arc<str>> {
     let before: BTreeSet<_> = drained.iter().chain(&manifest.drains).cloned().collect();
     let mut after = before.clone();
@@ -38,7 +38,7 @@
     manifest.services.iter().find_map(|service| {
         let rooms = rooms(service, manifest, &before, &after);
         let busy = |region: &RegionId| {
-            let load = |load: &&Load| load.region == *region && load.service == service.name;
+            let load = |load: &&ServiceLoad| load.region == *region && load.service == service.name;
             loads.iter().find(load).map(|load| load.busy)
         };
         rooms
--- a/src/drain/drains.rs
+++ b/src/drain/drain_set.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::{
-    check::{Load, why_wait},
+    capacity::{ServiceLoad, wait_reason},
     error::{DrainError, Result},
     record::{DrainId, DrainRecord, Undrain},
 };
@@ -19,7 +19,7 @@
 
 /// All drains of the member, as this host knows them.
 #[derive(Clone, Debug)]
-pub struct Drains {
+pub struct DrainSet {
     own: HostId,
     /// What the platform held when it was last asked.
     platform: Option<Vec<DrainRecord>>,
@@ -28,7 +28,7 @@
     waits: BTreeMap<DrainId, Arc<str>>,
 }
 
-impl Drains {
+impl DrainSet {
     /// A host without drains.
     pub fn new(own: HostId) -> Self {
         Self { own, platform: None, records: BTreeMap::new(), waits: BTreeMap::new() }
@@ -36,12 +36,12 @@
 
     /// Takes an operator's order. The same order again, after its answer was lost, gives the same
     /// drain.
-    pub fn order(
+    pub fn apply_order(
         &mut self,
         order: DrainOrder,
         at: HybridTime,
         manifest: &Manifest,
-        loads: &[Load],
+        loads: &[ServiceLoad],
     ) -> Result<DrainRecord> {
         if let Some(known) = self.records.get(&order.id) {
             return Ok(known.clone());
@@ -76,7 +76,7 @@
         if let Some(id) = &order.id {
             let undone = self.records.get(id).and_then(|record| record.undone.as_ref());
             if let Some(Undrain { by, .. }) = undone {
-                return Err(DrainError::TakenBack { by: by.to_string(), id: id.clone() });
+                return Err(DrainError::AlreadyUndone { by: by.to_string(), id: id.clone() });
             }
         }
         let meant = |record: &&mut DrainRecord| {
@@ -97,7 +97,7 @@
     /// Takes over what a peer or the platform holds; says whether anything is new.
     pub fn merge(&mut self, records: &[DrainRecord], wall_millis: u64) -> bool {
         let mut changed = false;
-        for record in records.iter().filter(|record| !record.is_forgotten(wall_millis)) {
+        for record in records.iter().filter(|record| !record.is_expired_tombstone(wall_millis)) {
             let is_full = MAX_RECORDS <= self.records.len();
             if let Some(known) = self.records.get_mut(&record.id) {
                 let old = known.clone();
@@ -112,7 +112,7 @@
     }
 
     /// Takes over what the platform holds after `settle`.
-    pub fn settled(&mut self, held: Vec<DrainRecord>, wall_millis: u64) -> bool {
+    pub fn record_platform_copy(&mut self, held: Vec<DrainRecord>, wall_millis: u64) -> bool {
         let changed = self.merge(&held, wall_millis);
         self.platform = Some(held);
         changed
@@ -124,7 +124,7 @@
     pub fn start_waiting(
         &mut self,
         manifest: &Manifest,
-        loads: &[Load],
+        loads: &[ServiceLoad],
         live: &[HostId],
         at: HybridTime,
     ) -> bool {
@@ -135,7 +135,7 @@
         let mut waiting: Vec<_> = self.records.values_mut().filter(waiting).collect();
         waiting.sort_by(|a, b| (a.at, &a.id).cmp(&(b.at, &b.id)));
         for record in waiting {
-            if let Some(why) = why_wait(&record.scope, &in_force, manifest, loads) {
+            if let Some(why) = wait_reason(&record.scope, &in_force, manifest, loads) {
                 self.waits.insert(record.id.clone(), why);
                 continue;
             }
@@ -169,8 +169,8 @@
     }
 
     /// Forgets drains that were taken back long ago.
-    pub fn forget(&mut self, wall_millis: u64) {
-        self.records.retain(|_, record| !record.is_forgotten(wall_millis));
+    pub fn purge_tombstones(&mut self, wall_millis: u64) {
+        self.records.retain(|_, record| !record.is_expired_tombstone(wall_millis));
     }
 
     /// Every drain, those taken back included, sorted by id.
@@ -190,7 +190,7 @@
     }
 
     /// Why a drain waits.
-    pub fn why_waits(&self, id: &str) -> Option<&Arc<str>> {
+    pub fn wait_reason(&self, id: &str) -> Option<&Arc<str>> {
         self.waits.get(id)
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Whether the platform may lack something that this host holds.
-    pub fn is_unsettled(&self) -> bool {
+    pub fn needs_sync(&self) -> bool {
         match &self.platform {
             Some(held) => !held.iter().eq(self.records.values()),
             None => !self.records.is_empty(),
--- a/src/drain/error.rs
+++ b/src/drain/error.rs
@@ -13,7 +13,7 @@
     #[error("nothing drains this; see `lavenderplank status`")]
     NotDrained,
     #[error("drain {id} was already taken back by {by}")]
-    TakenBack { by: String, id: DrainId },
+    AlreadyUndone { by: String, id: DrainId },
     #[error("too many drains are held; undrain some first")]
     TooMany,
     #[error("the manifest in force has no such {0}; check its name")]
--- a/src/drain/mod.rs
+++ b/src/drain/mod.rs
@@ -11,20 +11,20 @@
 //! newer manifest that says nothing of the scope leaves the drain as it is, or an unrelated release
 //! would send traffic back to a site that an operator has just emptied.
 
-mod check;
-mod drains;
+mod capacity;
+mod drain_set;
 mod error;
+mod platform_sync;
 mod progress;
 mod record;
-mod settle;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
-    check::{Load, why_wait},
-    drains::Drains,
+    capacity::{ServiceLoad, wait_reason},
+    drain_set::DrainSet,
     error::{DrainError, Result},
-    progress::{Progress, Seen},
+    platform_sync::{merge_with_platform, object_key, sync_with_platform},
+    progress::{DrainProgress, ProgressTracker},
     record::{DrainId, DrainRecord, Undrain},
-    settle::{combine, key, settle},
 };
--- a/src/drain/settle.rs
+++ b/src/drain/platform_sync.rs
@@ -12,7 +12,7 @@
 const ATTEMPTS: u32 = 5;
 
 /// Key of the object that holds a member's drains.
-pub fn key(member: &MemberId) -> String {
+pub fn object_key(member: &MemberId) -> String {
     format!("drains/{member}")
 }
 
@@ -20,7 +20,7 @@
 /// scope the one on the platform stays, else the one ordered first; the other is taken back. The
 /// platform's conditional update makes that one order for everybody. Drains taken back long ago are
 /// left out.
-pub fn combine(
+pub fn merge_with_platform(
     platform: &[DrainRecord],
     own: &[DrainRecord],
     wall_millis: u64,
@@ -45,12 +45,12 @@
     for record in all.values_mut() {
         record.settled = true;
     }
-    all.into_values().filter(|record| !record.is_forgotten(wall_millis)).collect()
+    all.into_values().filter(|record| !record.is_expired_tombstone(wall_millis)).collect()
 }
 
 /// Brings the platform's object up to what this host holds, and gives what it then holds, for
 /// `Drains::merge`. Writes nothing if nothing is lacking.
-pub async fn settle(
+pub async fn sync_with_platform(
     platform: &dyn Platform,
     key: &str,
     own: &[DrainRecord],
@@ -62,7 +62,7 @@
             Some(object) => serde_json::from_slice(&object.value).map_err(broken)?,
             None => Vec::new(),
         };
-        let wanted = combine(&held, own, wall_millis);
+        let wanted = merge_with_platform(&held, own, wall_millis);
         if wanted == held {
             return Ok(held);
         }
--- a/src/drain/progress.rs
+++ b/src/drain/progress.rs
@@ -5,29 +5,29 @@
 
 /// Progress of the drains in force, by this host's clock.
 #[derive(Clone, Debug, Default)]
-pub struct Progress {
-    drains: BTreeMap<DrainId, Seen>,
+pub struct ProgressTracker {
+    drains: BTreeMap<DrainId, DrainProgress>,
 }
 
 /// One drain as this host sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seen {
+pub struct DrainProgress {
     /// When the last request on what is drained ended.
     pub ended: Option<Moment>,
     /// Requests that still run on it.
     pub in_flight: u64,
     /// When it came in force here.
-    pub since: Moment,
+    pub started_at: Moment,
 }
 
-impl Seen {
+impl DrainProgress {
     /// Time from its coming in force here to the last request's end.
-    pub fn took(&self) -> Option<Duration> {
-        self.ended.map(|ended| ended.saturating_sub(self.since))
+    pub fn elapsed(&self) -> Option<Duration> {
+        self.ended.map(|ended| ended.saturating_sub(self.started_at))
     }
 }
 
-impl Progress {
+impl ProgressTracker {
     /// Takes the drains in force, each with this host's requests on what it drains.
     pub fn observe<'a>(
         &mut self,
@@ -40,7 +40,7 @@
             let scope = record.scope.clone();
             let mut state = self.drains.remove(&record.id).unwrap_or_else(|| {
                 events.push(EventKind::DrainStarted { scope: scope.clone() });
-                Seen { ended: None, in_flight, since: now }
+                DrainProgress { ended: None, in_flight, started_at: now }
             });
             state.in_flight = in_flight;
             if in_flight == 0 && state.ended.is_none() {
@@ -54,7 +54,7 @@
     }
 
     /// One drain as this host sees it.
-    pub fn of(&self, id: &str) -> Option<&Seen> {
+    pub fn get(&self, id: &str) -> Option<&DrainProgress> {
         self.drains.get(id)
     }
 }
--- a/src/drain/record.rs
+++ b/src/drain/record.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether it was taken back so long ago that no host need remember it.
-    pub fn is_forgotten(&self, wall_millis: u64) -> bool {
+    pub fn is_expired_tombstone(&self, wall_millis: u64) -> bool {
         let Some(undone) = &self.undone else { return false };
         let age = Duration::from_millis(wall_millis.saturating_sub(undone.at.millis));
         TOMBSTONE_KEPT <= age
--- a/src/drain/tests.rs
+++ b/src/drain/tests.rs
@@ -60,21 +60,21 @@
     UndrainOrder { by: "ana".into(), id: None, scope }
 }
 
-fn load(region: &str, busy: f64) -> Load {
-    Load { busy, region: region.into(), service: "intake".into() }
+fn load(region: &str, busy: f64) -> ServiceLoad {
+    ServiceLoad { busy, region: region.into(), service: "intake".into() }
 }
 
 #[test]
 fn an_order_is_in_force_at_once_and_once() {
-    let mut drains = Drains::new("a".into());
+    let mut drains = DrainSet::new("a".into());
     let manifest = manifest(1, 1.0);
-    let first = drains.order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
+    let first = drains.apply_order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
     assert_eq!(drains.in_force(), [zone("e1")].into());
-    let again = drains.order(order("1", zone("e1")), at(20), &manifest, &[]).unwrap();
+    let again = drains.apply_order(order("1", zone("e1")), at(20), &manifest, &[]).unwrap();
     assert_eq!(again, first, "the answer was lost and the client sent the order again");
-    let rival = drains.order(order("2", zone("e1")), at(30), &manifest, &[]);
+    let rival = drains.apply_order(order("2", zone("e1")), at(30), &manifest, &[]);
     assert_matches!(rival, Err(DrainError::AlreadyDrained { .. }));
-    let unknown = drains.order(order("3", zone("e9")), at(40), &manifest, &[]);
+    let unknown = drains.apply_order(order("3", zone("e9")), at(40), &manifest, &[]);
     assert_eq!(unknown, Err(DrainError::UnknownScope("zone")));
     assert_eq!(drains.undrain(take_back(zone("e1")), at(50)).unwrap().len(), 1);
     assert_eq!(drains.in_force(), [].into());
@@ -93,10 +93,11 @@
         (DrainScope::Target("t0".into()), 0.0, vec![load("east", 9.0)], None),
         (DrainScope::Host("a".into()), 0.0, vec![load("east", 12.0)], None),
     ] {
-        let mut drains = Drains::new("a".into());
+        let mut drains = DrainSet::new("a".into());
         let manifest = manifest(1, cap);
-        let record = drains.order(order("1", scope.clone()), at(1), &manifest, &loads).unwrap();
-        let why = drains.why_waits("1").cloned();
+        let record =
+            drains.apply_order(order("1", scope.clone()), at(1), &manifest, &loads).unwrap();
+        let why = drains.wait_reason("1").cloned();
         assert_eq!(record.started.is_none(), reason.is_some(), "{scope:?} {why:?}");
         assert_eq!(why.is_some(), reason.is_some(), "{scope:?}");
         let why = why.unwrap_or_default();
@@ -110,10 +111,10 @@
 fn a_waiting_drain_starts_by_one_host() {
     let manifest = manifest(1, 0.2);
     let busy = [load("east", 10.0)];
-    let mut taker = Drains::new("b".into());
-    taker.order(order("1", zone("e1")), at(1), &manifest, &busy).unwrap();
+    let mut taker = DrainSet::new("b".into());
+    taker.apply_order(order("1", zone("e1")), at(1), &manifest, &busy).unwrap();
     let live: Vec<HostId> = vec!["a".into(), "b".into()];
-    let mut other = Drains::new("a".into());
+    let mut other = DrainSet::new("a".into());
     other.merge(&taker.records(), 2);
     assert!(!taker.start_waiting(&manifest, &busy, &live, at(2)));
     assert!(!other.start_waiting(&manifest, &[], &live, at(3)));
@@ -127,19 +128,19 @@
 #[test]
 fn sets_merge_free_of_conflict() {
     let manifest = manifest(1, 1.0);
-    let mut east = Drains::new("a".into());
-    east.order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
+    let mut east = DrainSet::new("a".into());
+    east.apply_order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
     let before = east.records();
     east.undrain(take_back(zone("e1")), at(20)).unwrap();
-    let mut west = Drains::new("b".into());
+    let mut west = DrainSet::new("b".into());
     west.merge(&before, 30);
     west.undrain(take_back(zone("e1")), at(25)).unwrap();
-    west.order(order("2", zone("w1")), at(30), &manifest, &[]).unwrap();
+    west.apply_order(order("2", zone("w1")), at(30), &manifest, &[]).unwrap();
     let mut heard: Vec<_> = [before, east.records(), west.records(), east.records()].concat();
     let mut ends = Vec::new();
     for seed in 0..50 {
         heard.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
-        let mut drains = Drains::new("c".into());
+        let mut drains = DrainSet::new("c".into());
         for record in &heard {
             drains.merge(std::slice::from_ref(record), 40);
         }
@@ -156,29 +157,29 @@
 #[test]
 fn racing_operators_get_one_winner() {
     let manifest = manifest(1, 1.0);
-    let mut first = Drains::new("a".into());
-    first.order(order("1", zone("e1")), at(20), &manifest, &[]).unwrap();
-    let mut second = Drains::new("b".into());
-    second.order(order("2", zone("e1")), at(10), &manifest, &[]).unwrap();
-    assert!(first.is_unsettled());
-    let held = combine(&[], &first.records(), 30);
-    first.settled(held.clone(), 30);
-    assert!(!first.is_unsettled());
-    let held = combine(&held, &second.records(), 30);
-    second.settled(held.clone(), 30);
+    let mut first = DrainSet::new("a".into());
+    first.apply_order(order("1", zone("e1")), at(20), &manifest, &[]).unwrap();
+    let mut second = DrainSet::new("b".into());
+    second.apply_order(order("2", zone("e1")), at(10), &manifest, &[]).unwrap();
+    assert!(first.needs_sync());
+    let held = merge_with_platform(&[], &first.records(), 30);
+    first.record_platform_copy(held.clone(), 30);
+    assert!(!first.needs_sync());
+    let held = merge_with_platform(&held, &second.records(), 30);
+    second.record_platform_copy(held.clone(), 30);
     first.merge(&held, 30);
     for drains in [&first, &second] {
         assert!(drains.get("1").unwrap().is_in_force());
         let undone = drains.get("2").unwrap().undone.clone().unwrap();
         assert_eq!(&*undone.by, "drain 1 of operator of 1, which came first");
     }
-    assert_eq!(combine(&held, &first.records(), 30), held, "settled once");
+    assert_eq!(merge_with_platform(&held, &first.records(), 30), held, "settled once");
     let next_week = 7 * 24 * 3_600_000;
-    let held = combine(&held, &first.records(), next_week);
+    let held = merge_with_platform(&held, &first.records(), next_week);
     assert_eq!(held.len(), 1, "the one taken back is forgotten");
-    first.forget(next_week);
-    first.settled(held, next_week);
-    assert!(!first.is_unsettled());
+    first.purge_tombstones(next_week);
+    first.record_platform_copy(held, next_week);
+    assert!(!first.needs_sync());
 }
 
 // While the platform was away an operator drained a zone. Meanwhile the pipeline went on: an
@@ -186,8 +187,8 @@
 // next one that no longer does ends it; one without the zone ends it.
 #[test]
 fn a_newer_manifest_that_names_the_scope_decides() {
-    let mut drains = Drains::new("a".into());
-    drains.order(order("1", zone("e1")), at(1), &manifest(5, 1.0), &[]).unwrap();
+    let mut drains = DrainSet::new("a".into());
+    drains.apply_order(order("1", zone("e1")), at(1), &manifest(5, 1.0), &[]).unwrap();
     assert!(!drains.clone().reconcile(&manifest(5, 1.0), at(2)));
     assert!(!drains.clone().reconcile(&manifest(6, 1.0), at(2)));
     let mut listed = manifest(6, 1.0);
@@ -207,13 +208,13 @@
 
 #[test]
 fn progress_tells_start_end_and_time_taken() {
-    let mut drains = Drains::new("a".into());
-    drains.order(order("1", zone("e1")), at(1), &manifest(1, 1.0), &[]).unwrap();
-    let mut progress = Progress::default();
+    let mut drains = DrainSet::new("a".into());
+    drains.apply_order(order("1", zone("e1")), at(1), &manifest(1, 1.0), &[]).unwrap();
+    let mut progress = ProgressTracker::default();
     let secs = Duration::from_secs;
     let mut observe = |in_flight, now| {
         let events = progress.observe(drains.active().map(|record| (record, in_flight)), now);
-        (events, progress.of("1").unwrap().took())
+        (events, progress.get("1").unwrap().elapsed())
     };
     let scope = zone("e1");
     assert_eq!(observe(3, secs(5)), (vec![EventKind::DrainStarted { scope: scope.clone() }], None));
@@ -231,23 +232,25 @@
     let (good, bad) = (platform.open_door(), platform.open_door());
     bad.set_faults(Faults { lose_answers: 2, ..Faults::default() });
     let manifest = manifest(1, 1.0);
-    let mut first = Drains::new("a".into());
-    first.order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
-    let mut second = Drains::new("b".into());
-    second.order(order("2", zone("e1")), at(20), &manifest, &[]).unwrap();
-    let key = key(&"agency".into());
+    let mut first = DrainSet::new("a".into());
+    first.apply_order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
+    let mut second = DrainSet::new("b".into());
+    second.apply_order(order("2", zone("e1")), at(20), &manifest, &[]).unwrap();
+    let key = object_key(&"agency".into());
     let (of_first, of_second) = (first.records(), second.records());
-    let (held, other) =
-        tokio::join!(settle(&bad, &key, &of_first, 30), settle(&good, &key, &of_second, 30));
-    first.settled(held.unwrap(), 30);
-    second.settled(other.unwrap(), 30);
-    let held = settle(&good, &key, &first.records(), 30).await.unwrap();
-    first.settled(held.clone(), 30);
-    second.settled(held.clone(), 30);
+    let (held, other) = tokio::join!(
+        sync_with_platform(&bad, &key, &of_first, 30),
+        sync_with_platform(&good, &key, &of_second, 30)
+    );
+    first.record_platform_copy(held.unwrap(), 30);
+    second.record_platform_copy(other.unwrap(), 30);
+    let held = sync_with_platform(&good, &key, &first.records(), 30).await.unwrap();
+    first.record_platform_copy(held.clone(), 30);
+    second.record_platform_copy(held.clone(), 30);
     assert_eq!(held.len(), 2);
     assert_eq!(held.iter().filter(|record| record.is_active()).count(), 1);
     assert_eq!(first.records(), second.records());
-    assert!(!first.is_unsettled() && !second.is_unsettled());
+    assert!(!first.needs_sync() && !second.needs_sync());
 }
 
 // The platform is away for a while. The drain is in force all the time, and is settled afterwards.
@@ -255,15 +258,15 @@
 async fn a_drain_is_settled_when_the_platform_is_back() {
     let platform = PlatformStandin::in_memory();
     platform.set_faults(Faults { outage: Outage::Refuse, ..Faults::default() });
-    let mut drains = Drains::new("a".into());
-    drains.order(order("1", zone("e1")), at(10), &manifest(1, 1.0), &[]).unwrap();
-    let key = key(&"agency".into());
-    assert!(settle(platform.door(), &key, &drains.records(), 20).await.is_err());
+    let mut drains = DrainSet::new("a".into());
+    drains.apply_order(order("1", zone("e1")), at(10), &manifest(1, 1.0), &[]).unwrap();
+    let key = object_key(&"agency".into());
+    assert!(sync_with_platform(platform.door(), &key, &drains.records(), 20).await.is_err());
     assert_eq!(drains.in_force(), [zone("e1")].into());
-    assert!(drains.is_unsettled());
+    assert!(drains.needs_sync());
     platform.set_faults(Faults::default());
-    let held = settle(platform.door(), &key, &drains.records(), 20).await.unwrap();
-    drains.settled(held, 20);
-    assert!(!drains.is_unsettled());
+    let held = sync_with_platform(platform.door(), &key, &drains.records(), 20).await.unwrap();
+    drains.record_platform_copy(held, 20);
+    assert!(!drains.needs_sync());
     assert!(drains.get("1").unwrap().settled);
 }
--- a/src/entry/service_state.rs
+++ b/src/entry/service_state.rs
@@ -64,7 +64,7 @@
     pub fn count_arrival(&mut self, now: Moment) {
         self.arrivals += 1;
         self.spill_credit = (self.spill_credit + SPILL_CREDIT_PER_REQUEST).min(MAX_SPILL_CREDIT);
-        self.retry_budget.noted(now);
+        self.retry_budget.record_first_attempt(now);
     }
 
     /// Measures demand from the requests that arrived in the `elapsed` time since the last call.
--- a/src/entry/tests/targets.rs
+++ b/src/entry/tests/targets.rs
@@ -189,10 +189,10 @@
         for tick in 0..1000 {
             let now = secs(f64::from(tick) / 100.0);
             for budget in &mut budgets {
-                budget.allow(retry_allowance(&bounds, 12));
-                budget.noted(now);
+                budget.set_allowance(retry_allowance(&bounds, 12));
+                budget.record_first_attempt(now);
                 firsts += 1;
-                retries += u32::from(budget.take(now));
+                retries += u32::from(budget.take_retry(now));
             }
         }
         let allowed = f64::from(firsts) * retry_ratio + retry_slack;
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -15,7 +15,7 @@
     service_state::ServiceState, upstream::connect,
 };
 use crate::{
-    admission::Allowance,
+    admission::RetryAllowance,
     event_log::{Event, EventSink, PauseReason, RequestKey},
     fleet::Load,
     metrics::TrafficFigures,
@@ -183,8 +183,8 @@
         let now = self.clock.now();
         let mut services = self.services.borrow_mut();
         let state = services.entry(service.clone()).or_default();
-        state.retry_budget.allow(retry_allowance(&self.bounds(), view.hosts.len()));
-        state.retry_budget.take(now)
+        state.retry_budget.set_allowance(retry_allowance(&self.bounds(), view.hosts.len()));
+        state.retry_budget.take_retry(now)
     }
 
     /// Checks a request against the limit of its team. The error is the time to wait before a
@@ -463,10 +463,10 @@
 
 /// One host's retry allowance. The ratio applies to the host's own requests, so each host uses it
 /// in full; the fixed slack is divided among all hosts.
-pub fn retry_allowance(bounds: &Bounds, hosts: usize) -> Allowance {
-    Allowance {
-        floor: bounds.retry_slack * RETRY_BUDGET_FRACTION / hosts.max(1) as f64,
-        share: bounds.retry_ratio * RETRY_BUDGET_FRACTION,
+pub fn retry_allowance(bounds: &Bounds, hosts: usize) -> RetryAllowance {
+    RetryAllowance {
+        slack: bounds.retry_slack * RETRY_BUDGET_FRACTION / hosts.max(1) as f64,
+        ratio: bounds.retry_ratio * RETRY_BUDGET_FRACTION,
     }
 }
 
--- a/src/measure/policies/contender.rs
+++ b/src/measure/policies/contender.rs
@@ -3,8 +3,8 @@
 use crate::{
     prelude::*,
     routing::RouterTuning,
-    selection::{Policy, Rules},
-    shift::ShiftRules,
+    selection::{Policy, SelectorOptions},
+    shift::ShiftOptions,
 };
 
 /// One way of deciding; all run the same machine under the same load.
@@ -73,8 +73,8 @@
         RouterTuning {
             hedge: self != Contender::NoHedges,
             policy,
-            selection: Rules { ramp, ..Rules::default() },
-            shift: ShiftRules { caps, ramp, ..ShiftRules::default() },
+            selection: SelectorOptions { ramp, ..SelectorOptions::default() },
+            shift: ShiftOptions { caps, ramp, ..ShiftOptions::default() },
         }
     }
 }
--- a/src/measure/policies/cost.rs
+++ b/src/measure/policies/cost.rs
@@ -13,7 +13,7 @@
         gauge::{cost_ns, resident},
     },
     prelude::*,
-    selection::{Candidate, Policy, Selector, Signal, Tier},
+    selection::{Candidate, HealthSignal, Policy, Selector, Tier},
 };
 
 /// Client blocks of the size that the system has to reach.
@@ -77,8 +77,8 @@
         .collect();
     for candidate in &candidates {
         let latency = Duration::from_millis(20);
-        selector.started(&candidate.target, Moment::ZERO);
-        selector.ended(&candidate.target, Signal::Succeeded, latency, Moment::ZERO);
+        selector.record_start(&candidate.target, Moment::ZERO);
+        selector.record_end(&candidate.target, HealthSignal::Succeeded, latency, Moment::ZERO);
     }
     cost_ns(|| {
         black_box(selector.pick(&service, &candidates, Moment::ZERO, &mut rng));
--- a/src/routing/arrival.rs
+++ b/src/routing/arrival.rs
@@ -13,7 +13,7 @@
     manifest::ServiceKind,
     prelude::*,
     quarantine::Standing,
-    shift::{DirectAsk, ShiftEnd},
+    shift::{CompletedRequest, DirectQuery},
     timeline::EventKind,
     view::View,
 };
@@ -220,7 +220,7 @@
         if self.calls[&call].arrival.via == Via::HedgeHop {
             self.exclude_running_targets(call);
         } else {
-            self.retry_budget.noted(now);
+            self.retry_budget.record_first_attempt(now);
         }
         if let Err(error) = self.admit_by_home_region(call, now) {
             return self.fail(call, error, now, rng);
@@ -239,7 +239,7 @@
         let home = self.home_region(&state.arrival);
         let service = state.arrival.service.clone();
         if home == view.own.region {
-            self.caps.arrived(&service, &home, now);
+            self.caps.record_arrival(&service, &home, now);
             return Ok(());
         }
         // While the home region has a live host, that host decides about shifts of its callers and
@@ -254,14 +254,14 @@
             .map_or(0.0, |base| base.rate);
         let receivers =
             view.hosts.iter().filter(|host| host.region != home && !host.leaving).count();
-        let ask = DirectAsk {
+        let query = DirectQuery {
             baseline,
             cap: state.shift_cap,
             home: home.clone(),
             receivers: u32::try_from(receivers).unwrap_or(u32::MAX),
             service: service.clone(),
         };
-        if !self.caps.allow_direct(&ask, now) {
+        if !self.caps.allow_direct(&query, now) {
             return Err(ErrorKind::CapReached);
         }
         let request = state.arrival.request.clone();
@@ -301,10 +301,10 @@
         let service = state.arrival.service.clone();
         let undo = state.direct_shift && error.row().ran == Ran::No;
         let refused = error == ErrorKind::NoSlots;
-        let end = ShiftEnd { latency: None, refused, shifted: true };
-        self.caps.ended(&service, &home, end, now);
+        let end = CompletedRequest { latency: None, refused, shifted: true };
+        self.caps.record_completion(&service, &home, end, now);
         if undo {
-            self.caps.undo_direct(&service, &home, now);
+            self.caps.refund_direct(&service, &home, now);
         }
     }
 
--- a/src/routing/attempt_end.rs
+++ b/src/routing/attempt_end.rs
@@ -11,8 +11,8 @@
     base::invariant,
     ledger::{End, KeptAnswer},
     prelude::*,
-    selection::Signal,
-    shift::ShiftEnd,
+    selection::HealthSignal,
+    shift::CompletedRequest,
     timeline::EventKind,
 };
 
@@ -73,14 +73,14 @@
     ) {
         let Some(target) = destination.target() else { return };
         let (signal, latency, error) = match outcome {
-            Outcome::Answered { latency, .. } => (Signal::Succeeded, *latency, None),
+            Outcome::Answered { latency, .. } => (HealthSignal::Succeeded, *latency, None),
             Outcome::Failed { error, latency, .. }
             | Outcome::Interrupted { error, latency }
             | Outcome::Refused { error, latency } => {
                 (signal_of(*error, destination), *latency, Some(*error))
             }
         };
-        self.selector.ended(target, signal, latency, now);
+        self.selector.record_end(target, signal, latency, now);
         let Some(state) = self.calls.get(&call) else {
             if let Destination::OwnTarget { slot, target } = destination {
                 self.slots.release(target, *slot, now);
@@ -92,9 +92,9 @@
         // Failed attempts are counted when the call ends: a region without a spare slot at one
         // target may have one at the next.
         if error.is_none() && !arrival.via.requests_slot() {
-            let end = ShiftEnd { latency: Some(latency), refused: false, shifted };
+            let end = CompletedRequest { latency: Some(latency), refused: false, shifted };
             let home = self.home_region(&arrival);
-            self.caps.ended(&arrival.service, &home, end, now);
+            self.caps.record_completion(&arrival.service, &home, end, now);
         }
         let Destination::OwnTarget { slot, target } = destination else { return };
         self.slots.release(target, *slot, now);
@@ -182,7 +182,7 @@
         let may_repeat = not_run || !state.is_booking();
         let is_hedge = state.arrival.via == Via::HedgeHop;
         let is_final = is_final || is_hedge || self.is_quarantined(call, now);
-        if is_final || !may_repeat || !self.retry_budget.take(now) {
+        if is_final || !may_repeat || !self.retry_budget.take_retry(now) {
             return self.fail(call, error, now, rng);
         }
         self.route(call, now, rng);
@@ -229,13 +229,13 @@
     }
 }
 
-fn signal_of(error: ErrorKind, destination: &Destination) -> Signal {
+fn signal_of(error: ErrorKind, destination: &Destination) -> HealthSignal {
     match error {
         // A hedge is refused even while slots are free: the refusal says nothing about the target.
-        ErrorKind::NoSlots if destination.via() == Via::HedgeHop => Signal::Cancelled,
+        ErrorKind::NoSlots if destination.via() == Via::HedgeHop => HealthSignal::Cancelled,
         ErrorKind::Shed | ErrorKind::NoSlots | ErrorKind::NoTarget | ErrorKind::HostLeaving => {
-            Signal::Shed
+            HealthSignal::Shed
         }
-        _ => Signal::Failed,
+        _ => HealthSignal::Failed,
     }
 }
--- a/src/routing/hedge.rs
+++ b/src/routing/hedge.rs
@@ -11,7 +11,7 @@
     manifest::Service,
     prelude::*,
     quarantine::Standing,
-    selection::{Candidate, Signal, Tier},
+    selection::{Candidate, HealthSignal, Tier},
     timeline::EventKind,
     view::View,
 };
@@ -92,7 +92,7 @@
         options.retain(|option| {
             let Candidate { target, tier, .. } = &option.candidate;
             let in_region = *tier != Tier::Foreign;
-            in_region && (spare || option.peer.is_some()) && !self.selector.ejected(target, now)
+            in_region && (spare || option.peer.is_some()) && !self.selector.is_ejected(target, now)
         });
         let candidates: Vec<Candidate> =
             options.iter().map(|option| option.candidate.clone()).collect();
@@ -171,7 +171,7 @@
         let age = self.waiting_time(&stopped, now);
         self.record_read_latency(&stopped, age);
         if let Some(target) = stopped.destination.target() {
-            self.selector.ended(target, Signal::Cancelled, age, now);
+            self.selector.record_end(target, HealthSignal::Cancelled, age, now);
         }
         let Destination::OwnTarget { slot, target } = &stopped.destination else { return };
         let fingerprint = self.calls[&stopped.call].arrival.fingerprint;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -13,7 +13,7 @@
     prelude::*,
     quarantine::Standing,
     selection::{Candidate, Tier},
-    shift::{ShiftAsk, accept_foreign},
+    shift::{ShiftQuery, accept_foreign},
     timeline::EventKind,
     view::View,
 };
@@ -117,7 +117,7 @@
             let Candidate { in_flight, limit, target, tier } = &option.candidate;
             *tier != Tier::Foreign
                 && *in_flight < limit.saturating_mul(MAX_WAITING_PER_SLOT)
-                && !self.selector.ejected(target, now)
+                && !self.selector.is_ejected(target, now)
         };
         let option = options
             .into_iter()
@@ -137,7 +137,7 @@
         let tried = &self.calls[&call].tried_targets;
         service.targets.iter().any(|target| {
             self.slots.owns(&target.name)
-                && !self.selector.ejected(&target.name, now)
+                && !self.selector.is_ejected(&target.name, now)
                 && !tried.contains(&target.name)
                 && self.view.as_ref().is_some_and(|view| !self.is_draining(view, target))
         })
@@ -194,7 +194,7 @@
             if from_other_region && !self.has_spare_slots(view, &call.arrival.service, now) {
                 return None;
             }
-            let limit = self.selector.limit(&target.name, target.slots, now);
+            let limit = self.selector.concurrency_limit(&target.name, target.slots, now);
             let free = self.slots.free(&target.name, limit, now);
             let candidate = Candidate {
                 in_flight: limit.saturating_sub(free),
@@ -243,17 +243,17 @@
         if *home != view.own.region {
             return true;
         }
-        let ask = ShiftAsk {
+        let query = ShiftQuery {
             cap: state.shift_cap,
             home: home.clone(),
             regions_silent: !view.silent_regions.is_empty(),
             service: state.arrival.service.clone(),
         };
-        if !self.caps.allow(&ask, now) {
+        if !self.caps.allow(&query, now) {
             return false;
         }
         let request = state.arrival.request.clone();
-        let kind = EventKind::Shifted { home: home.clone(), service: ask.service };
+        let kind = EventKind::Shifted { home: home.clone(), service: query.service };
         self.call_mut(call).shifted = true;
         self.call_mut(call).shift_attempted = true;
         self.record_event(Some(&request), kind);
@@ -268,7 +268,7 @@
             return;
         }
         let service = state.arrival.service.clone();
-        self.caps.undo(&service, &view.own.region, now);
+        self.caps.refund(&service, &view.own.region, now);
     }
 
     /// Sends to a target: directly if this host owns it, otherwise through its owner as `via`.
@@ -356,7 +356,7 @@
             format!("request {} has no ledger entry", arrival.request)
         });
         self.quarantine.started(arrival.fingerprint, &target, now);
-        self.selector.started(&target, now);
+        self.selector.record_start(&target, now);
         self.record_event(Some(&arrival.request), EventKind::Dispatched { target: target.clone() });
         self.actions.push(Action::Dispatch { address, attempt, call, target, timeout });
     }
@@ -381,7 +381,7 @@
         let queue = self.queues.entry(service.name.clone());
         let queue = queue.or_insert_with(|| Queue::new(limit, MIN_SERVICE_TIME));
         let pushed = queue.push(id, deadline, now);
-        let expired = queue.expire(now);
+        let expired = queue.take_expired(now);
         if pushed.is_err() {
             return self.fail(call, error, now, rng);
         }
@@ -434,8 +434,11 @@
     }
 
     fn serve_queue(&mut self, service: &Service, now: Moment, rng: &mut impl Rng) {
-        let expired =
-            self.queues.get_mut(&service.name).map(|queue| queue.expire(now)).unwrap_or_default();
+        let expired = self
+            .queues
+            .get_mut(&service.name)
+            .map(|queue| queue.take_expired(now))
+            .unwrap_or_default();
         for id in expired {
             self.fail_queued(&id, ErrorKind::DeadlinePassed, now, rng);
         }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -18,8 +18,8 @@
     manifest::{Service, Share, Target, Weighing},
     prelude::*,
     quarantine::{Fingerprint, Mark, Quarantine, QuarantineLimits},
-    selection::{Change, Policy, Rules, Selector},
-    shift::{ShiftCaps, ShiftRules},
+    selection::{EjectionChange, Policy, Selector, SelectorOptions},
+    shift::{ShiftLimiter, ShiftOptions},
     timeline::EventKind,
     view::{Baseline, View},
 };
@@ -46,8 +46,8 @@
     pub hedge: bool,
     /// Replaces the weighing in the manifest.
     pub policy: Option<Policy>,
-    pub selection: Rules,
-    pub shift: ShiftRules,
+    pub selection: SelectorOptions,
+    pub shift: ShiftOptions,
 }
 
 impl Default for RouterTuning {
@@ -55,8 +55,8 @@
         Self {
             hedge: true,
             policy: None,
-            selection: Rules::default(),
-            shift: ShiftRules::default(),
+            selection: SelectorOptions::default(),
+            shift: ShiftOptions::default(),
         }
     }
 }
@@ -78,7 +78,7 @@
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
     pub(super) blocks: Arc<BlockTable>,
     pub(super) calls: BTreeMap<CallId, Call>,
-    pub(super) caps: ShiftCaps,
+    pub(super) caps: ShiftLimiter,
     pub(super) leaving: bool,
     pub(super) ledger: Ledger,
     pub(super) last_attempt: AttemptId,
@@ -102,7 +102,7 @@
             attempts: BTreeMap::new(),
             blocks: Arc::default(),
             calls: BTreeMap::new(),
-            caps: ShiftCaps::with_rules(limits.tuning.shift, Duration::ZERO),
+            caps: ShiftLimiter::with_options(limits.tuning.shift, Duration::ZERO),
             leaving: false,
             ledger: Ledger::new(host, incarnation, limits.ledger),
             last_attempt: 0,
@@ -112,7 +112,7 @@
             quarantine: Quarantine::new(limits.quarantine),
             queues: BTreeMap::new(),
             retry_budget: RetryBudget::default(),
-            selector: Selector::with_rules(
+            selector: Selector::with_options(
                 limits.tuning.policy.unwrap_or(Policy::Weighed(Weighing::Latency)),
                 limits.tuning.selection,
             ),
@@ -135,8 +135,8 @@
                 marks.iter().for_each(|mark| self.quarantine.learn(mark, now))
             }
             Event::Reported { report, target } => {
-                self.slots.report(&target, report.busy, now);
-                self.selector.report(&target, report, now);
+                self.slots.apply_report(&target, report.busy, now);
+                self.selector.record_report(&target, report, now);
                 self.serve_queues(now, rng);
             }
             Event::Tick => self.on_tick(now, rng),
@@ -165,7 +165,7 @@
     /// Request rates by service of this region's own callers, for the regions that serve them if
     /// this one fails.
     pub fn baselines(&self, now: Moment) -> Vec<Baseline> {
-        self.caps.rates(now)
+        self.caps.request_rates(now)
     }
 
     /// The quarantine mark of a request, for the hosts that it is forwarded to or came from.
@@ -198,7 +198,7 @@
     /// other regions.
     pub fn shifted_share(&self, service: &ServiceId, now: Moment) -> Share {
         let Some(view) = &self.view else { return 0.0 };
-        self.caps.share(service, &view.own.region, now)
+        self.caps.shifted_share(service, &view.own.region, now)
     }
 
     /// Whether an attempt is in progress and not cancelled.
@@ -215,7 +215,7 @@
         let Some(view) = &self.view else { return Vec::new() };
         let targets = view.manifest.services.iter().flat_map(|service| &service.targets);
         let names = targets.map(|target| &target.name);
-        names.filter(|name| self.selector.ejected(name, now)).cloned().collect()
+        names.filter(|name| self.selector.is_ejected(name, now)).cloned().collect()
     }
 
     /// The number of this host's attempts in progress on each target that has any, including the
@@ -263,7 +263,7 @@
     /// Whether `target` reports that it is draining, or a drain of the manifest or an operator
     /// covers it.
     pub(super) fn is_draining(&self, view: &View, target: &Target) -> bool {
-        if self.selector.draining(&target.name) {
+        if self.selector.is_draining(&target.name) {
             return true;
         }
         let mut drains = view.manifest.drains.iter().chain(&view.drains);
@@ -274,7 +274,7 @@
     pub(super) fn free_and_total_slots(&self, service: &Service, now: Moment) -> (u32, u32) {
         let owned = service.targets.iter().filter(|target| self.slots.owns(&target.name));
         owned.fold((0, 0), |(free, slots), target| {
-            let limit = self.selector.limit(&target.name, target.slots, now);
+            let limit = self.selector.concurrency_limit(&target.name, target.slots, now);
             (free + self.slots.free(&target.name, limit, now), slots + target.slots)
         })
     }
@@ -304,7 +304,7 @@
         }
         if self.view.is_none() {
             // The windows start with the host: a restarted host has no allowance from before.
-            self.caps = ShiftCaps::with_rules(self.tuning.shift, now);
+            self.caps = ShiftLimiter::with_options(self.tuning.shift, now);
         }
         let owned = self.owned_targets(&view);
         self.slots.set_owned(&owned, now);
@@ -355,8 +355,8 @@
     fn record_target_changes(&mut self) {
         for change in self.selector.take_changes() {
             let kind = match change {
-                Change::Ejected(target) => EventKind::TargetEjected { target },
-                Change::Returned(target) => EventKind::TargetReturned { target },
+                EjectionChange::Ejected(target) => EventKind::TargetEjected { target },
+                EjectionChange::Returned(target) => EventKind::TargetReturned { target },
             };
             self.record_event(None, kind);
         }
--- a/src/routing/target_status.rs
+++ b/src/routing/target_status.rs
@@ -52,10 +52,10 @@
             let Some(region) = view.manifest.region_of(&target.zone) else { continue };
             let in_own_zone = target.zone == view.own.zone;
             let own = self.slots.owns(&target.name);
-            let limit = self.selector.limit(&target.name, target.slots, now);
+            let limit = self.selector.concurrency_limit(&target.name, target.slots, now);
             targets.push(TargetStatus {
                 draining: self.is_draining(view, target),
-                ejected: self.selector.ejected(&target.name, now),
+                ejected: self.selector.is_ejected(&target.name, now),
                 free: own.then(|| self.slots.free(&target.name, limit, now)),
                 owner: owner_of(&target.name, &view.tenure.owners).filter(|_| in_own_zone).cloned(),
                 region: region.name.clone(),
--- a/src/routing/tests/hedge.rs
+++ b/src/routing/tests/hedge.rs
@@ -282,9 +282,9 @@
     let target = dispatch_target(&actions).expect("it is sent");
     host.handle(Event::Begun { attempt: dispatched_attempt(&actions).expect("it is sent") });
     host.advance(Duration::from_secs(60));
-    let before = host.router.selector.latency(&target);
+    let before = host.router.selector.mean_latency(&target);
     host.handle(Event::Cancelled { call });
-    assert_eq!(host.router.selector.latency(&target), before);
+    assert_eq!(host.router.selector.mean_latency(&target), before);
 }
 
 // A service becomes permanently slower, and only the second attempts answer. If cancelled first
--- a/src/selection/health.rs
+++ b/src/selection/health.rs
@@ -1,6 +1,6 @@
 //! What is known of one target's condition.
 
-use super::{LoadReport, Rules, Signal};
+use super::{HealthSignal, LoadReport, SelectorOptions};
 use crate::prelude::*;
 
 /// First time out after repeated failures; doubles with each further ejection.
@@ -79,7 +79,7 @@
     }
 
     /// Takes in the end of a request; true when the target is ejected by it.
-    pub(super) fn ended(&mut self, signal: Signal, latency: Duration, now: Moment) -> bool {
+    pub(super) fn ended(&mut self, signal: HealthSignal, latency: Duration, now: Moment) -> bool {
         if COLD_AFTER < now.saturating_sub(self.last_end) {
             self.cool();
         }
@@ -89,14 +89,14 @@
         match signal {
             // It took at least this long. Left out, a slow target whose requests are always given
             // up for a faster one's answer would go on being taken for a fast one.
-            Signal::Cancelled => {
+            HealthSignal::Cancelled => {
                 if self.latency(now) < sample {
                     self.sample(sample, now);
                     self.last_end = now;
                 }
                 false
             }
-            Signal::Failed => {
+            HealthSignal::Failed => {
                 // A late failure (a timeout) is slowness; a fast one must not look like speed.
                 if self.latency(now) < sample {
                     self.sample(sample, now);
@@ -104,7 +104,7 @@
                 self.last_end = now;
                 self.failed(now)
             }
-            Signal::Shed => {
+            HealthSignal::Shed => {
                 // The target's word at the time of use: it holds fewer than ran.
                 self.earned = self.earned.min(running.max(1)).saturating_sub(1).max(1);
                 self.successes = 0;
@@ -114,7 +114,7 @@
                 self.last_end = now;
                 false
             }
-            Signal::Succeeded => {
+            HealthSignal::Succeeded => {
                 self.sample(sample, now);
                 self.last_end = now;
                 self.failures = 0;
@@ -146,7 +146,7 @@
     }
 
     /// Concurrency allowed now, from 1 to `slots`; 0 only while draining.
-    pub(super) fn limit(&self, slots: u32, rules: Rules, now: Moment) -> u32 {
+    pub(super) fn limit(&self, slots: u32, rules: SelectorOptions, now: Moment) -> u32 {
         if self.is_draining() || slots == 0 {
             return 0;
         }
--- a/src/selection/mod.rs
+++ b/src/selection/mod.rs
@@ -13,7 +13,7 @@
 
 pub use self::{
     candidate::{Candidate, Tier},
-    policy::{Policy, Rules},
-    selector::{Change, Selector},
-    signal::{LoadReport, Signal},
+    policy::{Policy, SelectorOptions},
+    selector::{EjectionChange, Selector},
+    signal::{HealthSignal, LoadReport},
 };
--- a/src/selection/policy.rs
+++ b/src/selection/policy.rs
@@ -35,14 +35,14 @@
 
 /// Safeguards of the selector; measurements turn them off one by one to see what each is worth.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Rules {
+pub struct SelectorOptions {
     /// Targets that fail again and again are left out for a time.
     pub eject: bool,
     /// Cold targets start at a concurrency of one.
     pub ramp: bool,
 }
 
-impl Default for Rules {
+impl Default for SelectorOptions {
     fn default() -> Self {
         Self { eject: true, ramp: true }
     }
--- a/src/selection/selector.rs
+++ b/src/selection/selector.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use super::{Candidate, LoadReport, Policy, Rules, Signal, Tier, health::Health};
+use super::{Candidate, HealthSignal, LoadReport, Policy, SelectorOptions, Tier, health::Health};
 use crate::{base::invariant, manifest::Weighing, prelude::*};
 
 /// Above this many candidates only a random sample is weighed, so that a choice stays cheap.
@@ -16,7 +16,7 @@
 
 /// A target left or joined the pool because of its failures.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum EjectionChange {
     /// Out for a time after repeated failures.
     Ejected(TargetId),
     /// Back, at a concurrency of one.
@@ -26,11 +26,11 @@
 /// Chooses targets and keeps what is known of their condition.
 #[derive(Debug)]
 pub struct Selector {
-    changes: Vec<Change>,
+    changes: Vec<EjectionChange>,
     /// Targets whose time out has not been ended.
     ejected: BTreeSet<TargetId>,
     policy: Policy,
-    rules: Rules,
+    rules: SelectorOptions,
     targets: BTreeMap<TargetId, Health>,
     turns: BTreeMap<ServiceId, usize>,
 }
@@ -38,11 +38,11 @@
 impl Selector {
     /// A selector that knows no target yet.
     pub fn new(policy: Policy) -> Self {
-        Self::with_rules(policy, Rules::default())
+        Self::with_options(policy, SelectorOptions::default())
     }
 
     /// A selector with some safeguards off, for measurements.
-    pub fn with_rules(policy: Policy, rules: Rules) -> Self {
+    pub fn with_options(policy: Policy, rules: SelectorOptions) -> Self {
         Self {
             changes: Vec::new(),
             ejected: BTreeSet::new(),
@@ -95,25 +95,31 @@
     }
 
     /// A request was sent to `target`.
-    pub fn started(&mut self, target: &TargetId, now: Moment) {
+    pub fn record_start(&mut self, target: &TargetId, now: Moment) {
         self.health(target, now).started();
     }
 
     /// A request to `target` ended after `latency`.
-    pub fn ended(&mut self, target: &TargetId, signal: Signal, latency: Duration, now: Moment) {
+    pub fn record_end(
+        &mut self,
+        target: &TargetId,
+        signal: HealthSignal,
+        latency: Duration,
+        now: Moment,
+    ) {
         let eject = self.health(target, now).ended(signal, latency, now) && self.rules.eject;
         if eject && self.ejected.insert(target.clone()) {
-            self.changes.push(Change::Ejected(target.clone()));
+            self.changes.push(EjectionChange::Ejected(target.clone()));
         }
     }
 
     /// A load report of `target` came in.
-    pub fn report(&mut self, target: &TargetId, report: LoadReport, now: Moment) {
+    pub fn record_report(&mut self, target: &TargetId, report: LoadReport, now: Moment) {
         self.health(target, now).report(report, now);
     }
 
     /// Requests that may run on `target` at a time: from 1 when cold to `slots`, 0 when draining.
-    pub fn limit(&self, target: &TargetId, slots: u32, now: Moment) -> u32 {
+    pub fn concurrency_limit(&self, target: &TargetId, slots: u32, now: Moment) -> u32 {
         match self.targets.get(target) {
             Some(health) => health.limit(slots, self.rules, now),
             None if self.rules.ramp => slots.min(1),
@@ -122,17 +128,17 @@
     }
 
     /// Whether the target itself said that it retires.
-    pub fn draining(&self, target: &TargetId) -> bool {
+    pub fn is_draining(&self, target: &TargetId) -> bool {
         self.targets.get(target).is_some_and(Health::is_draining)
     }
 
     /// Whether the target is out because of its failures.
-    pub fn ejected(&self, target: &TargetId, now: Moment) -> bool {
+    pub fn is_ejected(&self, target: &TargetId, now: Moment) -> bool {
         self.rules.eject && self.targets.get(target).is_some_and(|health| health.is_ejected(now))
     }
 
     /// Mean latency of the target's whole answers.
-    pub fn latency(&self, target: &TargetId) -> Option<Duration> {
+    pub fn mean_latency(&self, target: &TargetId) -> Option<Duration> {
         self.targets.get(target)?.measured_latency()
     }
 
@@ -143,7 +149,7 @@
     }
 
     /// Ejections and returns since the last call.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<EjectionChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -164,7 +170,7 @@
         for target in over {
             self.ejected.remove(&target);
             if self.targets.get_mut(&target).is_some_and(|health| health.try_return(now)) {
-                self.changes.push(Change::Returned(target));
+                self.changes.push(EjectionChange::Returned(target));
             }
         }
     }
--- a/src/selection/signal.rs
+++ b/src/selection/signal.rs
@@ -5,7 +5,7 @@
 /// How a dispatched request ended, as far as the target's condition goes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Signal {
+pub enum HealthSignal {
     /// It was given up before it ended, through no fault of the target.
     Cancelled,
     /// No whole answer: connection lost, timeout, broken answer.
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -35,9 +35,9 @@
     for target in ["a", "b"] {
         let target: TargetId = target.into();
         for _ in 0..3 {
-            selector.ended(&target, Signal::Failed, secs(1), secs(1));
+            selector.record_end(&target, HealthSignal::Failed, secs(1), secs(1));
         }
-        assert!(selector.ejected(&target, secs(1)));
+        assert!(selector.is_ejected(&target, secs(1)));
         assert!(selector.pick(&"shows".into(), &pool, secs(1), &mut rng).is_some());
     }
 }
@@ -46,9 +46,9 @@
 fn cold_targets_ramp_and_reports_only_lower() {
     let mut selector = Selector::new(Policy::LeastInFlight);
     let target: TargetId = "a".into();
-    assert_eq!(selector.limit(&target, 3, secs(0)), 1);
+    assert_eq!(selector.concurrency_limit(&target, 3, secs(0)), 1);
     succeed(&mut selector, "a", 6, 20, secs(1));
-    assert_eq!(selector.limit(&target, 3, secs(1)), 3);
+    assert_eq!(selector.concurrency_limit(&target, 3, secs(1)), 3);
     let cases = [
         (LoadReport { busy: 0, draining: false, slots: 100 }, 3, "a report never raises the limit"),
         (LoadReport { busy: 9, draining: false, slots: 0 }, 3, "0 slots: it does not say"),
@@ -57,8 +57,8 @@
         (LoadReport { busy: 0, draining: false, slots: 3 }, 1, "back from a drain it is cold"),
     ];
     for (report, limit, why) in cases {
-        selector.report(&target, report, secs(1));
-        assert_eq!(selector.limit(&target, 3, secs(1)), limit, "{why}");
+        selector.record_report(&target, report, secs(1));
+        assert_eq!(selector.concurrency_limit(&target, 3, secs(1)), limit, "{why}");
     }
 }
 
@@ -69,11 +69,11 @@
     let mut selector = Selector::new(Policy::LeastInFlight);
     let target: TargetId = "a".into();
     succeed(&mut selector, "a", 500, 20, secs(1));
-    (0..3).for_each(|_| selector.started(&target, secs(1)));
-    selector.ended(&target, Signal::Shed, Duration::ZERO, secs(1));
-    assert_eq!(selector.limit(&target, 3, secs(1)), 2);
+    (0..3).for_each(|_| selector.record_start(&target, secs(1)));
+    selector.record_end(&target, HealthSignal::Shed, Duration::ZERO, secs(1));
+    assert_eq!(selector.concurrency_limit(&target, 3, secs(1)), 2);
     succeed(&mut selector, "a", 3, 20, secs(1));
-    assert_eq!(selector.limit(&target, 3, secs(1)), 3);
+    assert_eq!(selector.concurrency_limit(&target, 3, secs(1)), 3);
 }
 
 #[test]
@@ -82,18 +82,19 @@
     // is out for 2 s, comes back with a concurrency of one, fails once and is out for 4 s.
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for (eject, picks) in [(true, 0), (false, 100)] {
-        let rules = Rules { eject, ..Rules::default() };
-        let mut selector = Selector::with_rules(Policy::LeastInFlight, rules);
+        let rules = SelectorOptions { eject, ..SelectorOptions::default() };
+        let mut selector = Selector::with_options(Policy::LeastInFlight, rules);
         let pool = [candidate("bad", 0, 3, Tier::Zone), candidate("good", 1, 3, Tier::Zone)];
         let bad: TargetId = "bad".into();
-        (0..3).for_each(|_| selector.ended(&bad, Signal::Failed, Duration::ZERO, secs(1)));
+        (0..3)
+            .for_each(|_| selector.record_end(&bad, HealthSignal::Failed, Duration::ZERO, secs(1)));
         let mut pick = |selector: &mut Selector, now| {
             selector.pick(&"shows".into(), &pool, now, &mut rng) == Some(0)
         };
         let picked = (0..100).filter(|_| pick(&mut selector, secs(2))).count();
         assert_eq!(picked, picks);
         assert!(pick(&mut selector, secs(3)), "tried again");
-        selector.ended(&bad, Signal::Failed, Duration::ZERO, secs(3));
+        selector.record_end(&bad, HealthSignal::Failed, Duration::ZERO, secs(3));
         assert_eq!(pick(&mut selector, secs(6)), !eject, "out for twice as long");
         let changes = selector.take_changes();
         assert_eq!(changes.len(), if eject { 3 } else { 0 }, "{changes:?}");
@@ -130,9 +131,9 @@
     for target in ["a", "b"] {
         succeed(&mut selector, target, 10, 20, secs(1));
         let report = LoadReport { busy: 1, draining: false, slots: 3 };
-        selector.report(&target.into(), report, secs(1));
+        selector.record_report(&target.into(), report, secs(1));
     }
-    let limit = selector.limit(&"a".into(), 3, secs(200));
+    let limit = selector.concurrency_limit(&"a".into(), 3, secs(200));
     assert_eq!(limit, 3);
     let pool = [candidate("a", 1, limit, Tier::Zone), candidate("b", 1, limit, Tier::Zone)];
     let picks =
@@ -149,8 +150,8 @@
 fn succeed(selector: &mut Selector, target: &str, count: u32, millis: u64, now: Moment) {
     let target: TargetId = target.into();
     for _ in 0..count {
-        selector.started(&target, now);
-        selector.ended(&target, Signal::Succeeded, Duration::from_millis(millis), now);
+        selector.record_start(&target, now);
+        selector.record_end(&target, HealthSignal::Succeeded, Duration::from_millis(millis), now);
     }
 }
 
@@ -166,9 +167,14 @@
         succeed(&mut selector, target, 6, 20, secs(1));
     }
     for _ in 0..3 {
-        selector.ended(&"slow".into(), Signal::Cancelled, Duration::from_millis(100), secs(1));
+        selector.record_end(
+            &"slow".into(),
+            HealthSignal::Cancelled,
+            Duration::from_millis(100),
+            secs(1),
+        );
     }
-    assert!(!selector.ejected(&"slow".into(), secs(1)));
+    assert!(!selector.is_ejected(&"slow".into(), secs(1)));
     for _ in 0..20 {
         assert_eq!(selector.pick(&"shows".into(), &pool, secs(1), &mut rng), Some(1));
     }
--- a/src/shift/caps.rs
+++ b/src/shift/limiter.rs
@@ -3,9 +3,9 @@
 use rand::Rng;
 
 use super::{
-    DirectAsk, ShiftAsk, ShiftEnd, ShiftRules,
-    meter::{Bucket, Meter, WINDOW},
+    CompletedRequest, DirectQuery, ShiftOptions, ShiftQuery,
     ramp::{Feedback, Ramp},
+    sliding_window::{Bucket, SlidingWindow, WINDOW},
 };
 use crate::{base::invariant, manifest::Share, prelude::*, view::Baseline};
 
@@ -35,9 +35,9 @@
 
 /// Shift caps of this host, by service and home region.
 #[derive(Debug)]
-pub struct ShiftCaps {
+pub struct ShiftLimiter {
     flows: BTreeMap<FlowId, Flow>,
-    rules: ShiftRules,
+    rules: ShiftOptions,
     started_at: Moment,
 }
 
@@ -55,80 +55,92 @@
     /// Credit for shifts, in requests. Each arrival earns the cap's share of one. With the window
     /// alone, old traffic could pay for a burst of shifts after the traffic itself is gone.
     earned: f64,
-    meter: Meter,
+    window: SlidingWindow,
     /// Arrivals of a window while nothing was refused; resends of refused callers are not in it.
     normal: f64,
     /// What the last shift cost, for `undo`.
     price: f64,
     ramp: Ramp,
-    rules: ShiftRules,
+    rules: ShiftOptions,
     /// Mean time to an answer at home, in seconds; 0 before the first one.
     usual: f64,
 }
 
-impl ShiftCaps {
+impl ShiftLimiter {
     /// Caps with empty windows at `now`: a restarted host starts without credit.
     pub fn new(now: Moment) -> Self {
-        Self::with_rules(ShiftRules::default(), now)
+        Self::with_options(ShiftOptions::default(), now)
     }
 
     /// Caps with some safeguards off, for measurements.
-    pub fn with_rules(rules: ShiftRules, now: Moment) -> Self {
+    pub fn with_options(rules: ShiftOptions, now: Moment) -> Self {
         Self { flows: BTreeMap::new(), rules, started_at: now }
     }
 
     /// Counts a request of a caller at home in `home`, before any `allow` for it.
-    pub fn arrived(&mut self, service: &ServiceId, home: &RegionId, now: Moment) {
+    pub fn record_arrival(&mut self, service: &ServiceId, home: &RegionId, now: Moment) {
         let flow = self.flow(service, home, now);
-        flow.meter.change(now, |bucket| bucket.total += 1);
+        flow.window.change(now, |bucket| bucket.total += 1);
         flow.earned = (flow.earned + 1.0).min(MAX_EARNED);
         flow.note_normal(now);
     }
 
     /// Whether this home host may send one more request to another region.
-    pub fn allow(&mut self, ask: &ShiftAsk, now: Moment) -> bool {
+    pub fn allow(&mut self, ask: &ShiftQuery, now: Moment) -> bool {
         let cap = if ask.regions_silent { ask.cap * SPLIT } else { ask.cap };
         let flow = self.flow(&ask.service, &ask.home, now);
         flow.allow(cap, now)
     }
 
     /// Whether this host may serve one more caller whose home hosts are gone.
-    pub fn allow_direct(&mut self, ask: &DirectAsk, now: Moment) -> bool {
+    pub fn allow_direct(&mut self, ask: &DirectQuery, now: Moment) -> bool {
         let rate = ask.cap * SPLIT * ask.baseline / f64::from(ask.receivers.max(1));
         let flow = self.flow(&ask.service, &ask.home, now);
         flow.allow_direct(rate, now)
     }
 
     /// Takes back an allowed shift that was then not run.
-    pub fn undo(&mut self, service: &ServiceId, home: &RegionId, now: Moment) {
+    pub fn refund(&mut self, service: &ServiceId, home: &RegionId, now: Moment) {
         let flow = self.flow(service, home, now);
-        if flow.meter.take_back(now, |bucket| &mut bucket.shifted) {
+        if flow.window.take_back(now, |bucket| &mut bucket.shifted) {
             flow.earned += flow.price;
         }
     }
 
     /// Takes back an allowed direct caller whose request was then not run.
-    pub fn undo_direct(&mut self, service: &ServiceId, home: &RegionId, now: Moment) {
+    pub fn refund_direct(&mut self, service: &ServiceId, home: &RegionId, now: Moment) {
         let flow = self.flow(service, home, now);
-        if flow.meter.take_back(now, |bucket| &mut bucket.direct) {
+        if flow.window.take_back(now, |bucket| &mut bucket.direct) {
             flow.direct = (flow.direct + 1.0).min(1.0);
         }
     }
 
     /// A shifted request ended: `good` when neither slow nor shed.
-    pub fn feedback(&mut self, service: &ServiceId, home: &RegionId, good: bool, now: Moment) {
+    pub fn record_feedback(
+        &mut self,
+        service: &ServiceId,
+        home: &RegionId,
+        good: bool,
+        now: Moment,
+    ) {
         let feedback = if good { Feedback::Good } else { Feedback::Bad };
-        self.flow(service, home, now).ramp.feedback(feedback, now);
+        self.flow(service, home, now).ramp.record(feedback, now);
     }
 
     /// A request of the home region's callers ended. Answers at home set what is usual; a shifted
     /// one is good when it came and took little longer than that and the way to another region.
-    pub fn ended(&mut self, service: &ServiceId, home: &RegionId, end: ShiftEnd, now: Moment) {
+    pub fn record_completion(
+        &mut self,
+        service: &ServiceId,
+        home: &RegionId,
+        end: CompletedRequest,
+        now: Moment,
+    ) {
         let flow = self.flow(service, home, now);
         match (end.shifted, end.latency) {
             (true, _) => {
                 let feedback = flow.judge(end);
-                flow.ramp.feedback(feedback, now);
+                flow.ramp.record(feedback, now);
             }
             (false, Some(latency)) => flow.note_usual(latency),
             (false, None) => {}
@@ -136,10 +148,10 @@
     }
 
     /// Requests a second by service and home region, over the window.
-    pub fn rates(&self, now: Moment) -> Vec<Baseline> {
+    pub fn request_rates(&self, now: Moment) -> Vec<Baseline> {
         let rate = |(id, flow): (&FlowId, &Flow)| Baseline {
             home: id.home.clone(),
-            rate: f64::from(flow.meter.peek(now).total) / flow.meter.span(now).as_secs_f64(),
+            rate: f64::from(flow.window.peek(now).total) / flow.window.span(now).as_secs_f64(),
             service: id.service.clone(),
         };
         // A flow without arrivals is one that only passes through here: another host knows its rate.
@@ -147,11 +159,11 @@
     }
 
     /// Share of a home region's requests of the window that were served elsewhere, from 0 to 1.
-    pub fn share(&self, service: &ServiceId, home: &RegionId, now: Moment) -> Share {
+    pub fn shifted_share(&self, service: &ServiceId, home: &RegionId, now: Moment) -> Share {
         let flows = self.flows.iter();
         let mut own = flows.filter(|(id, _)| id.service == *service && id.home == *home);
         let Some((_, flow)) = own.next() else { return 0.0 };
-        let sums = flow.meter.peek(now);
+        let sums = flow.window.peek(now);
         f64::from(sums.shifted) / f64::from(sums.total.max(1))
     }
 
@@ -164,7 +176,7 @@
         rng: &mut impl Rng,
     ) -> Duration {
         let id = FlowId { home: home.clone(), service: service.clone() };
-        let sums = self.flows.get(&id).map(|flow| flow.meter.peek(now)).unwrap_or_default();
+        let sums = self.flows.get(&id).map(|flow| flow.window.peek(now)).unwrap_or_default();
         let pressure = f64::from(sums.refused) / f64::from((sums.shifted + sums.direct).max(1));
         let spread = SPREAD_MIN.mul_f64(pressure.max(1.0)).min(SPREAD_MAX);
         SPREAD_MIN + spread.mul_f64(rng.random_range(0.0..1.0))
@@ -184,12 +196,12 @@
 }
 
 impl Flow {
-    fn new(rules: ShiftRules, started_at: Moment, now: Moment) -> Self {
+    fn new(rules: ShiftOptions, started_at: Moment, now: Moment) -> Self {
         Self {
             direct: 0.0,
             direct_at: started_at,
             earned: 0.0,
-            meter: Meter::new(now),
+            window: SlidingWindow::new(now),
             normal: 0.0,
             price: 0.0,
             ramp: Ramp::new(rules, now),
@@ -198,7 +210,7 @@
         }
     }
 
-    fn judge(&self, end: ShiftEnd) -> Feedback {
+    fn judge(&self, end: CompletedRequest) -> Feedback {
         match end.latency {
             Some(latency) if self.is_usual(latency) => Feedback::Good,
             None if end.refused => Feedback::Refused,
@@ -217,7 +229,7 @@
     }
 
     fn allow(&mut self, cap: Share, now: Moment) -> bool {
-        let sums = self.meter.sums(now);
+        let sums = self.window.sums(now);
         let genuine = self.genuine(sums);
         let cap_now = self.cap_now(cap, genuine, now);
         let within = f64::from(sums.shifted + 1) <= cap_now * genuine;
@@ -225,14 +237,14 @@
         let price = 1.0 / cap_now.max(f64::EPSILON);
         self.earned = self.earned.min(price * 2.0);
         if self.rules.caps && (!within || self.earned < price) {
-            self.meter.change(now, |bucket| bucket.refused += 1);
+            self.window.change(now, |bucket| bucket.refused += 1);
             return false;
         }
         self.earned -= price;
         self.price = price;
         self.ramp.used(cap_now / cap.max(f64::EPSILON), now);
-        self.meter.change(now, |bucket| bucket.shifted += 1);
-        let sums = self.meter.sums(now);
+        self.window.change(now, |bucket| bucket.shifted += 1);
+        let sums = self.window.sums(now);
         let under = f64::from(sums.shifted) <= cap * f64::from(sums.total);
         invariant::hold(under, "shift-under-cap", || {
             format!("{} shifted of {}, cap {cap}", sums.shifted, sums.total)
@@ -253,8 +265,8 @@
     }
 
     fn note_normal(&mut self, now: Moment) {
-        let sums = self.meter.sums(now);
-        let seen = self.meter.span(now).as_secs_f64() / WINDOW.as_secs_f64();
+        let sums = self.window.sums(now);
+        let seen = self.window.span(now).as_secs_f64() / WINDOW.as_secs_f64();
         if sums.refused == 0 && QUIET_LEAST <= seen {
             self.normal = f64::from(sums.total) / seen;
         }
@@ -263,7 +275,7 @@
     /// The part of `cap` that the ramp allows. A small flow gets at least `FIRST_STEP`, or a tenth
     /// of its cap would be less than one request and the ramp would never see an answer.
     fn cap_now(&self, cap: Share, total: f64, now: Moment) -> Share {
-        let window = self.meter.span(now).as_secs_f64();
+        let window = self.window.span(now).as_secs_f64();
         let first_step = FIRST_STEP * self.ramp.least(now) * window / total.max(1.0);
         (cap * self.ramp.share(now)).max(first_step).min(cap)
     }
@@ -276,15 +288,15 @@
         self.direct = (self.direct + earned).min(1.0);
         self.direct_at = now;
         let most = rate * window + 1.0;
-        let within = f64::from(self.meter.sums(now).direct + 1) <= most;
+        let within = f64::from(self.window.sums(now).direct + 1) <= most;
         if self.rules.caps && (!within || self.direct < 1.0) {
-            self.meter.change(now, |bucket| bucket.refused += 1);
+            self.window.change(now, |bucket| bucket.refused += 1);
             return false;
         }
         self.direct -= 1.0;
         self.ramp.used(rate_now / rate.max(f64::EPSILON), now);
-        self.meter.change(now, |bucket| bucket.direct += 1);
-        let direct = self.meter.sums(now).direct;
+        self.window.change(now, |bucket| bucket.direct += 1);
+        let direct = self.window.sums(now).direct;
         invariant::hold(f64::from(direct) <= most, "direct-shift-under-cap", || {
             format!("{direct} served directly, {most:.1} allowed")
         });
--- a/src/shift/mod.rs
+++ b/src/shift/mod.rs
@@ -3,18 +3,18 @@
 //! A cap is a share, and shares compose: when every home host keeps its own shifts under the cap
 //! of its own traffic, so does the sum, and no host asks another.
 
-mod ask;
-mod caps;
-mod meter;
+mod limiter;
+mod options;
+mod query;
 mod ramp;
 mod receiver;
-mod rules;
+mod sliding_window;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
-    ask::{DirectAsk, ShiftAsk, ShiftEnd},
-    caps::ShiftCaps,
+    limiter::ShiftLimiter,
+    options::ShiftOptions,
+    query::{CompletedRequest, DirectQuery, ShiftQuery},
     receiver::accept_foreign,
-    rules::ShiftRules,
 };
--- a/src/shift/rules.rs
+++ b/src/shift/options.rs
@@ -4,7 +4,7 @@
 
 /// Which safeguards of the shift caps are on.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ShiftRules {
+pub struct ShiftOptions {
     /// Shifts stay under the cap.
     pub caps: bool,
     /// A ramp that backed off waits, longer each time.
@@ -13,7 +13,7 @@
     pub ramp: bool,
 }
 
-impl Default for ShiftRules {
+impl Default for ShiftOptions {
     fn default() -> Self {
         Self { caps: true, pause: true, ramp: true }
     }
--- a/src/shift/ask.rs
+++ b/src/shift/query.rs
@@ -4,7 +4,7 @@
 
 /// A home host wants to send one request to another region.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ShiftAsk {
+pub struct ShiftQuery {
     pub home: RegionId,
     /// Most of the home region's requests that may be served elsewhere.
     pub cap: Share,
@@ -15,7 +15,7 @@
 
 /// A caller came straight to another region because its home hosts are gone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DirectAsk {
+pub struct DirectQuery {
     /// Requests a second that the home region last had.
     pub baseline: f64,
     /// Most of the home region's requests that may be served elsewhere.
@@ -28,7 +28,7 @@
 
 /// How a request of a home region's caller ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ShiftEnd {
+pub struct CompletedRequest {
     /// Time to the whole answer; `None` when there was none.
     pub latency: Option<Duration>,
     /// The other region had no slot to spare.
--- a/src/shift/ramp.rs
+++ b/src/shift/ramp.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::ShiftRules;
+use super::ShiftOptions;
 use crate::{base::invariant, manifest::Share, prelude::*};
 
 /// First step, as a share of the cap.
@@ -54,12 +54,12 @@
     refused: u32,
     reversals: VecDeque<Moment>,
     rising: bool,
-    rules: ShiftRules,
+    rules: ShiftOptions,
     share: Share,
 }
 
 impl Ramp {
-    pub(super) fn new(rules: ShiftRules, now: Moment) -> Self {
+    pub(super) fn new(rules: ShiftOptions, now: Moment) -> Self {
         Self {
             bad: 0,
             good: 0,
@@ -100,7 +100,7 @@
     }
 
     /// A shifted request ended.
-    pub(super) fn feedback(&mut self, feedback: Feedback, now: Moment) {
+    pub(super) fn record(&mut self, feedback: Feedback, now: Moment) {
         match feedback {
             Feedback::Bad => self.bad += 1,
             Feedback::Good => self.good += 1,
--- a/src/shift/meter.rs
+++ b/src/shift/sliding_window.rs
@@ -11,7 +11,7 @@
 
 /// Requests of the last ten seconds: all, and those that were shifted or refused a shift.
 #[derive(Clone, Debug)]
-pub(super) struct Meter {
+pub(super) struct SlidingWindow {
     buckets: [Bucket; BUCKETS],
     since: Moment,
     sums: Bucket,
@@ -28,7 +28,7 @@
     pub(super) total: u32,
 }
 
-impl Meter {
+impl SlidingWindow {
     pub(super) fn new(now: Moment) -> Self {
         Self {
             buckets: [Bucket::default(); BUCKETS],
@@ -78,7 +78,7 @@
         copy.sums
     }
 
-    /// How much time the sums cover; a young meter has seen less than a window.
+    /// How much time the sums cover; a young window has seen less than a window.
     pub(super) fn span(&self, now: Moment) -> Duration {
         now.saturating_sub(self.since).clamp(Duration::from_secs(1), WINDOW)
     }
--- a/src/shift/tests.rs
+++ b/src/shift/tests.rs
@@ -4,26 +4,26 @@
 use super::*;
 use crate::{base::invariant, prelude::*};
 
-fn ask(cap: f64, regions_silent: bool) -> ShiftAsk {
-    ShiftAsk { home: "zagreb".into(), cap, regions_silent, service: "status".into() }
+fn ask(cap: f64, regions_silent: bool) -> ShiftQuery {
+    ShiftQuery { home: "zagreb".into(), cap, regions_silent, service: "status".into() }
 }
 
 /// Ten seconds of 100 requests a second that are served at home.
-fn quiet(caps: &mut ShiftCaps, ask: &ShiftAsk, from: Moment) {
+fn quiet(caps: &mut ShiftLimiter, ask: &ShiftQuery, from: Moment) {
     for step in 0..1000 {
-        caps.arrived(&ask.service, &ask.home, from + Duration::from_millis(10) * step);
+        caps.record_arrival(&ask.service, &ask.home, from + Duration::from_millis(10) * step);
     }
 }
 
 /// Ten seconds of 100 requests a second that all want to leave; returns how many may.
-fn flood(caps: &mut ShiftCaps, ask: &ShiftAsk, from: Moment) -> u32 {
+fn flood(caps: &mut ShiftLimiter, ask: &ShiftQuery, from: Moment) -> u32 {
     let mut allowed = 0;
     for step in 0..1000 {
         let now = from + Duration::from_millis(10) * step;
-        caps.arrived(&ask.service, &ask.home, now);
+        caps.record_arrival(&ask.service, &ask.home, now);
         if caps.allow(ask, now) {
             allowed += 1;
-            caps.feedback(&ask.service, &ask.home, true, now);
+            caps.record_feedback(&ask.service, &ask.home, true, now);
         }
     }
     allowed
@@ -31,7 +31,7 @@
 
 #[test]
 fn shifts_ramp_up_to_the_cap_and_no_further() {
-    let mut caps = ShiftCaps::new(Duration::ZERO);
+    let mut caps = ShiftLimiter::new(Duration::ZERO);
     let ask = ask(0.3, false);
     quiet(&mut caps, &ask, at(0));
     let ramping = flood(&mut caps, &ask, at(10));
@@ -51,17 +51,17 @@
 
 #[test]
 fn undone_shift_leaves_room_for_another() {
-    let mut caps = ShiftCaps::new(Duration::ZERO);
+    let mut caps = ShiftLimiter::new(Duration::ZERO);
     let ask = ask(0.1, false);
     quiet(&mut caps, &ask, at(0));
     assert!(caps.allow(&ask, at(10)));
     let more = (0..9).filter(|_| caps.allow(&ask, at(10))).count();
     assert!(more < 9, "a first step");
-    caps.undo(&ask.service, &ask.home, at(11));
+    caps.refund(&ask.service, &ask.home, at(11));
     assert!(caps.allow(&ask, at(11)));
     assert!(!caps.allow(&ask, at(11)));
-    (0..30).for_each(|_| caps.undo(&ask.service, &ask.home, at(12)));
-    assert_eq!(caps.rates(at(30)), [], "the window is empty, and nothing panics");
+    (0..30).for_each(|_| caps.refund(&ask.service, &ask.home, at(12)));
+    assert_eq!(caps.request_rates(at(30)), [], "the window is empty, and nothing panics");
 }
 
 #[test]
@@ -69,16 +69,16 @@
     // A region loses its targets; refused callers come back a few times each, so four times the
     // requests arrive. A cap that takes its share of those lets more callers through the more it
     // refuses: at 30 % of four times the traffic, everything would shift.
-    let mut caps = ShiftCaps::new(Duration::ZERO);
+    let mut caps = ShiftLimiter::new(Duration::ZERO);
     let ask = ask(0.3, false);
     quiet(&mut caps, &ask, at(0));
     let mut shifted = 0;
     for step in 0..8000 {
         let now = at(10) + Duration::from_micros(2500) * step;
-        caps.arrived(&ask.service, &ask.home, now);
+        caps.record_arrival(&ask.service, &ask.home, now);
         if caps.allow(&ask, now) {
             shifted += u32::from(at(20) <= now);
-            caps.feedback(&ask.service, &ask.home, true, now);
+            caps.record_feedback(&ask.service, &ask.home, true, now);
         }
     }
     assert!((250..=300).contains(&shifted), "{shifted} of 1000 callers");
@@ -89,14 +89,14 @@
     // Callers are many for ten seconds and then almost gone. A cap over the window alone would let
     // the few that are left all shift at once: hundreds of old requests pay for them. Credit that
     // each arrival earns, and that is not saved up, keeps every later span under the cap too.
-    let mut caps = ShiftCaps::new(Duration::ZERO);
+    let mut caps = ShiftLimiter::new(Duration::ZERO);
     let ask = ask(0.3, false);
     flood(&mut caps, &ask, at(0));
-    (0..700).for_each(|_| caps.arrived(&ask.service, &ask.home, at(10)));
+    (0..700).for_each(|_| caps.record_arrival(&ask.service, &ask.home, at(10)));
     let mut shifted = 0;
     for step in 0..50 {
         let now = at(11) + Duration::from_millis(100) * step;
-        caps.arrived(&ask.service, &ask.home, now);
+        caps.record_arrival(&ask.service, &ask.home, now);
         shifted += u32::from(caps.allow(&ask, now));
     }
     assert!(shifted <= 15 + 2, "{shifted} of 50 shifted at a cap of 30 %");
@@ -108,8 +108,8 @@
     // Two regions lose each other, each believing the other gone. The home hosts go on shifting to
     // a third region while callers that still hold old look-ups come to the other side directly.
     // Neither can ask; each takes half of the cap, so the sum over all receivers stays under it.
-    let mut home = ShiftCaps::new(Duration::ZERO);
-    let mut receivers = [(); 4].map(|()| ShiftCaps::new(Duration::ZERO));
+    let mut home = ShiftLimiter::new(Duration::ZERO);
+    let mut receivers = [(); 4].map(|()| ShiftLimiter::new(Duration::ZERO));
     let ask = ask(0.3, true);
     let direct = direct(100.0, 4);
     quiet(&mut home, &ask, at(0));
@@ -121,7 +121,7 @@
         let receiver = &mut receivers[step as usize % 4];
         if receiver.allow_direct(&direct, now) {
             served[usize::from(at(10) <= now)] += 1;
-            receiver.feedback(&direct.service, &direct.home, true, now);
+            receiver.record_feedback(&direct.service, &direct.home, true, now);
         }
     }
     assert!(warm <= 150 && (130..=150).contains(&shifted), "{warm}, {shifted} by home hosts");
@@ -134,7 +134,7 @@
 fn restarted_receiver_has_no_credit() {
     // Receivers restart one after the other while a region is away. If each began with a request's
     // worth of credit, every restart would serve one more and a crash loop would pass the cap.
-    let mut caps = ShiftCaps::new(at(100));
+    let mut caps = ShiftLimiter::new(at(100));
     assert!(!caps.allow_direct(&direct(2.0, 1), at(101)));
     assert!(caps.allow_direct(&direct(2.0, 1), at(104)));
 }
@@ -145,12 +145,13 @@
     // grows past that it backs off; without a pause that grows it would swing every few seconds
     // and the receiving region's own callers would feel each swing.
     for pause in [true, false] {
-        let mut caps = ShiftCaps::with_rules(ShiftRules { pause, ..Default::default() }, at(0));
+        let mut caps =
+            ShiftLimiter::with_options(ShiftOptions { pause, ..Default::default() }, at(0));
         let ask = ask(0.4, false);
         let (mut recent, mut sum) = (std::collections::VecDeque::new(), 0);
         for step in 0..30_000 {
             let now = Duration::from_millis(10) * step;
-            caps.arrived(&ask.service, &ask.home, now);
+            caps.record_arrival(&ask.service, &ask.home, now);
             let allowed = caps.allow(&ask, now);
             recent.push_back(allowed);
             sum += usize::from(allowed);
@@ -158,7 +159,7 @@
                 sum -= usize::from(recent.pop_front().unwrap());
             }
             if allowed {
-                caps.feedback(&ask.service, &ask.home, sum <= 20, now);
+                caps.record_feedback(&ask.service, &ask.home, sum <= 20, now);
             }
         }
         let reversals = caps.reversals(&ask.service, &ask.home);
@@ -172,9 +173,9 @@
     // The receiving region answers everything, but twenty times slower than home does: it is
     // choking on what it gets. The shift stays small until answers come faster.
     let shifted = |millis| {
-        let mut caps = ShiftCaps::new(Duration::ZERO);
+        let mut caps = ShiftLimiter::new(Duration::ZERO);
         let ask = ask(0.3, false);
-        let end = |millis, shifted| ShiftEnd {
+        let end = |millis, shifted| CompletedRequest {
             latency: Some(Duration::from_millis(millis)),
             refused: false,
             shifted,
@@ -182,11 +183,11 @@
         let mut count = 0;
         for step in 0..2000 {
             let now = Duration::from_millis(10) * step;
-            caps.arrived(&ask.service, &ask.home, now);
+            caps.record_arrival(&ask.service, &ask.home, now);
             let allowed = caps.allow(&ask, now);
             count += u32::from(allowed);
             let end = if allowed { end(millis, true) } else { end(50, false) };
-            caps.ended(&ask.service, &ask.home, end, now);
+            caps.record_completion(&ask.service, &ask.home, end, now);
         }
         count
     };
@@ -200,12 +201,12 @@
     // the others: its reserve protects it. Backing off then, the home region lost requests that the
     // other one had room for. Only where next to all are refused does the shift stay small.
     let served = |one_of: u32| {
-        let mut caps = ShiftCaps::new(Duration::ZERO);
+        let mut caps = ShiftLimiter::new(Duration::ZERO);
         let ask = ask(0.3, false);
         let (mut asked, mut served) = (0, 0);
         for step in 0..2000 {
             let now = Duration::from_millis(10) * step;
-            caps.arrived(&ask.service, &ask.home, now);
+            caps.record_arrival(&ask.service, &ask.home, now);
             if !caps.allow(&ask, now) {
                 continue;
             }
@@ -214,10 +215,10 @@
             let latency = (!refused).then_some(Duration::from_millis(160));
             served += u32::from(!refused);
             if refused {
-                caps.undo(&ask.service, &ask.home, now);
+                caps.refund(&ask.service, &ask.home, now);
             }
-            let end = ShiftEnd { latency, refused, shifted: true };
-            caps.ended(&ask.service, &ask.home, end, now);
+            let end = CompletedRequest { latency, refused, shifted: true };
+            caps.record_completion(&ask.service, &ask.home, end, now);
         }
         (asked, served)
     };
@@ -227,8 +228,8 @@
 
 #[test]
 fn without_caps_the_invariants_fire() {
-    let rules = ShiftRules { caps: false, ..Default::default() };
-    let mut caps = ShiftCaps::with_rules(rules, Duration::ZERO);
+    let rules = ShiftOptions { caps: false, ..Default::default() };
+    let mut caps = ShiftLimiter::with_options(rules, Duration::ZERO);
     flood(&mut caps, &ask(0.3, false), at(0));
     (0..50).for_each(|_| assert!(caps.allow_direct(&direct(10.0, 1), at(20))));
     let broken = invariant::take();
@@ -240,7 +241,7 @@
 #[test]
 fn refused_callers_come_back_spread() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut caps = ShiftCaps::new(Duration::ZERO);
+    let mut caps = ShiftLimiter::new(Duration::ZERO);
     let ask = ask(0.1, false);
     flood(&mut caps, &ask, at(0));
     let times: Vec<f64> = (0..1000)
@@ -251,8 +252,8 @@
     assert!(busiest < 250, "{busiest} of 1000 come back within one second");
 }
 
-fn direct(baseline: f64, receivers: u32) -> DirectAsk {
-    DirectAsk { baseline, cap: 0.3, home: "zagreb".into(), receivers, service: "status".into() }
+fn direct(baseline: f64, receivers: u32) -> DirectQuery {
+    DirectQuery { baseline, cap: 0.3, home: "zagreb".into(), receivers, service: "status".into() }
 }
 
 fn at(secs: u64) -> Moment {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -9,7 +9,7 @@
 
 use async_trait::async_trait;
 use lavenderplank::{
-    drain::{DrainError, DrainRecord, Drains},
+    drain::{DrainError, DrainRecord, DrainSet},
     manifest::Manifest,
     membership::Digest,
     operator::{DrainStatus, Explanation, HostStatus, gather},
@@ -26,7 +26,7 @@
 
 /// A host that holds drains and knows two others.
 struct Host {
-    drains: Mutex<Drains>,
+    drains: Mutex<DrainSet>,
     hosts: Vec<HostView>,
     manifest: Manifest,
     own: HostView,
@@ -95,7 +95,7 @@
 
     async fn drain(&self, order: DrainOrder) -> Result<DrainRecord> {
         let mut drains = self.drains.lock().expect("no holder panics");
-        drains.order(order, NOW, &self.manifest, &[]).map_err(conflict)
+        drains.apply_order(order, NOW, &self.manifest, &[]).map_err(conflict)
     }
 
     async fn undrain(&self, order: UndrainOrder) -> Result<Vec<DrainRecord>> {
@@ -111,7 +111,7 @@
         peer: Secret::new("peer-key"),
     };
     let host = Host {
-        drains: Mutex::new(Drains::new("a".into())),
+        drains: Mutex::new(DrainSet::new("a".into())),
         hosts,
         manifest: manifest(),
         own: view("a", "split-1", ([127, 0, 0, 1], 9).into()),
