--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -50,7 +50,7 @@
     pub head: Parts,
     /// The key that identifies the request in the log.
     pub key: RequestKey,
-    pub note: CallerMetadata,
+    pub metadata: CallerMetadata,
     pub service: ServiceId,
     pub team: Option<Arc<Team>>,
 }
@@ -102,18 +102,18 @@
         Err(error) => return guard.not_sent(&error),
     };
     guard.first_byte = Some(guard.elapsed());
-    let note = state.protocol.reply_metadata(response.status(), response.headers());
-    if note.not_run || note.wrong_target {
-        return guard.refused(&note, response, connection).await;
+    let metadata = state.protocol.reply_metadata(response.status(), response.headers());
+    if metadata.not_run || metadata.wrong_target {
+        return guard.refused(&metadata, response, connection).await;
     }
-    let is_mismatched = note.attempt_id != request.note.attempt_id;
-    if is_mismatched || (response.status().is_success() && !note.signed) {
+    let is_mismatched = metadata.attempt_id != request.metadata.attempt_id;
+    if is_mismatched || (response.status().is_success() && !metadata.signed) {
         // A response to an earlier request, or one that no target sent. Later responses on this
         // connection cannot be matched to their requests either, so it is closed.
         return guard
             .lost("the response belongs to another request, or lacks the target's signature");
     }
-    guard.receive_response(note, response, connection, in_flight).await
+    guard.receive_response(metadata, response, connection, in_flight).await
 }
 
 /// Takes an idle connection to the target, or opens a new one.
@@ -220,11 +220,11 @@
 
     async fn refused(
         &mut self,
-        note: &ReplyMetadata,
+        metadata: &ReplyMetadata,
         response: Response<Incoming>,
         connection: TargetConnection,
     ) -> AttemptOutcome {
-        if note.wrong_target {
+        if metadata.wrong_target {
             // Another target has taken over the address: the known entry is out of date.
             self.record_end(
                 HealthSignal::Unreachable,
@@ -244,7 +244,7 @@
 
     async fn receive_response(
         &mut self,
-        note: ReplyMetadata,
+        metadata: ReplyMetadata,
         response: Response<Incoming>,
         connection: TargetConnection,
         in_flight: InFlight,
@@ -283,7 +283,7 @@
         let response = Response::from_parts(head, ResponseBody::Whole(Full::new(bytes)));
         if status.is_server_error() {
             self.record_end(HealthSignal::Failed, AttemptEnd::Failed, status.as_str());
-            return if note.signed {
+            return if metadata.signed {
                 AttemptOutcome::TargetError(response)
             } else {
                 AttemptOutcome::Lost(ErrorKind::AnswerBroken)
--- a/src/entry/listeners.rs
+++ b/src/entry/listeners.rs
@@ -73,14 +73,15 @@
     }
     let _open_connection = OpenConnection::new(&state);
     let (io, disconnect) = CallerIo::new(stream);
-    let idle = state.view().and_then(|view| view.declared.clone());
-    let idle = idle.map_or(DEFAULT_IDLE_TIMEOUT, |declared| declared.idle_timeout + IDLE_SLACK);
+    let declared = state.view().and_then(|view| view.declared.clone());
+    let idle_timeout =
+        declared.map_or(DEFAULT_IDLE_TIMEOUT, |declared| declared.idle_timeout + IDLE_SLACK);
     let early_requests = RefCell::default();
     let caller = Rc::new(CallerConnection { state: state.clone(), disconnect, early_requests });
     let service = service_fn(|req| handle(caller.clone(), req));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
+        .header_read_timeout(idle_timeout)
         .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
@@ -130,7 +131,7 @@
 /// the task.
 struct EarlyRequest {
     /// Compared, like `uri`, with the request that the HTTP server hands over when its turn comes.
-    note: CallerMetadata,
+    metadata: CallerMetadata,
     task: JoinHandle<Option<CallerResponse>>,
     uri: Uri,
 }
@@ -145,13 +146,14 @@
     async fn respond(&self, req: Request<Incoming>) -> Option<CallerResponse> {
         self.disconnect.with_scanner(PipelineScanner::take_next);
         let early_request = self.early_requests.borrow_mut().pop_front();
-        let note = self.state.protocol.caller_metadata(req.headers());
+        let metadata = self.state.protocol.caller_metadata(req.headers());
         let response = async {
             match early_request {
-                Some(mut early) if early.uri == *req.uri() && early.note == note => {
+                Some(mut early) if early.uri == *req.uri() && early.metadata == metadata => {
                     tokio::select! {
-                    response =&mut early.task =>response.ok().flatten(),()=self.disconnect.closed()=>None,
-                                        }
+                        response = &mut early.task => response.ok().flatten(),
+                        () = self.disconnect.closed() => None,
+                    }
                 }
                 other => {
                     if other.is_some() {
@@ -207,14 +209,14 @@
             if !request_handler::may_start_early(&self.state, &head) {
                 return;
             }
-            let note = self.state.protocol.caller_metadata(&head.headers);
+            let metadata = self.state.protocol.caller_metadata(&head.headers);
             let uri = head.uri.clone();
             let req = Request::from_parts(head, request_handler::RequestBody::None);
             // If the caller leaves, `EarlyRequest` is dropped and aborts the task.
             let serve =
                 request_handler::handle_request(self.state.clone(), Disconnect::never(), req);
             early_requests.push_back(EarlyRequest {
-                note,
+                metadata,
                 task: tokio::task::spawn_local(serve),
                 uri,
             });
@@ -264,8 +266,8 @@
     if !state.protocol.is_readiness_request(req.uri()) {
         return status_response(StatusCode::NOT_FOUND);
     }
-    let knows = state.view().is_some_and(|view| view.declared.is_some());
-    let ready = knows && state.shutdown_started_at.get().is_none();
+    let has_declaration = state.view().is_some_and(|view| view.declared.is_some());
+    let ready = has_declaration && state.shutdown_started_at.get().is_none();
     status_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
--- a/src/entry/request_handler.rs
+++ b/src/entry/request_handler.rs
@@ -74,12 +74,12 @@
 ) -> Option<CallerResponse> {
     let accepted_at = state.clock.now();
     let (mut head, body) = req.into_parts();
-    let note = state.protocol.caller_metadata(&head.headers);
-    let key = state.new_request_key(note.attempt_id.as_ref());
+    let metadata = state.protocol.caller_metadata(&head.headers);
+    let key = state.new_request_key(metadata.attempt_id.as_ref());
     let version = Cell::new(0);
     let team_name: RefCell<Option<TeamId>> = RefCell::default();
     let refuse = |kind: ErrorKind, retry_after: Option<Duration>| {
-        let response = host_response(&state, &note, kind, retry_after);
+        let response = host_response(&state, &metadata, kind, retry_after);
         let event = Event::Refused {
             declaration: version.get(),
             error: kind,
@@ -97,7 +97,7 @@
     let Some(route) = find_route(&declared, &head) else {
         return refuse(ErrorKind::ServiceUnknown, None);
     };
-    let authorize = |view: &View| match check_access(&state, view, &route, &note.key) {
+    let authorize = |view: &View| match check_access(&state, view, &route, &metadata.key) {
         Access::Granted(team) => Ok(team),
         Access::Unchecked => Err(ErrorKind::ApiKeyUnchecked),
         Access::Unknown => Err(ErrorKind::ApiKeyUnknown),
@@ -109,8 +109,9 @@
         return refuse(ErrorKind::HostLeaving, Some(RETRY_AFTER_MIN));
     }
     let body = tokio::select! {
-    body =read_body(&state, &declared, body)=>body,()=disconnect.closed()=>return None,
-        };
+        body = read_body(&state, &declared, body) => body,
+        () = disconnect.closed() => return None,
+    };
     let (body, reservation) = match body {
         Ok(read) => read,
         Err(kind @ ErrorKind::HostBusy) => return refuse(kind, Some(RETRY_AFTER_DEFAULT)),
@@ -138,7 +139,7 @@
     if let Some(path) = head.uri.path_and_query() {
         head.uri = http::Uri::from(path.clone());
     }
-    let timeout = note.time_left.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = metadata.time_left.unwrap_or(route.timeout).min(route.timeout);
     let deadline = accepted_at + timeout.saturating_sub(RESPONSE_MARGIN);
     let taken = Event::Taken {
         body_bytes: body.len(),
@@ -160,7 +161,7 @@
         head,
         _body_reservation: reservation,
         key,
-        note,
+        metadata,
         service,
         team,
     };
@@ -238,27 +239,31 @@
             let wake_at =
                 if may_hedge { hedge_at.min(self.request.deadline) } else { self.request.deadline };
             tokio::select! {
-                            biased;
-                            Some((target, outcome)) = attempts.next() => {
-                                if let Some(response) = progress.record(&target, outcome) {
-                                    let outcome = RequestOutcome::from_target(target, progress.sent);
-                                    return Some(self.log.record_answered(response, outcome));
-                                }
-                                // Not idempotent: a request that may have run must not be sent again.
-            if progress.maybe_ran &&self.route.idempotency ==Idempotency::NonIdempotent { return Some(self.final_response(progress));
-                                }
-                            }
-            ()=disconnect.closed()=>return None,()=tokio::time::sleep(wake_at.saturating_sub(now))=>{
-                                if self.request.deadline <= self.state.clock.now() {
-                                    progress.maybe_ran = true;
-                                    progress.error = Some(ErrorKind::DispatchTimeout);
-                                    return Some(self.final_response(progress));
-                                }
-                                may_hedge = false;
-                                hedge_at = self.request.deadline;
-                                attempts.extend(self.launch_attempt(&mut progress, AttemptReason::Hedge));
-                            }
-                        }
+                biased;
+                Some((target, outcome)) = attempts.next() => {
+                    if let Some(response) = progress.record(&target, outcome) {
+                        let outcome = RequestOutcome::from_target(target, progress.sent);
+                        return Some(self.log.record_answered(response, outcome));
+                    }
+                    // Not idempotent: a request that may have run must not be sent again.
+                    if progress.maybe_ran
+                        && self.route.idempotency == Idempotency::NonIdempotent
+                    {
+                        return Some(self.final_response(progress));
+                    }
+                }
+                () = disconnect.closed() => return None,
+                () = tokio::time::sleep(wake_at.saturating_sub(now)) => {
+                    if self.request.deadline <= self.state.clock.now() {
+                        progress.maybe_ran = true;
+                        progress.error = Some(ErrorKind::DispatchTimeout);
+                        return Some(self.final_response(progress));
+                    }
+                    may_hedge = false;
+                    hedge_at = self.request.deadline;
+                    attempts.extend(self.launch_attempt(&mut progress, AttemptReason::Hedge));
+                }
+            }
         }
     }
 
@@ -327,7 +332,7 @@
     /// was revoked.
     fn access_error(&self, view: &View) -> Option<ErrorKind> {
         self.request.team.as_ref()?;
-        match check_access(&self.state, view, &self.route, &self.request.note.key) {
+        match check_access(&self.state, view, &self.route, &self.request.metadata.key) {
             Access::Granted(_) => None,
             Access::Unchecked => Some(ErrorKind::ApiKeyUnchecked),
             Access::Unknown => Some(ErrorKind::ApiKeyUnknown),
@@ -343,7 +348,7 @@
     /// The object that the request is about, used to prefer targets that have it cached. The tag
     /// does not depend on the route, since all routes to a service share the caches of its targets.
     fn object(&self) -> Option<ObjectTag> {
-        let object = self.request.note.object.as_ref().filter(|_| self.route.sticky)?;
+        let object = self.request.metadata.object.as_ref().filter(|_| self.route.sticky)?;
         Some(xxh3_64(object.as_bytes()) as ObjectTag)
     }
 
@@ -366,7 +371,7 @@
         let jitter = 0.75 + rand::random::<f64>() / 2.0;
         let retry_after = progress.free_in.unwrap_or(RETRY_AFTER_DEFAULT).mul_f64(jitter);
         let retry_after = retry_after.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
-        let response = host_response(&self.state, &self.request.note, error, Some(retry_after));
+        let response = host_response(&self.state, &self.request.metadata, error, Some(retry_after));
         self.log.record_answered(
             response,
             RequestOutcome::from_host(error, progress.sent, Some(retry_after)),
--- a/src/entry/response.rs
+++ b/src/entry/response.rs
@@ -126,7 +126,7 @@
 /// request has run: 503 promises that it has not and never will; 502 and 504 promise nothing.
 pub fn host_response(
     state: &TrafficState,
-    note: &CallerMetadata,
+    metadata: &CallerMetadata,
     kind: ErrorKind,
     retry_after: Option<Duration>,
 ) -> CallerResponse {
@@ -144,7 +144,7 @@
     let mut response = Response::new(ResponseBody::Whole(Full::new(body)));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
-    state.protocol.add_own_response_headers(headers, note);
+    state.protocol.add_own_response_headers(headers, metadata);
     if let Some(span) = retry_after
         && matches!(status, 429 | 503)
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64()))
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -410,8 +410,8 @@
     fn reported_recent_objects(&self) -> Vec<(TargetTag, ObjectTag)> {
         let recent = self.recent_objects.borrow();
         let newest = recent.iter().rev().take(MAX_REPORTED_OBJECTS);
-        let runs: BTreeSet<_> = newest.map(|(_, target, object)| (*target, *object)).collect();
-        runs.into_iter().collect()
+        let objects: BTreeSet<_> = newest.map(|(_, target, object)| (*target, *object)).collect();
+        objects.into_iter().collect()
     }
 
     /// Current values for the metrics.
