--- a/src/entry/access.rs
+++ b/src/entry/access.rs
@@ -7,8 +7,8 @@
 use super::{Bounds, CallerKey, Declaration, Route, Team};
 use crate::prelude::*;
 
-/// Maximum age of the declaration at which an unknown key is rejected permanently. A silent watch of
-/// the store times out within this time.
+/// Maximum age of the declaration at which an unknown key is rejected permanently. A silent watch
+/// of the store times out within this time.
 const UNKNOWN_KEY_MAX_AGE: Duration = Duration::from_secs(6);
 
 /// Result of checking a request's key.
--- a/src/entry/caller_io.rs
+++ b/src/entry/caller_io.rs
@@ -1,8 +1,8 @@
-//! A caller's connection that notices when the caller leaves.
+//! Caller connections that detect a disconnect while a request is being served.
 //!
-//! The HTTP library reads no further while a request is being served, so a caller that left while
-//! another of its requests lay unread would go unnoticed and targets would work for nobody. Here
-//! bytes are read ahead, up to a bound, while a request is served.
+//! The HTTP library does not read while it serves a request. If a caller disconnected while another
+//! of its requests was still unread, that would go unnoticed, and targets would do needless work.
+//! Therefore a limited number of bytes is read ahead while a request is being served.
 
 use std::{
     cell::RefCell,
@@ -20,30 +20,30 @@
     net::TcpStream,
 };
 
-/// Most bytes that are read ahead; a caller that sends more is read on when its turn comes.
+/// Maximum number of bytes that are read ahead; the rest is read when its request is served.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
-/// Bytes that one read asks for.
+/// Buffer size of one read in bytes.
 const READ_CHUNK: usize = 4 * 1024;
 
-/// The connection, as the HTTP library reads and writes it.
+/// The connection as seen by the HTTP library.
 pub struct CallerIo {
     shared: Rc<RefCell<Shared>>,
 }
 
-/// Notices the caller's leaving.
+/// Detects that the caller has disconnected.
 ///
-/// Only the connection's own task may wait on it: the socket wakes one task.
+/// Only the connection's own task may wait on it, since the socket wakes one task only.
 #[derive(Clone)]
 pub struct Disconnect {
-    /// `None` where somebody else notices and ends the task.
+    /// `None` if another task detects the disconnect and aborts this one.
     shared: Option<Rc<RefCell<Shared>>>,
 }
 
 struct Shared {
     read_ahead: BytesMut,
     is_closed: bool,
-    /// Reads that brought something.
+    /// Number of completed reads.
     read_count: u64,
     reader_waker: Option<Waker>,
     scanner: PipelineScanner,
@@ -67,12 +67,12 @@
 }
 
 impl Disconnect {
-    /// For a task that is ended when the caller leaves.
+    /// Never reports a disconnect; for a task that is aborted when the caller disconnects.
     pub fn never() -> Self {
         Self { shared: None }
     }
 
-    /// Requests that have arrived.
+    /// Calls `f` with the scanner of the requests that have arrived.
     pub fn with_scanner<T>(&self, f: impl FnOnce(&mut PipelineScanner) -> T) -> T {
         match &self.shared {
             Some(shared) => f(&mut shared.borrow_mut().scanner),
@@ -80,19 +80,19 @@
         }
     }
 
-    /// Ends when more has arrived, or the caller has left.
+    /// Waits until more data has arrived or the connection is closed.
     pub async fn data_arrived(&self) {
         let Some(shared) = &self.shared else { return std::future::pending().await };
         let before = shared.borrow().read_count;
         std::future::poll_fn(|cx| shared.borrow_mut().poll_data(before, cx)).await;
     }
 
-    /// Whether the caller has closed the connection, or it broke.
+    /// Whether the connection is closed or broken.
     pub fn is_closed(&self) -> bool {
         self.shared.as_ref().is_some_and(|shared| shared.borrow().is_closed)
     }
 
-    /// Ends when the caller has closed the connection, or it broke.
+    /// Waits until the connection is closed or broken.
     pub async fn closed(&self) {
         let Some(shared) = &self.shared else { return std::future::pending().await };
         std::future::poll_fn(|cx| shared.borrow_mut().poll_closed(cx)).await;
@@ -114,13 +114,13 @@
         Poll::Ready(())
     }
 
-    /// Reads once, if there is room.
+    /// Reads once, if the read-ahead buffer is not full.
     fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if MAX_READ_AHEAD <= self.read_ahead.len() {
             return Poll::Pending;
         }
         if let Err(error) = ready!(self.fill(cx)) {
-            log::debug!("caller's connection: {error}");
+            log::debug!("reading from a caller's connection failed: {error}");
             self.is_closed = true;
         }
         if let Some(reader) = self.reader_waker.take() {
@@ -158,7 +158,7 @@
         buf.put_slice(&shared.read_ahead[..count]);
         shared.read_ahead.advance(count);
         if shared.read_ahead.is_empty() {
-            // An idle connection keeps no buffer.
+            // Free the buffer, so that an idle connection holds no memory.
             shared.read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -152,11 +152,16 @@
     fn publish(&mut self) {
         let now = self.now();
         let settings = &self.parts.settings;
-        let declared = self.known_state.declared().cloned();
+        let declared = self.known_state.declaration().cloned();
         let targets = self.known_state.usable_targets().clone();
         let declared_checked_at = self.latest_declared_check(now);
-        let mut view =
-            View { published_at: now, declared, declared_checked_at, targets, ..View::default() };
+        let mut view = View {
+            published_at: now,
+            declaration: declared,
+            declared_checked_at,
+            targets,
+            ..View::default()
+        };
         if !self.leaving {
             view.hosts.push(LiveHost {
                 callers: settings.listen.callers,
@@ -211,7 +216,7 @@
     /// When the store last confirmed the declaration as the latest, to this host or another one;
     /// `None` if it never did, or a later declaration is known.
     fn latest_declared_check(&self, now: Moment) -> Option<Moment> {
-        let version = self.known_state.declared()?.version;
+        let version = self.known_state.declaration()?.version;
         let checks = self.fleet.declared_checks(now);
         let mut latest = self.declared_checked_at;
         for DeclaredCheck { at, version: known } in checks {
@@ -228,7 +233,7 @@
         let targets = || view.targets.values().flat_map(|targets| targets.iter());
         let cold = targets().filter(|target| target.is_cold(now)).count();
         ControlFigures {
-            declaration: view.declared.as_ref().map_or(0, |declared| declared.version),
+            declaration: view.declaration.as_ref().map_or(0, |declared| declared.version),
             hosts: view.hosts.len(),
             store_age: now.saturating_sub(self.told_at),
             targets_cold: cold,
--- a/src/entry/control/store_updates.rs
+++ b/src/entry/control/store_updates.rs
@@ -63,7 +63,7 @@
                 return false;
             }
         };
-        let before = self.known_state.declared().map_or(0, |declared| declared.version);
+        let before = self.known_state.declaration().map_or(0, |declared| declared.version);
         let version = declared.version;
         let routes = routes(&declared);
         if self.known_state.apply_declaration(declared) {
--- a/src/entry/declaration.rs
+++ b/src/entry/declaration.rs
@@ -1,19 +1,19 @@
-//! The operators' declared intent: which route sends which requests to which services.
+//! The operators' declaration: routes, services and teams.
 
 use super::Teams;
 use crate::prelude::*;
 
-/// Version of a declaration; in force it only rises.
+/// Version of a declaration. A host only replaces its declaration by one with a higher version.
 pub type DeclarationVersion = u64;
 
-/// One whole declaration.
+/// A complete declaration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Declaration {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Routes by host name, each list longest prefix first.
+    /// Routes by host name, each list sorted by descending length of the prefix.
     pub routes: BTreeMap<Arc<str>, Vec<Arc<Route>>>,
-    /// Time that a caller's idle connection may be kept.
+    /// Time for which a caller may keep an idle connection.
     pub idle_timeout: Duration,
     pub services: BTreeMap<ServiceId, ServiceRules>,
     /// Teams whose callers may send requests. If there are none, no key is required.
@@ -21,18 +21,18 @@
     pub version: DeclarationVersion,
 }
 
-/// Requests of one prefix.
+/// How requests with one path prefix are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub max_attempts: u32,
-    /// Host name and prefix: unlike the prefix alone, no other route has it.
+    /// Host name and prefix, which together identify the route.
     pub key: Arc<str>,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Time within which an answer is worth most.
+    /// Latency objective; a response after this time counts as late.
     pub objective: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
     /// Whether requests are accepted without a key.
     pub public: bool,
@@ -41,32 +41,33 @@
     pub idempotency: Idempotency,
     /// Services and their weights.
     pub split: Vec<(ServiceId, f64)>,
-    /// Requests about one object are faster at a target that handled it before.
+    /// Whether requests for an object prefer targets that handled the object before, which are
+    /// faster.
     pub sticky: bool,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time for which a caller is kept waiting.
     pub timeout: Duration,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Idempotency {
     Idempotent,
     NonIdempotent,
 }
 
-/// What is declared of a service.
+/// Declared properties of a service's targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRules {
-    /// Requests a second that a cold target takes, from all hosts together.
+    /// Requests per second that a cold target accepts, from all hosts together.
     pub cold_rate: f64,
-    /// Time for which a target stays cold after its start; `None` where nothing is declared.
+    /// Time for which a target stays cold after its start; `None` if not declared.
     pub cold_start: Option<Duration>,
-    /// Most connections that one target takes, from all hosts together.
+    /// Maximum number of connections to one target, from all hosts together.
     pub max_connections: u32,
 }
 
 impl Declaration {
-    /// The route of a request: of its host's routes the one with the longest prefix of its path.
+    /// Finds the route of a request: the route of its host name with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
         let routes = self.routes.get(name).or_else(|| self.routes.get(host))?;
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -1,4 +1,4 @@
-//! A running entry host: the control thread, the traffic thread and their ends.
+//! A running entry host: starts and stops its control side and its traffic thread.
 
 use std::{
     rc::Rc,
@@ -37,20 +37,22 @@
     store::Platform,
 };
 
-/// Time between two updates of the traffic side's figures.
+/// Interval at which the traffic side updates its statistics.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Least time between the signal to stop and the end: callers hear of it by look-ups meanwhile.
+/// Minimum time between the stop signal and the end of the process. Callers learn from look-ups in
+/// the meantime that the host is leaving.
 const MIN_STOP_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time kept between the end of the process and the moment at which it would be killed.
+/// Margin between a planned end of the process and the end of the grace period, at which it would
+/// be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// Path of the metrics, and the media type of their text.
+/// Path and media type of the metrics.
 const METRICS_PATH: &str = "/metrics";
 const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Largest datagram: what a zone runs at hundreds of targets goes in one.
+/// Size of the largest datagram in bytes. A zone's report on hundreds of targets fits in one.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Result of opening a host.
@@ -59,15 +61,15 @@
 /// Why a host could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    #[error("{what} {addr} can't be bound: {error}; free the address or change the settings")]
-    Bind { addr: SocketAddr, error: std::io::Error, what: &'static str },
-    #[error("no client for other hosts: {0}")]
+    #[error("cannot bind {listener} {addr}: {error}; free the address or change the settings")]
+    Bind { addr: SocketAddr, error: std::io::Error, listener: &'static str },
+    #[error("cannot create the HTTP client for other hosts: {0}")]
     Client(#[from] reqwest::Error),
-    #[error("the host could not be started: {0}")]
+    #[error("cannot start the host: {0}")]
     Start(#[from] std::io::Error),
 }
 
-/// What a host is built from.
+/// Settings and dependencies of a host.
 pub struct EntryParts {
     pub clock: Arc<dyn Clock>,
     pub events: Arc<dyn EventSink>,
@@ -76,7 +78,7 @@
     pub store: Arc<dyn Platform>,
 }
 
-/// A running host.
+/// Handle of a running host.
 pub struct EntryHost {
     bounds: BoundsCell,
     control: Address<EntryControl>,
@@ -87,9 +89,8 @@
 }
 
 impl EntryHost {
-    /// Starts the host; control runs on the current runtime, traffic on a thread of its own.
-    ///
-    /// Addresses with port 0 are told as they were bound.
+    /// Starts the host. The control side runs on the current runtime, the traffic side on a
+    /// separate thread. `listen` returns the ports that were bound in place of port 0.
     pub async fn spawn(parts: EntryParts) -> Result<Self> {
         let mut settings = parts.settings;
         let listen = &mut settings.listen;
@@ -97,14 +98,14 @@
         let socket = gossip.await.map_err(|error| bind_error("gossip", listen.gossip, error))?;
         listen.gossip = socket.local_addr()?;
         let socket = Arc::new(socket);
-        let state = listener("control", &mut listen.control).await?;
+        let state = bind_listener("control", &mut listen.control).await?;
         let listeners = Listeners {
-            callers: listener("callers", &mut listen.callers).await?.into_std()?,
-            lookups: listener("look-ups", &mut listen.lookup).await?.into_std()?,
-            ready: listener("readiness", &mut listen.ready).await?.into_std()?,
+            callers: bind_listener("callers", &mut listen.callers).await?.into_std()?,
+            lookups: bind_listener("look-ups", &mut listen.lookup).await?.into_std()?,
+            ready: bind_listener("readiness", &mut listen.ready).await?.into_std()?,
         };
         let metrics_listener = match &mut settings.listen.metrics {
-            Some(addr) => Some(listener("metrics", addr).await?),
+            Some(addr) => Some(bind_listener("metrics", addr).await?),
             None => None,
         };
         let metrics = Arc::new(EntryMetrics::default());
@@ -152,7 +153,7 @@
         let thread = std::thread::Builder::new().name("traffic".into());
         let traffic = thread.spawn(move || {
             if let Err(error) = traffic.run() {
-                log::error!("the traffic thread has ended: {error}");
+                log::error!("the traffic thread failed: {error}");
             }
             let _ = tx.send(());
         })?;
@@ -160,43 +161,45 @@
         Ok(Self { bounds, control, leave, listen, stopped, traffic })
     }
 
-    /// Where it listens.
+    /// Addresses of the listeners.
     pub fn listen(&self) -> &Listen {
         &self.listen
     }
 
-    /// Takes new bounds, seeds and zones; other fields count at the next start.
+    /// Applies new bounds, seeds and zones. Changes of other fields take effect at the next start.
     pub async fn reload(&self, settings: EntrySettings) {
         self.bounds.store(Arc::new(settings.bounds.clone()));
         if self.control.send(Reload(settings)).await.is_err() {
-            log::error!("the control side has ended; new settings are left out");
+            log::error!("the control actor has stopped; new seeds and zones are not applied");
         }
     }
 
-    /// Stops as planned: takes no new callers, answers what it has read, then ends.
+    /// Shuts down gracefully: announces the stop, finishes requests that are being served, and
+    /// waits for the traffic thread to end.
     pub async fn stop(self) {
         if self.control.send(Leave).await.is_err() {
-            log::error!("the control side has ended");
+            log::error!("the control actor has stopped; other hosts are not told of the shutdown");
         }
         let _ = self.leave.send(true);
         let _ = self.stopped.await;
         if self.traffic.join().is_err() {
-            log::error!("the traffic thread has panicked");
+            log::error!("the traffic thread panicked");
         }
     }
 }
 
-fn bind_error(what: &'static str, addr: SocketAddr, error: std::io::Error) -> OpenError {
-    OpenError::Bind { addr, error, what }
+fn bind_error(listener: &'static str, addr: SocketAddr, error: std::io::Error) -> OpenError {
+    OpenError::Bind { addr, error, listener }
 }
 
-async fn listener(what: &'static str, addr: &mut SocketAddr) -> Result<TcpListener> {
-    let bound = TcpListener::bind(*addr).await.map_err(|error| bind_error(what, *addr, error))?;
+async fn bind_listener(listener: &'static str, addr: &mut SocketAddr) -> Result<TcpListener> {
+    let bound =
+        TcpListener::bind(*addr).await.map_err(|error| bind_error(listener, *addr, error))?;
     *addr = bound.local_addr()?;
     Ok(bound)
 }
 
-/// Passes datagrams on to control.
+/// Passes received datagrams to the control actor.
 async fn receive_datagrams(socket: Arc<UdpSocket>, control: Address<EntryControl>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -207,7 +210,7 @@
                 }
             }
             Err(error) => {
-                log::debug!("gossip: {error}");
+                log::debug!("receiving a datagram failed: {error}");
                 tokio::time::sleep(HEARTBEAT).await;
             }
         }
@@ -226,7 +229,8 @@
     }
 }
 
-/// Answers other hosts' queries for the store's state, up to a limit and only while they wait.
+/// Answers other hosts' queries for the state of the store. Rejects queries beyond the concurrency
+/// limit, and gives up on a query when its sender's timeout has passed.
 async fn serve_state(listener: TcpListener, control: Address<EntryControl>) {
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_RESPONSES));
     accept(listener, |stream| {
@@ -241,7 +245,7 @@
                 .await
                 .is_err()
             {
-                log::debug!("a query of another host timed out");
+                log::debug!("a state query of another host timed out");
             }
         }
     })
@@ -292,25 +296,25 @@
     match metrics.text(events.dropped()) {
         Ok(text) => {
             let mut answer = Response::new(Full::new(text.into()));
-            let form = HeaderValue::from_static(METRICS_MEDIA_TYPE);
-            answer.headers_mut().insert(header::CONTENT_TYPE, form);
+            let media_type = HeaderValue::from_static(METRICS_MEDIA_TYPE);
+            answer.headers_mut().insert(header::CONTENT_TYPE, media_type);
             answer
         }
         Err(error) => {
-            log::error!("the metrics can't be written: {error}");
+            log::error!("encoding the metrics failed: {error}");
             status_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
 
-/// Bound sockets on their way to the traffic thread.
+/// Bound sockets for the traffic thread.
 struct Listeners {
     callers: std::net::TcpListener,
     lookups: std::net::TcpListener,
     ready: std::net::TcpListener,
 }
 
-/// What the traffic thread is built from.
+/// State and dependencies of the traffic thread.
 struct TrafficThread {
     bounds: BoundsCell,
     clock: Arc<dyn Clock>,
@@ -344,21 +348,21 @@
             self.events,
         );
         let leaving = self.leaving.clone();
-        let at = state.clone();
+        let shared = state.clone();
         tokio::task::spawn_local(accept(callers_listener, move |stream| {
-            serve_caller(at.clone(), stream, leaving.clone())
+            serve_caller(shared.clone(), stream, leaving.clone())
         }));
-        let at = state.clone();
+        let shared = state.clone();
         tokio::task::spawn_local(accept(ready_listener, move |stream| {
-            let state = at.clone();
+            let state = shared.clone();
             async move {
                 serve_platform_connection(stream, async |req| readiness_response(&state, &req))
                     .await
             }
         }));
-        let at = state.clone();
+        let shared = state.clone();
         tokio::task::spawn_local(accept(lookup_listener, move |stream| {
-            let state = at.clone();
+            let state = shared.clone();
             async move {
                 serve_platform_connection(stream, async |req| lookup_response(&state, &req)).await
             }
@@ -386,7 +390,7 @@
     }
 }
 
-/// Sees by the delay of its own ticks whether the traffic thread gets enough of the processor.
+/// Detects by the delay of its own ticks that the traffic thread gets too little CPU time.
 async fn monitor_strain(state: Rc<TrafficState>, strained: Arc<AtomicBool>) {
     let mut strain = StrainDetector::default();
     loop {
@@ -400,19 +404,20 @@
     }
 }
 
-/// Waits until nothing is being served, or the process is about to be killed.
+/// Waits until no connection is open, or until the grace period is about to end.
 async fn wait_until_idle(state: &TrafficState) {
-    let since = state.clock.now();
-    state.shutdown_started_at.set(Some(since));
+    let started = state.clock.now();
+    state.shutdown_started_at.set(Some(started));
     let grace_ms = state.bounds().grace.as_millis() as u64;
     state.events.record(None, Event::Stopping { grace_ms, open: state.open_connections.get() });
-    let last = since + state.bounds().grace.saturating_sub(KILL_MARGIN);
+    let deadline = started + state.bounds().grace.saturating_sub(KILL_MARGIN);
     loop {
         tokio::time::sleep(TICK_INTERVAL).await;
         let now = state.clock.now();
-        let idle = state.open_connections.get() == 0 && MIN_STOP_TIME <= now.saturating_sub(since);
-        if idle || last <= now {
-            let took_ms = now.saturating_sub(since).as_millis() as u64;
+        let is_idle =
+            state.open_connections.get() == 0 && MIN_STOP_TIME <= now.saturating_sub(started);
+        if is_idle || deadline <= now {
+            let took_ms = now.saturating_sub(started).as_millis() as u64;
             let open = state.open_connections.get();
             return state.events.record(None, Event::Stopped { open, took_ms });
         }
--- a/src/entry/known_state.rs
+++ b/src/entry/known_state.rs
@@ -1,4 +1,4 @@
-//! What a host believes of the store's objects, and what it makes of news, losses and returns.
+//! A host's copy of the store's objects, and how store updates and outages of the store change it.
 
 use std::collections::BTreeSet;
 
@@ -7,19 +7,19 @@
 
 use crate::prelude::*;
 
-/// Time after the store's return in which a target that lapsed meanwhile is still used. Targets
-/// that live write their entries again within about two seconds; without the wait a whole service
-/// would be gone right after an outage.
+/// Time after an outage of the store for which targets with lapsed entries are still used. Live
+/// targets rewrite their entries within about two seconds; without the grace period a service could
+/// lose all its targets right after an outage.
 pub const LAPSED_TARGET_GRACE: Duration = Duration::from_millis(2_200);
 
-/// A shorter silence of the store can't have let an entry lapse: targets write every 1.5 s and
-/// entries go after three missed writes.
+/// Shortest outage of the store in which an entry may lapse: targets write every 1.5 s, and an
+/// entry lapses after three missed writes.
 const MIN_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// Time for which a target stays cold where the declaration does not tell.
+/// Time for which a target is treated as cold if the declaration names none.
 const DEFAULT_COLD_START: Duration = Duration::from_secs(3);
 
-/// A short summary of what a host believes, to be compared with other hosts'.
+/// Summary of a host's state, which hosts compare to find out who has newer data.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Stamp {
     pub declared: DeclarationVersion,
@@ -27,11 +27,11 @@
     pub evacuations: u64,
     /// Sum of the hashes of all targets and their states.
     pub targets: u64,
-    /// The store's versions up to which each part is known.
+    /// The store's revisions up to which each part is known.
     pub revisions: Revisions,
 }
 
-/// The store's versions up to which each part of its objects is known.
+/// The store's revisions up to which each part of its objects is known.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Revisions {
     pub declared: u64,
@@ -40,7 +40,7 @@
 }
 
 impl Revisions {
-    /// That of one part.
+    /// Returns the revision of one part.
     pub fn of(&self, part: StorePart) -> u64 {
         match part {
             StorePart::Declared => self.declared,
@@ -59,10 +59,10 @@
 }
 
 impl Stamp {
-    /// Whether its host knows something of a part that the other's does not.
+    /// Whether the host of this stamp has newer data of a part than the host of `other`.
     ///
-    /// A higher version alone is none: a listing tells the version of the whole store, which rises
-    /// with every object of other kinds.
+    /// A higher revision alone does not show it: a listing returns the revision of the whole store,
+    /// which rises with each write to other parts.
     pub fn is_ahead_of(&self, other: &Stamp, part: StorePart) -> bool {
         let differs = match part {
             StorePart::Declared => return other.declared < self.declared,
@@ -72,74 +72,75 @@
         differs && other.revisions.of(part) < self.revisions.of(part)
     }
 
-    /// The parts in which its host knows something that the other's does not.
+    /// The parts of which the host of this stamp has newer data than the host of `other`.
     pub fn parts_ahead_of(&self, other: &Stamp) -> Vec<StorePart> {
         StorePart::ALL.into_iter().filter(|part| self.is_ahead_of(other, *part)).collect()
     }
 }
 
-/// What became of a target whose entry was removed.
+/// Result of removing a target's entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Removal {
     Gone,
-    /// It may only have lapsed, and is used a little longer.
+    /// The entry may only have lapsed during an outage; the target is used for a grace period.
     Kept,
-    /// It was not known.
+    /// The target was not known.
     Unknown,
 }
 
-/// What a listing of targets changed.
+/// Changes made by a listing of targets.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TargetChanges {
-    /// Their entries are gone.
+    /// Targets that were dropped because their entries are missing.
     pub gone: Vec<TargetId>,
-    /// Their entries lapsed while the store was away; they are used a little longer.
+    /// Targets whose entries may have lapsed during an outage; they are used for a grace period.
     pub kept: Vec<TargetId>,
-    /// Their entries are new, or changed in more than the time that they stay cold.
+    /// Targets whose entries are new, or changed in more than the remaining cold time.
     pub known: Vec<TargetId>,
 }
 
-/// What a listing of evacuations changed.
+/// Changes made by a listing of evacuations.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ZoneChanges {
     pub evacuated: Vec<ZoneId>,
+    /// Zones whose evacuation has ended.
     pub taken_back: Vec<ZoneId>,
 }
 
-/// Usable targets by service, in the order of their ids. Shared with the traffic side: a service
-/// none of whose targets changed keeps its list.
+/// Usable targets by service, sorted by id. The lists are shared with the traffic side and rebuilt
+/// only for services whose targets changed.
 pub type UsableTargets = BTreeMap<ServiceId, Arc<[Arc<KnownTarget>]>>;
 
-/// The objects a host knows.
+/// A host's copy of the store's objects.
 #[derive(Debug, Default)]
 pub struct KnownState {
-    /// Services whose list of usable targets is out of date.
+    /// Services whose lists in `usable` are out of date.
     changed_services: BTreeSet<ServiceId>,
-    declared: Option<Arc<Declaration>>,
+    declaration: Option<Arc<Declaration>>,
     evacuated_zones: BTreeSet<ZoneId>,
-    /// Targets that a listing after an outage no longer had, and until when they are used.
+    /// Targets whose entries are missing after an outage, and until when they are still used.
     lapsed_targets: BTreeMap<TargetId, Moment>,
-    /// When the store fell silent, as far as it is known.
+    /// When the current outage of the store began.
     store_lost_since: Option<Moment>,
-    /// When the store last returned from a silence in which entries may have lapsed.
+    /// End of the last outage in which entries may have lapsed.
     store_returned_at: Option<Moment>,
     revisions: Revisions,
-    /// When each zone was last taken back into use.
+    /// When the last evacuation of each zone ended.
     zones_taken_back: BTreeMap<ZoneId, Moment>,
     targets: BTreeMap<TargetId, Arc<KnownTarget>>,
-    /// Sum of the hashes of `targets`. Kept with each change: with hundreds of targets, hashing all
-    /// for every heartbeat would take most of a small host's processor.
+    /// Sum of the hashes of `targets`, updated with each change: with hundreds of targets, hashing
+    /// all of them for every heartbeat would take most of a small host's CPU time.
     targets_digest: u64,
     usable: UsableTargets,
 }
 
 impl KnownState {
     /// The declaration in force.
-    pub fn declared(&self) -> Option<&Arc<Declaration>> {
-        self.declared.as_ref()
+    pub fn declaration(&self) -> Option<&Arc<Declaration>> {
+        self.declaration.as_ref()
     }
 
-    /// Targets that take new work: ready and in no evacuated zone.
+    /// Targets that may be sent new requests: ready, and not in an evacuated zone.
     pub fn usable_targets(&mut self) -> &UsableTargets {
         for service in std::mem::take(&mut self.changed_services) {
             let targets = self.usable_targets_of(&service);
@@ -152,21 +153,21 @@
     }
 
     fn usable_targets_of(&self, service: &ServiceId) -> Arc<[Arc<KnownTarget>]> {
-        let kept = |known: &&Arc<KnownTarget>| {
+        let is_usable = |known: &&Arc<KnownTarget>| {
             let entry = &known.entry;
             entry.service == *service && entry.ready && !self.evacuated_zones.contains(&entry.zone)
         };
-        let shared = |known: &Arc<KnownTarget>| {
+        let with_cold_time = |known: &Arc<KnownTarget>| {
             let cold_until = self.cold_until_after_evacuation(&known.entry);
             if cold_until <= known.cold_until {
                 return known.clone();
             }
             Arc::new(KnownTarget { cold_until, ..KnownTarget::clone(known) })
         };
-        self.targets.values().filter(kept).map(shared).collect()
+        self.targets.values().filter(is_usable).map(with_cold_time).collect()
     }
 
-    /// What bears on every service has changed: zones in use, or for how long targets are cold.
+    /// Marks all services as changed, after a change of the evacuated zones or of the cold times.
     fn mark_all_changed(&mut self) {
         self.changed_services
             .extend(self.targets.values().map(|known| known.entry.service.clone()));
@@ -186,57 +187,59 @@
         true
     }
 
-    /// Until when a target is taken for cold since its zone was evacuated.
+    /// Until when a target is treated as cold because of an evacuation of its zone.
     ///
-    /// Targets may have got cold while they had nothing to do, and their own word of it may be late
-    /// or lost in the store. All hosts would send at their full rate at once, and crash them.
+    /// An idle target may become cold, and the store may have its report of that late or not at
+    /// all. If all hosts sent to it at their full rate at once, it would crash.
     fn cold_until_after_evacuation(&self, entry: &TargetEntry) -> Moment {
         let Some(since) = self.zones_taken_back.get(&entry.zone) else { return Moment::ZERO };
-        let rules = self.declared.as_ref().and_then(|it| it.services.get(&entry.service));
+        let rules = self.declaration.as_ref().and_then(|it| it.services.get(&entry.service));
         *since + rules.and_then(|rules| rules.cold_start).unwrap_or(DEFAULT_COLD_START)
     }
 
-    /// What is known of one target.
+    /// The known target with this id.
     pub fn target(&self, id: &TargetId) -> Option<&KnownTarget> {
         self.targets.get(id).map(Arc::as_ref)
     }
 
-    /// Whether a zone's targets are to get nothing.
+    /// Whether a zone is evacuated, so that its targets get no requests.
     pub fn is_evacuated(&self, zone: &ZoneId) -> bool {
         self.evacuated_zones.contains(zone)
     }
 
-    /// The store's versions up to which each part is known.
+    /// The store's revisions up to which each part is known.
     pub fn revisions(&self) -> Revisions {
         self.revisions
     }
 
-    /// Summary for other hosts.
+    /// Summary of this state for other hosts.
     pub fn stamp(&self) -> Stamp {
         let mut evacuations = Xxh3Default::new();
         self.evacuated_zones.iter().for_each(|zone| evacuations.update(zone.as_bytes()));
         Stamp {
-            declared: self.declared.as_ref().map_or(0, |declared| declared.version),
+            declared: self.declaration.as_ref().map_or(0, |declared| declared.version),
             evacuations: evacuations.digest(),
             targets: self.targets_digest,
             revisions: self.revisions,
         }
     }
 
-    /// Takes a declaration; an older one than that in force changes nothing.
+    /// Puts a declaration in force unless its version is older than or equal to the current one.
+    /// Returns whether it was put in force.
     ///
     /// A store that answers with seconds-old data, or another host that is behind, would otherwise
-    /// bring back routes that operators had already replaced.
-    pub fn apply_declaration(&mut self, declared: Declaration) -> bool {
-        let newer = self.declared.as_ref().is_none_or(|known| known.version < declared.version);
-        if newer {
-            self.declared = Some(Arc::new(declared));
+    /// restore routes that operators have already replaced.
+    pub fn apply_declaration(&mut self, declaration: Declaration) -> bool {
+        let is_newer =
+            self.declaration.as_ref().is_none_or(|known| known.version < declaration.version);
+        if is_newer {
+            self.declaration = Some(Arc::new(declaration));
             self.mark_all_changed();
         }
-        newer
+        is_newer
     }
 
-    /// A zone is to get nothing, or may be used again.
+    /// Starts or ends the evacuation of one zone. Returns whether that changed anything.
     pub fn set_evacuated(&mut self, zone: ZoneId, wanted: bool, now: Moment) -> bool {
         self.mark_all_changed();
         if wanted {
@@ -249,7 +252,7 @@
         changed
     }
 
-    /// All evacuations there are.
+    /// Replaces the evacuated zones by a complete listing.
     pub fn apply_evacuation_listing(
         &mut self,
         zones: BTreeSet<ZoneId>,
@@ -259,14 +262,14 @@
             evacuated: zones.difference(&self.evacuated_zones).cloned().collect(),
             taken_back: self.evacuated_zones.difference(&zones).cloned().collect(),
         };
-        let back = changes.taken_back.iter().map(|zone| (zone.clone(), now));
-        self.zones_taken_back.extend(back);
+        let taken_back = changes.taken_back.iter().map(|zone| (zone.clone(), now));
+        self.zones_taken_back.extend(taken_back);
         self.evacuated_zones = zones;
         self.mark_all_changed();
         changes
     }
 
-    /// One target's entry was written.
+    /// Adds or replaces one target. Returns whether more than the remaining cold time changed.
     pub fn apply_target(&mut self, entry: TargetEntry, region: RegionId, now: Moment) -> bool {
         self.lapsed_targets.remove(&entry.id);
         let known = KnownTarget {
@@ -276,20 +279,21 @@
             entry,
         };
         let before = self.targets.get(&known.entry.id);
-        // Read again, as with each listing: what is cold stays so from the first reading on.
+        // Each listing returns the same entry again; the cold time runs from the first reading.
         if before.is_some_and(|before| before.entry == known.entry) {
             return false;
         }
-        let matters =
+        let is_changed =
             before.is_none_or(|before| differs_beyond_cold_time(&before.entry, &known.entry));
         self.insert_target(known);
-        matters
+        is_changed
     }
 
-    /// One target's entry was removed, or can no longer be read.
+    /// Handles the entry of a target that was removed or can no longer be decoded.
     ///
-    /// Right after an outage it may have lapsed since the target could not write: its removal is
-    /// told before the target's next word, and all targets of a service could be gone at once.
+    /// Right after an outage the entry may have lapsed because the target could not write. The
+    /// removal arrives before the target's next write, and without a grace period all targets of a
+    /// service could be dropped at once.
     pub fn remove_target(&mut self, id: &TargetId, now: Moment) -> Removal {
         if !self.targets.contains_key(id) {
             return Removal::Unknown;
@@ -303,32 +307,33 @@
         Removal::Gone
     }
 
-    /// The store answers; `true` if it was away for long enough to let entries lapse.
+    /// Records that the store answers. Returns whether an outage ended that was long enough for
+    /// entries to lapse.
     pub fn store_answered(&mut self, now: Moment) -> bool {
-        let outage = self
+        let is_outage_over = self
             .store_lost_since
             .take()
             .is_some_and(|since| MIN_OUTAGE <= now.saturating_sub(since));
-        if outage {
+        if is_outage_over {
             self.store_returned_at = Some(now);
         }
-        outage
+        is_outage_over
     }
 
-    /// Until when targets are used whose entries are missing, if the store has just returned.
+    /// Until when targets with missing entries are still used; `None` without a recent outage.
     fn lapsed_use_until(&self, now: Moment) -> Option<Moment> {
         self.store_returned_at.map(|at| at + LAPSED_TARGET_GRACE).filter(|until| now < *until)
     }
 
-    /// Every entry there is. After an outage that may have let entries lapse, those that are
-    /// missing are used a little longer.
+    /// Replaces all targets by a complete listing. After an outage in which entries may have
+    /// lapsed, targets that are missing from it are kept for a grace period.
     pub fn apply_target_listing(
         &mut self,
         entries: Vec<(TargetEntry, RegionId)>,
         now: Moment,
     ) -> TargetChanges {
         self.store_answered(now);
-        let wait = self.lapsed_use_until(now);
+        let keep_until = self.lapsed_use_until(now);
         let listed: BTreeSet<TargetId> =
             entries.iter().map(|(entry, _)| entry.id.clone()).collect();
         let missing: Vec<TargetId> =
@@ -338,7 +343,7 @@
             if self.lapsed_targets.contains_key(&id) {
                 continue;
             }
-            match wait {
+            match keep_until {
                 Some(until) => {
                     self.lapsed_targets.insert(id.clone(), until);
                     changes.kept.push(id);
@@ -358,36 +363,36 @@
         changes
     }
 
-    /// The store did not answer.
+    /// Records that the store did not answer.
     pub fn store_failed(&mut self, now: Moment) {
         self.store_lost_since.get_or_insert(now);
     }
 
-    /// Drops targets whose entries did not come back in time, and tells which.
+    /// Drops targets whose lapsed entries were not rewritten in time, and returns their ids.
     pub fn expire_lapsed(&mut self, now: Moment) -> Vec<TargetId> {
-        let due = self.lapsed_targets.iter().filter(|(_, until)| **until <= now);
-        let mut due: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
-        for id in &due {
+        let expired = self.lapsed_targets.iter().filter(|(_, until)| **until <= now);
+        let mut expired: Vec<TargetId> = expired.map(|(id, _)| id.clone()).collect();
+        for id in &expired {
             self.lapsed_targets.remove(id);
         }
-        due.retain(|id| self.take_target(id));
-        due
+        expired.retain(|id| self.take_target(id));
+        expired
     }
 
-    /// A part is known up to that version of the store.
+    /// Records the store's revision up to which a part is known.
     pub fn record_revision(&mut self, part: StorePart, revision: u64) {
         let known = self.revisions.of_mut(part);
         *known = revision.max(*known);
     }
 }
 
-/// Hash of one target and its state.
+/// Hash of one target's id, start and readiness.
 fn target_digest(entry: &TargetEntry) -> u64 {
     let seed = entry.started ^ u64::from(entry.ready);
     xxh3_64_with_seed(entry.id.as_bytes(), seed.rotate_left(32))
 }
 
-/// Whether two entries of one target differ in more than the time that it stays cold.
+/// Whether two entries of one target differ in more than the remaining cold time.
 fn differs_beyond_cold_time(old: &TargetEntry, new: &TargetEntry) -> bool {
     *old != TargetEntry { cold_for: old.cold_for, ..new.clone() }
 }
--- a/src/entry/listeners.rs
+++ b/src/entry/listeners.rs
@@ -72,7 +72,7 @@
     }
     let _open_connection = OpenConnection::new(&state);
     let (io, disconnect) = CallerIo::new(stream);
-    let idle = state.view().and_then(|view| view.declared.clone());
+    let idle = state.view().and_then(|view| view.declaration.clone());
     let idle = idle.map_or(DEFAULT_IDLE_TIMEOUT, |declared| declared.idle_timeout + IDLE_SLACK);
     let early_requests = RefCell::default();
     let caller = Rc::new(CallerConnection { state: state.clone(), disconnect, early_requests });
@@ -259,7 +259,7 @@
     if !state.protocol.is_readiness_request(req.uri()) {
         return status_response(StatusCode::NOT_FOUND);
     }
-    let knows = state.view().is_some_and(|view| view.declared.is_some());
+    let knows = state.view().is_some_and(|view| view.declaration.is_some());
     let ready = knows && state.shutdown_started_at.get().is_none();
     status_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
--- a/src/entry/lookup.rs
+++ b/src/entry/lookup.rs
@@ -1,4 +1,4 @@
-//! Which hosts a caller may use.
+//! Selection of the hosts that are returned to a caller's look-up.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,11 @@
 use super::{LiveHost, protocol::CallerLocation};
 use crate::prelude::*;
 
-/// Most addresses in one answer.
+/// Maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
-/// Addresses for a caller: the hosts of its region, or all where that has none. A caller chooses
-/// among them by chance, so that every host of a region gets the same part of its callers.
+/// Addresses for a caller: the hosts of its region, or all hosts if the region has none. Callers
+/// choose among them at random, so the hosts of a region get equal shares of its callers.
 pub fn host_addresses(hosts: &[LiveHost], location: &CallerLocation) -> Vec<SocketAddr> {
     let near = |host: &&LiveHost| host.region == location.region;
     let mut found: Vec<&LiveHost> = hosts.iter().filter(near).collect();
@@ -19,7 +19,8 @@
         found = hosts.iter().collect();
     }
     let unstrained = found.iter().filter(|host| !host.is_strained).count();
-    // Where most hosts are strained the load itself is too much: the rest would only be next.
+    // If more than half of the hosts are strained, the total load is too high, and the other hosts
+    // would become strained too.
     if found.len() <= unstrained * 2 {
         found.retain(|host| !host.is_strained);
     }
@@ -29,9 +30,9 @@
     found.into_iter().map(|host| host.callers).collect()
 }
 
-/// As many of the hosts as an answer names: each zone's callers get another part, so that all hosts
-/// are named to somebody, and the same ones each time, so that connections stay. The first ones for
-/// everybody would leave the others of a large region without callers.
+/// Limits the hosts to the number that fits in a response. Each zone's callers get a different
+/// subset, since otherwise most hosts of a large region would get no callers. The subset stays the
+/// same between look-ups, so that callers keep their connections.
 fn subset_for_zone<'a>(mut hosts: Vec<&'a LiveHost>, zone: &ZoneId) -> Vec<&'a LiveHost> {
     let zones: BTreeSet<&ZoneId> = hosts.iter().map(|host| &host.zone).collect();
     let zone_index = zones.iter().position(|it| *it == zone).unwrap_or_default();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,9 +1,9 @@
 //! Entry hosts on a platform whose callers know nothing of owners or bindings.
 //!
-//! Every host takes any request and sends it to a target itself. What has to be agreed between
-//! hosts is agreed by hashing what all of them know; what has to last lies in the platform's store.
-//! Decisions (`crash_suspects`, `known_state`, and the slices `fleet` and `placement`) neither read clocks
-//! nor do I/O; the rest of the slice carries them out.
+//! Every host accepts any request and forwards it to a target itself. Hosts agree on a choice by
+//! hashing data that all of them know; durable data is kept in the platform's store. The decision
+//! logic (`crash_suspects`, `known_state`, and the modules `fleet` and `placement`) neither reads
+//! clocks nor does I/O; the other submodules carry the decisions out.
 
 mod access;
 mod attempt;
--- a/src/entry/peer_queries.rs
+++ b/src/entry/peer_queries.rs
@@ -1,8 +1,9 @@
-//! Whom a host asks for what others know of the store, and when.
+//! Scheduling of state queries: which other host this host queries for changes of the store, and
+//! when.
 //!
-//! Most hosts do not watch the store: they see by a heartbeat that another host knows more, and ask
-//! it. One question is under way at a time, since each copy of an answer that is already late makes
-//! the next one later.
+//! Most hosts do not watch the store. They see by heartbeats that another host has newer data, and
+//! query it. Only one query is in flight at a time, since further responses on a congested link
+//! would delay each other.
 
 use xxhash_rust::xxh3::Xxh3Default;
 
@@ -12,64 +13,67 @@
 };
 use crate::{fleet::StateSource, prelude::*};
 
-/// A watcher that knows less than another host for longer asks it: the store's own word takes less
-/// time where it comes at all. Hosts that do not watch ask at once.
+/// Time for which a host that watches the store waits for an update from the store before it
+/// queries another host that has newer data. Hosts that do not watch query at once.
 const WATCHER_QUERY_DELAY: Duration = Duration::from_millis(400);
 
-/// Pause after a round in which every host that knows more failed to answer.
+/// Pause after a round in which every host with newer data failed to answer.
 const ROUND_PAUSE: Duration = Duration::from_millis(500);
 
-/// Time after an unanswered question in which this host follows the store itself. Twice the longest
-/// question, and longer than a watcher lingers, so that a crowded link is not asked again at once.
+/// Time after a failed query for which this host watches the store itself. Several times the query
+/// timeout, and longer than `STEP_DOWN_DELAY` of the watcher election, so that a congested link is
+/// not loaded with queries again at once.
 const UNANSWERED_PERIOD: Duration = Duration::from_secs(8);
 
-/// Time after which a host that only busy hosts could answer follows the store itself, while a
-/// declaration can still be in force in time.
+/// Time for which all queried hosts may be busy before this host watches the store itself. Short
+/// enough for a new declaration to be in force in time.
 const MAX_BUSY: Duration = Duration::from_millis(1_500);
 
-/// A question that was not heard of for longer counts as failed; above the client's own timeout.
+/// Time after which a query without a result no longer blocks the next one. Longer than
+/// `QUERY_TIMEOUT`.
 const QUERY_EXPIRY: Duration = Duration::from_secs(2);
 
-/// What became of a question.
+/// Outcome of a query.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QueryOutcome {
     Answered,
-    /// The host is at its limit of concurrent answers.
+    /// The host is at its limit of concurrent responses.
     Busy,
     Failed,
 }
 
-/// Questions to other hosts.
+/// Scheduler of queries to other hosts.
 #[derive(Debug)]
 pub struct PeerQueries {
     /// Since when all queried hosts were busy.
     busy_since: Option<Moment>,
-    /// How many were asked.
+    /// Number of queries sent.
     sent_count: u64,
-    /// Hosts that failed to answer in this round.
+    /// Hosts whose queries failed, or that were busy, in this round.
     failed_peers: Vec<SocketAddr>,
-    /// Since when another host has known more.
+    /// Since when another host has had newer data.
     behind_since: Option<Moment>,
+    /// No query is sent before this time.
     not_before: Moment,
-    /// Control listener of this host.
+    /// Address of this host's control listener.
     own_addr: SocketAddr,
-    /// When the question under way was sent.
+    /// When the query in flight was sent.
     in_flight_since: Option<Moment>,
-    /// When a question was last left without an answer.
+    /// When a query last failed, or when all queried hosts had been busy for `MAX_BUSY`.
     unanswered_at: Option<Moment>,
 }
 
 impl QueryOutcome {
-    /// The end that a result stands for.
-    pub fn of<T>(answer: &sync::Result<T>) -> Self {
-        match answer {
+    /// The outcome that a result stands for.
+    pub fn of<T>(result: &sync::Result<T>) -> Self {
+        match result {
             Ok(_) => Self::Answered,
             Err(QueryError::Busy) => Self::Busy,
             Err(_) => Self::Failed,
         }
     }
 
-    /// As metrics name it.
+    /// Label value in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -80,33 +84,34 @@
 }
 
 impl PeerQueries {
-    /// Questions of the host whose control listener is `own`.
-    pub fn new(own: SocketAddr) -> Self {
+    /// Creates the scheduler of the host whose control listener is at `own_addr`.
+    pub fn new(own_addr: SocketAddr) -> Self {
         Self {
             busy_since: None,
             sent_count: 0,
             failed_peers: Vec::new(),
             behind_since: None,
             not_before: Moment::ZERO,
-            own_addr: own,
+            own_addr,
             in_flight_since: None,
             unanswered_at: None,
         }
     }
 
-    /// The host to ask now, of those that are known to know something; `watches` says that the store tells this host too.
+    /// Picks the host to query now, if any. `own_stamp` is the stamp of this host, `others` are the
+    /// stamps known of other hosts, and `watches` tells whether this host watches the store itself.
     pub fn next_peer<'a>(
         &mut self,
-        own: &Stamp,
+        own_stamp: &Stamp,
         others: impl Iterator<Item = (&'a RegionId, StateSource)>,
         region: &RegionId,
         watches: bool,
         now: Moment,
     ) -> Option<SocketAddr> {
-        let is_ahead = |informed: &StateSource| {
-            StorePart::ALL.iter().any(|part| informed.stamp.is_ahead_of(own, *part))
+        let is_ahead = |source: &StateSource| {
+            StorePart::ALL.iter().any(|part| source.stamp.is_ahead_of(own_stamp, *part))
         };
-        let ahead: Vec<_> = others.filter(|(_, informed)| is_ahead(informed)).collect();
+        let ahead: Vec<_> = others.filter(|(_, source)| is_ahead(source)).collect();
         if ahead.is_empty() {
             self.busy_since = None;
             self.behind_since = None;
@@ -115,40 +120,40 @@
         }
         let since = *self.behind_since.get_or_insert(now);
         let awaits_store =
-            watches && own.declared != 0 && now.saturating_sub(since) < WATCHER_QUERY_DELAY;
+            watches && own_stamp.declared != 0 && now.saturating_sub(since) < WATCHER_QUERY_DELAY;
         let is_in_flight =
             self.in_flight_since.is_some_and(|at| now.saturating_sub(at) < QUERY_EXPIRY);
         if awaits_store || is_in_flight || now < self.not_before {
             return None;
         }
         let candidates = ahead.iter().filter(|(_, it)| !self.failed_peers.contains(&it.control));
-        // The nearest ones answer soonest.
+        // Hosts of the own region answer fastest.
         let nearest =
             |(of, it): &&(&RegionId, StateSource)| (*of == region, self.weight(it.control));
-        let Some((_, informed)) = candidates.max_by_key(nearest) else {
+        let Some((_, source)) = candidates.max_by_key(nearest) else {
             self.failed_peers.clear();
             self.not_before = now + ROUND_PAUSE;
             return None;
         };
-        let addr = informed.control;
+        let addr = source.control;
         self.sent_count += 1;
         self.in_flight_since = Some(now);
         Some(addr)
     }
 
-    /// Spreads the questions of all hosts, and of one host, over those that can answer.
+    /// Hash that spreads the queries of each host, and of different hosts, over the candidates.
     fn weight(&self, addr: SocketAddr) -> u64 {
-        let mut weight = Xxh3Default::new();
-        weight.update(self.own_addr.to_string().as_bytes());
-        weight.update(addr.to_string().as_bytes());
-        weight.update(&self.sent_count.to_le_bytes());
-        weight.digest()
+        let mut hasher = Xxh3Default::new();
+        hasher.update(self.own_addr.to_string().as_bytes());
+        hasher.update(addr.to_string().as_bytes());
+        hasher.update(&self.sent_count.to_le_bytes());
+        hasher.digest()
     }
 
-    /// The question to the host at `addr` has ended.
-    pub fn record_outcome(&mut self, addr: SocketAddr, end: QueryOutcome, now: Moment) {
+    /// Records the outcome of the query to the host at `addr`.
+    pub fn record_outcome(&mut self, addr: SocketAddr, outcome: QueryOutcome, now: Moment) {
         self.in_flight_since = None;
-        match end {
+        match outcome {
             QueryOutcome::Answered => {
                 self.busy_since = None;
                 self.failed_peers.clear();
@@ -168,10 +173,11 @@
         }
     }
 
-    /// Whether others know more and do not tell: this host has to follow the store itself.
+    /// Whether hosts with newer data recently failed to answer, so that this host has to watch the
+    /// store itself.
     ///
-    /// Without it a host behind crowded links went on asking the same watcher for five seconds,
-    /// sent work to a target that was retiring and used an old declaration all the while.
+    /// Otherwise a host behind congested links would query the same watcher for five seconds, and
+    /// meanwhile use an old declaration and send requests to a target that is shutting down.
     pub fn is_unanswered(&self, now: Moment) -> bool {
         self.unanswered_at.is_some_and(|at| now.saturating_sub(at) < UNANSWERED_PERIOD)
     }
--- a/src/entry/protocol.rs
+++ b/src/entry/protocol.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's own spellings: headers, paths and stored objects.
+//! Interface to the platform's formats: headers, paths and stored objects.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,15 @@
 use super::{CallerKey, Declaration, TargetEntry};
 use crate::prelude::*;
 
-/// Result of reading a stored object.
+/// Result of decoding a stored object.
 pub type Result<T> = std::result::Result<T, DecodeError>;
 
-/// Why a stored object could not be read.
+/// Why a stored object could not be decoded.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{0}")]
 pub struct DecodeError(pub Arc<str>);
 
-/// What a caller says beside its request.
+/// Metadata of a request, from its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallerMetadata {
     /// The caller's id of this attempt.
@@ -25,54 +25,54 @@
     pub key: CallerKey,
     /// The object that the request is about.
     pub object: Option<Arc<str>>,
-    /// Time that the caller will wait.
+    /// Time for which the caller will still wait.
     pub time_left: Option<Duration>,
 }
 
-/// What a target says beside its answer.
+/// Metadata of a target's response, from its status and headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplyMetadata {
-    /// Id of the attempt that it answers.
+    /// Id of the attempt that the response belongs to.
     pub attempt_id: Option<RequestId>,
-    /// Time that the target stays cold.
+    /// Time for which the target stays cold.
     pub cold_for: Option<Duration>,
-    /// Running and waiting requests.
+    /// Numbers of running and of waiting requests at the target.
     pub load: Option<(u32, u32)>,
     /// The target did not run the request.
     pub not_run: bool,
-    /// The answer bears the target's signature.
+    /// The response carries the target's signature.
     pub signed: bool,
     /// The address belongs to another target.
     pub wrong_target: bool,
 }
 
-/// Where a caller that looks hosts up is.
+/// Location of a caller that looks up hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerLocation {
     pub region: RegionId,
     pub zone: ZoneId,
 }
 
-/// Prefixes of keys in the platform's store.
+/// Key prefixes of the platform's store.
 #[derive(Clone, Copy, Debug)]
 pub struct StorePrefixes {
-    /// The one object of the declaration.
+    /// Prefix of the declaration, which is a single object.
     pub declared: &'static str,
     pub evacuations: &'static str,
     pub hosts: &'static str,
     pub targets: &'static str,
 }
 
-/// Reads and writes what the platform spells.
+/// Decodes and encodes the platform's formats.
 pub trait Protocol: Send + Sync {
-    /// What the caller says.
+    /// Reads the metadata of a request.
     fn caller_metadata(&self, headers: &HeaderMap) -> CallerMetadata;
 
-    /// What the target says.
+    /// Reads the metadata of a target's response.
     fn reply_metadata(&self, status: StatusCode, headers: &HeaderMap) -> ReplyMetadata;
 
-    /// Marks a request for one target, which has `left` to answer. Removes the caller's key, and
-    /// replaces any team name that the caller sent by `team`.
+    /// Adds the headers of a request to one target, which has the time `left` to answer. Removes
+    /// the caller's key, and replaces any team name that the caller sent by `team`.
     fn add_target_headers(
         &self,
         headers: &mut HeaderMap,
@@ -81,38 +81,39 @@
         left: Duration,
     );
 
-    /// Marks an answer of the host's own.
+    /// Adds the headers of a response that the host generates itself.
     fn add_own_response_headers(&self, headers: &mut HeaderMap, note: &CallerMetadata);
 
-    /// The place that a look-up names; `None` if the request is none.
+    /// The caller's location in a look-up; `None` if the request is not a look-up.
     fn parse_lookup(&self, uri: &Uri) -> Option<CallerLocation>;
 
-    /// The answer to a look-up.
+    /// Encodes the response to a look-up.
     fn encode_lookup_response(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes;
 
-    /// Whether a request asks for readiness.
+    /// Whether a request is a readiness probe.
     fn is_readiness_request(&self, uri: &Uri) -> bool;
 
-    /// Keys in the store.
+    /// Key prefixes in the store.
     fn store_prefixes(&self) -> StorePrefixes;
 
-    /// Reads the declaration, with keys as in the store or with digests in place of them.
+    /// Decodes the declaration, which contains either callers' keys or their digests.
     fn decode_declaration(&self, object: &[u8]) -> Result<Declaration>;
 
-    /// Replaces keys in the declaration's object by digests, for hosts to keep and exchange.
+    /// Replaces the keys in the object of the declaration by digests. Hosts keep and exchange only
+    /// the result.
     fn replace_keys_by_digests(&self, object: Bytes) -> Result<Bytes>;
 
-    /// Reads one target's entry.
+    /// Decodes the entry of one target.
     fn decode_target(&self, id: &str, object: &[u8]) -> Result<TargetEntry>;
 
-    /// Zones to be emptied, of the names of their objects.
+    /// The evacuated zones, from the names of the objects of evacuations.
     fn evacuated_zones(&self, names: &[Arc<str>]) -> BTreeSet<ZoneId> {
         names.iter().cloned().collect()
     }
 
-    /// Writes what other hosts read of this one.
+    /// Encodes the record by which other hosts find this host.
     fn encode_host(&self, gossip: SocketAddr) -> Bytes;
 
-    /// Reads another host's gossip address.
+    /// Decodes the gossip address in the record of another host.
     fn decode_host(&self, object: &[u8]) -> Result<SocketAddr>;
 }
--- a/src/entry/request_handler.rs
+++ b/src/entry/request_handler.rs
@@ -91,7 +91,9 @@
         Some(response)
     };
     let Some(view) = state.view() else { return refuse(ErrorKind::NoManifest, None) };
-    let Some(declared) = view.declared.clone() else { return refuse(ErrorKind::NoManifest, None) };
+    let Some(declared) = view.declaration.clone() else {
+        return refuse(ErrorKind::NoManifest, None);
+    };
     version.set(declared.version);
     let Some(route) = find_route(&declared, &head) else {
         return refuse(ErrorKind::ServiceUnknown, None);
@@ -170,13 +172,13 @@
 
 /// Whether a request may be started before its turn.
 pub fn may_start_early(state: &TrafficState, head: &Parts) -> bool {
-    let declared = state.view().and_then(|view| view.declared.clone());
+    let declared = state.view().and_then(|view| view.declaration.clone());
     let route = declared.and_then(|declared| find_route(&declared, head));
     route.is_some_and(|route| route.idempotency == Idempotency::Idempotent)
 }
 
 fn check_access(state: &TrafficState, view: &View, route: &Route, key: &CallerKey) -> Access {
-    let Some(declared) = &view.declared else { return Access::Unchecked };
+    let Some(declared) = &view.declaration else { return Access::Unchecked };
     let age = view.declared_checked_at.map(|at| state.clock.now().saturating_sub(at));
     Access::check(declared, route, key, age, &state.bounds())
 }
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -190,5 +190,5 @@
 }
 
 fn declaration_version(view: &View) -> u64 {
-    view.declared.as_ref().map_or(0, |declared| declared.version)
+    view.declaration.as_ref().map_or(0, |declared| declared.version)
 }
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -10,8 +10,8 @@
     yaml::{self, MAX_FILE, Result},
 };
 
-/// Settings of one entry host. Unknown fields are left alone: the fleet may be told of more than
-/// this version knows.
+/// Settings of one entry host. Unknown fields are ignored, so that one file may serve hosts of
+/// different versions.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct EntrySettings {
     pub bounds: Bounds,
@@ -34,34 +34,34 @@
     pub zones: BTreeMap<ZoneId, RegionId>,
 }
 
-/// Where this host listens.
+/// Addresses on which this host listens.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Listen {
     /// Callers' requests.
     pub callers: SocketAddr,
-    /// Other hosts: the state that this one knows.
+    /// State queries of other hosts.
     pub control: SocketAddr,
     /// Datagrams of other hosts.
     pub gossip: SocketAddr,
     /// Look-ups.
     pub lookup: SocketAddr,
-    /// Metrics as text; nowhere without it.
+    /// Metrics as text; not served if absent.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Readiness.
+    /// Readiness probes.
     pub ready: SocketAddr,
 }
 
-/// Promises that the deployment asks for.
+/// Limits that the deployment sets for its hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Bounds {
-    /// Time between the signal to stop and the end of the process.
+    /// Time between the stop signal and the forced end of the process.
     #[serde(with = "span_text::field")]
     pub grace: Duration,
-    /// Largest share of a region's requests that may run elsewhere from one window of two seconds
-    /// to the next.
+    /// Maximum share of a region's requests that may move to other regions from one window of two
+    /// seconds to the next.
     pub max_shift: f64,
-    /// Longest time that a look-up's answer is kept.
+    /// Maximum time for which callers keep the response to a look-up.
     #[serde(with = "span_text::field")]
     pub lookup_ttl: Duration,
     /// Time within which a revoked key stops working; 5 s by default.
@@ -95,8 +95,8 @@
         yaml::decode(&text, &path.display().to_string())
     }
 
-    /// Names of the fields that differ from `other` and bind sockets, threads or the host's identity:
-    /// they count at the next start only.
+    /// Names of the fields that differ from `other` but take effect only at the next start, because
+    /// they determine sockets, threads or the host's identity.
     pub fn fixed_changes(&self, other: &Self) -> Vec<&'static str> {
         let fields = [
             ("event_log", self.event_log != other.event_log),
@@ -115,7 +115,7 @@
         *region == self.region || self.zones.values().any(|known| known == region)
     }
 
-    /// Region of a zone; a zone that the settings do not name is its own region.
+    /// Region of a zone; a zone that the settings do not name counts as a region of its own.
     pub fn region_of(&self, zone: &ZoneId) -> RegionId {
         self.zones.get(zone).cloned().unwrap_or_else(|| zone.clone())
     }
--- a/src/entry/settings_file.rs
+++ b/src/entry/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file while a host runs: it may change with or without a signal.
+//! Detects changes of the settings file while a host runs, with or without a signal.
 
 use std::path::{Path, PathBuf};
 
@@ -8,38 +8,38 @@
     yaml::{self, MAX_FILE, Result},
 };
 
-/// The file and the text that is in force.
+/// The settings file and its last text.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
-    /// Why the file could not be read last time.
+    /// Error of the last attempt to read the file.
     last_error: Option<String>,
     text: String,
 }
 
-/// What a look at the file has found.
+/// Result of checking the file.
 #[derive(Debug)]
 pub enum SettingsChange {
-    /// New settings that can be read.
+    /// The file contains new, valid settings.
     Changed(Box<EntrySettings>),
-    /// It can't be read, and why; the settings in force stand.
+    /// The file cannot be read or decoded, with the error; the current settings stay in force.
     Unreadable(String),
     Unchanged,
 }
 
 impl SettingsFile {
-    /// Reads and checks the settings to start with.
+    /// Reads and validates the initial settings.
     pub fn open(path: &Path) -> Result<(Self, EntrySettings)> {
         let text = yaml::read_file(path, MAX_FILE)?;
         let settings = yaml::decode(&text, &path.display().to_string())?;
         Ok((Self { path: path.to_owned(), last_error: None, text }, settings))
     }
 
-    /// Looks whether the text has changed. What is wrong is told once.
+    /// Checks whether the text has changed. Each error is reported only once.
     pub fn check(&mut self) -> SettingsChange {
         let text = match yaml::read_file(&self.path, MAX_FILE) {
             Ok(text) => text,
-            Err(problem) => return self.report_read_error(problem.to_string()),
+            Err(error) => return self.report_read_error(error.to_string()),
         };
         self.last_error = None;
         if text == self.text {
@@ -48,21 +48,21 @@
         self.text = text;
         match yaml::decode(&self.text, &self.path.display().to_string()) {
             Ok(settings) => SettingsChange::Changed(Box::new(settings)),
-            Err(problem) => SettingsChange::Unreadable(problem.to_string()),
+            Err(error) => SettingsChange::Unreadable(error.to_string()),
         }
     }
 
-    fn report_read_error(&mut self, problem: String) -> SettingsChange {
-        if self.last_error.as_ref() == Some(&problem) {
+    fn report_read_error(&mut self, error: String) -> SettingsChange {
+        if self.last_error.as_ref() == Some(&error) {
             return SettingsChange::Unchanged;
         }
-        self.last_error = Some(problem.clone());
-        SettingsChange::Unreadable(problem)
+        self.last_error = Some(error.clone());
+        SettingsChange::Unreadable(error)
     }
 }
 
-/// The event of settings that were read again. `at_next_start` names fields that have changed and
-/// stay as they were until the next start.
+/// The log event of reloaded settings. `at_next_start` names the changed fields that take effect
+/// only at the next start.
 pub fn reload_event(end: ReloadEnd, at_next_start: &[&str]) -> Event {
     let detail = match at_next_start {
         [] => String::new(),
--- a/src/entry/store_part.rs
+++ b/src/entry/store_part.rs
@@ -1,8 +1,8 @@
-//! The parts of the store that hosts follow.
+//! The parts of the platform's store that hosts watch.
 
 use crate::prelude::*;
 
-/// Which objects of the store something is about.
+/// A part of the store: the objects under one key prefix.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StorePart {
@@ -12,7 +12,7 @@
 }
 
 impl StorePart {
-    /// Every part.
+    /// All parts.
     pub const ALL: [StorePart; 3] =
         [StorePart::Declared, StorePart::Evacuations, StorePart::Targets];
 }
--- a/src/entry/strain.rs
+++ b/src/entry/strain.rs
@@ -1,35 +1,40 @@
-//! Whether this host gets too little of its processor.
+//! Detection of a strained host, which is one that gets too little CPU time.
 //!
-//! Load pattern: a host turns several times slower for seconds while its callers go on. All that it
-//! does comes late then, and nothing fails: callers wait behind its queue although others are idle.
-//! It sees so by its own ticks, which come late too; told to all, it is left out of look-ups until
-//! they come in time again.
+//! A host may become several times slower for seconds while its callers keep sending. Nothing
+//! fails, but everything is late: callers wait in its queue although other hosts are idle. The host
+//! detects the strain by the delay of its own ticks and tells all other hosts, and look-ups omit it
+//! until its ticks are on time again.
 
 use crate::prelude::*;
 
-/// Mean delay of ticks from which on a host is strained: callers' objectives are a few times that.
+/// Mean tick delay at which a host becomes strained. Callers' latency objectives are a few times as
+/// long.
 const STRAINED_ABOVE: Duration = Duration::from_millis(150);
 
-/// Mean delay below which it no longer is; well below, so that a host at the edge stays on one side.
+/// Mean tick delay below which a host is no longer strained. The distance from `STRAINED_ABOVE`
+/// prevents a host at the limit from alternating between both states.
 const RECOVERED_BELOW: Duration = Duration::from_millis(40);
 
-/// Weight of the newest tick in the mean: a second's ticks carry two thirds.
+/// Weight of the newest tick in the moving average: the ticks of one second have two thirds of the
+/// weight.
 const EMA_WEIGHT: f64 = 0.1;
 
-/// Most that one tick counts: a host that was frozen for seconds is well again when it wakes.
+/// Limit on the delay that one tick contributes, since a host that was frozen for seconds works
+/// normally once it resumes.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(600);
 
-/// The delay of a host's ticks.
+/// Moving average of the delay of a host's ticks.
 #[derive(Debug, Default)]
 pub struct StrainDetector {
-    /// Mean, in seconds.
+    /// Mean delay in seconds.
     mean_delay_s: f64,
     is_strained: bool,
     last_tick: Option<Moment>,
 }
 
 impl StrainDetector {
-    /// A tick came that was due `every` after the last one; tells whether that changes anything.
+    /// Records a tick that was due `interval` after the last one. Returns whether the host has
+    /// become strained or has recovered.
     pub fn record_tick(&mut self, interval: Duration, now: Moment) -> bool {
         let Some(last) = self.last_tick.replace(now) else { return false };
         let delay = now.saturating_sub(last).saturating_sub(interval).min(MAX_TICK_DELAY);
@@ -40,12 +45,12 @@
         before != self.is_strained
     }
 
-    /// Whether callers are better off with other hosts.
+    /// Whether callers should use other hosts.
     pub fn is_strained(&self) -> bool {
         self.is_strained
     }
 
-    /// Mean delay of its ticks.
+    /// Mean delay of the ticks.
     pub fn mean_delay(&self) -> Duration {
         Duration::from_secs_f64(self.mean_delay_s)
     }
--- a/src/entry/team.rs
+++ b/src/entry/team.rs
@@ -52,7 +52,8 @@
         hex::encode(self.0)
     }
 
-    /// First eight bytes, used as the index of the table; full digests are compared in constant time.
+    /// First eight bytes, used as the index of the table; full digests are compared in constant
+    /// time.
     fn prefix(&self) -> u64 {
         let (prefix, _) = self.0.split_at(8);
         prefix.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
@@ -96,14 +97,14 @@
 pub struct Team {
     pub limit: Option<TeamLimit>,
     pub name: TeamId,
-    /// Rank of its requests, which replaces that of the route; 0 goes first.
+    /// Priority of its requests, which replaces that of the route; 0 is the highest.
     pub priority: Option<u32>,
     /// Regions that may serve its requests; empty for all.
     pub allowed_regions: Vec<RegionId>,
 }
 
 impl Team {
-    /// Hash of the name, as hosts exchange it.
+    /// Hash of the name, by which hosts refer to the team.
     pub fn tag(&self) -> NameTag {
         name_tag(&self.name)
     }
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, without clocks and sockets.
+//! Tests of the decision logic, without clocks and sockets.
 
 mod access;
 mod body_memory;
@@ -27,7 +27,7 @@
     }
 }
 
-/// The same, as a host knows it.
+/// A ready target with three slots, in zone `{region}-a`, as a host knows it.
 fn known(id: &str, region: &str) -> Arc<KnownTarget> {
     let entry = entry(id, &format!("{region}-a"));
     let tag = tag(&entry);
--- a/src/entry/tests/access.rs
+++ b/src/entry/tests/access.rs
@@ -75,8 +75,8 @@
     assert_eq!(access(&key("k-4"), None), Access::Unchecked);
 }
 
-/// Guards against rejecting known callers during an outage of the store and, with strict revocation,
-/// against accepting revoked keys on a disconnected host.
+/// Guards against rejecting known callers during an outage of the store and, with strict
+/// revocation, against accepting revoked keys on a disconnected host.
 #[test]
 fn known_keys_work_without_the_store_unless_revocation_is_strict() {
     assert_matches!(access(&key("k-1"), None), Access::Granted(Some(_)));
@@ -140,7 +140,7 @@
         let teams = Teams::new(vec![(Team { limit, ..team("lyra") }, Vec::new())]);
         let teams = teams.expect("one team");
         let declared = Declaration { teams, version, ..Declaration::default() };
-        View { declared: Some(Arc::new(declared)), ..View::default() }
+        View { declaration: Some(Arc::new(declared)), ..View::default() }
     };
     let older = view(1, Some(TeamLimit { burst: 0.0, rate: 0.001 }));
     let newer = view(2, None);
--- a/src/entry/tests/known_state.rs
+++ b/src/entry/tests/known_state.rs
@@ -1,4 +1,4 @@
-//! News, losses and returns of the store's objects.
+//! Tests of updates, listings and outages of the store.
 
 use super::{entry, secs};
 use crate::{
@@ -22,14 +22,14 @@
     usable.flat_map(|targets| targets.iter().cloned()).collect()
 }
 
-fn usable(known_state: &mut KnownState) -> Vec<String> {
+fn usable_ids(known_state: &mut KnownState) -> Vec<String> {
     usable_targets(known_state).iter().map(|known| known.entry.id.to_string()).collect()
 }
 
-/// A store that answers with old data, or another host that is behind, names an older declaration.
-/// Callers would be served by routes that operators have replaced.
+/// A store that answers with old data, or another host that is behind, provides an older
+/// declaration. With it, callers would be served by routes that operators have replaced.
 #[test]
-fn a_declaration_only_rises() {
+fn an_older_declaration_is_ignored() {
     let mut known_state = KnownState::default();
     let of = |version| Declaration { version, ..Declaration::default() };
     assert!(known_state.apply_declaration(of(4)));
@@ -39,26 +39,26 @@
     assert!(known_state.apply_declaration(of(9)));
 }
 
-/// The store was away for seconds and lost entries whose targets could not write. Dropped at once,
-/// all targets of a service could be gone although every one of them lives.
+/// In an outage of several seconds, entries lapse because their targets cannot write. If these
+/// targets were dropped at once, a service could lose all of them although they are alive.
 #[test]
-fn entries_that_lapsed_with_the_store_are_used_a_little_longer() {
+fn targets_that_lapsed_in_an_outage_are_kept_for_a_grace_period() {
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&["t-1", "t-2"]), secs(1.0));
     known_state.store_failed(secs(10.0));
     known_state.store_failed(secs(14.0));
     known_state.apply_target_listing(listed(&["t-1"]), secs(15.0));
-    assert_eq!(usable(&mut known_state), ["t-1", "t-2"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-1", "t-2"]);
     known_state.expire_lapsed(secs(17.0));
-    assert_eq!(usable(&mut known_state), ["t-1", "t-2"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-1", "t-2"]);
     known_state.expire_lapsed(secs(17.3));
-    assert_eq!(usable(&mut known_state), ["t-1"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-1"]);
 }
 
-/// One of them is written again in time and stays; a second listing does not prolong the wait of
-/// the other.
+/// A lapsed entry that is written again in time is kept. A second listing must not extend the grace
+/// period of another lapsed entry.
 #[test]
-fn an_entry_that_comes_back_stays() {
+fn an_entry_that_is_rewritten_in_time_is_kept() {
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&["t-1", "t-2"]), secs(1.0));
     known_state.store_failed(secs(10.0));
@@ -67,34 +67,36 @@
     known_state.store_failed(secs(16.1));
     known_state.apply_target_listing(listed(&["t-2"]), secs(16.2));
     known_state.expire_lapsed(secs(17.3));
-    assert_eq!(usable(&mut known_state), ["t-2"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-2"]);
 }
 
-/// The store forgot its history for an instant while a target left. Its entry is missing from the
-/// next listing and could not have lapsed: the target gets nothing more.
+/// A target leaves while the watch has to start again with a listing. Without an outage its missing
+/// entry cannot have lapsed, so the target must get no more requests.
 #[test]
-fn without_an_outage_a_missing_entry_is_gone_at_once() {
+fn without_an_outage_a_target_with_a_missing_entry_is_dropped_at_once() {
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&["t-1", "t-2"]), secs(1.0));
     known_state.apply_target_listing(listed(&["t-1"]), secs(5.0));
-    assert_eq!(usable(&mut known_state), ["t-1"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-1"]);
     known_state.store_failed(secs(6.0));
     known_state.apply_target_listing(listed(&[]), secs(6.5));
-    assert!(usable(&mut known_state).is_empty());
+    assert!(usable_ids(&mut known_state).is_empty());
 }
 
-/// A removal that the store tells is one, also while other entries are waited for.
+/// A removal after the grace period takes effect at once, also for an entry that was missing from
+/// the listing after the outage.
 #[test]
-fn a_removal_is_not_waited_for() {
+fn a_removal_after_the_grace_period_takes_effect_at_once() {
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
     known_state.store_failed(secs(10.0));
     known_state.apply_target_listing(listed(&[]), secs(15.0));
     assert_eq!(known_state.remove_target(&"t-1".into(), secs(20.0)), Removal::Gone);
-    assert!(usable(&mut known_state).is_empty());
+    assert!(usable_ids(&mut known_state).is_empty());
 }
 
-/// Draining targets and those of evacuated zones take no new work; hosts can tell by the stamp.
+/// Draining targets and targets of evacuated zones get no new requests, and the stamp shows the
+/// change to other hosts.
 #[test]
 fn draining_and_evacuated_targets_are_not_usable() {
     let mut known_state = KnownState::default();
@@ -103,18 +105,19 @@
     let before = known_state.stamp();
     let draining = crate::entry::TargetEntry { ready: false, ..entry("t-1", "north-a") };
     assert!(known_state.apply_target(draining, region(), secs(2.0)));
-    assert_eq!(usable(&mut known_state), ["t-2"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-2"]);
     assert!(known_state.set_evacuated("north-b".into(), true, secs(1.0)));
-    assert!(usable(&mut known_state).is_empty());
+    assert!(usable_ids(&mut known_state).is_empty());
     assert_ne!(known_state.stamp().targets, before.targets);
     assert_ne!(known_state.stamp().evacuations, before.evacuations);
     assert!(known_state.set_evacuated("north-b".into(), false, secs(2.0)));
-    assert_eq!(usable(&mut known_state), ["t-2"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-2"]);
 }
 
-/// A target starts again under its id: what was known of the earlier start does not count.
+/// A target restarts under the same id. What hosts learned of the earlier start must not apply to
+/// it.
 #[test]
-fn the_same_id_started_again_is_another_target() {
+fn a_restarted_target_gets_another_tag() {
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
     let tag = |known_state: &mut KnownState| usable_targets(known_state)[0].tag;
@@ -124,10 +127,10 @@
     assert_ne!(tag(&mut known_state), before);
 }
 
-/// A cold target's entry is read again with every listing. Its cold time runs from when it was
-/// first read: counted anew each time, a target would stay cold as long as others come and go.
+/// Every listing contains the entry of a cold target again. If each one restarted the cold time, a
+/// target would stay cold as long as other targets come and go.
 #[test]
-fn an_entry_that_is_read_again_stays_cold_no_longer() {
+fn listings_do_not_restart_the_cold_time() {
     let mut known_state = KnownState::default();
     let cold = crate::entry::TargetEntry { cold_for: secs(3.0), ..entry("t-1", "north-a") };
     let is_cold = |known_state: &mut KnownState, now| usable_targets(known_state)[0].is_cold(now);
@@ -145,11 +148,11 @@
     assert!(is_cold(&mut known_state, secs(6.9)) && !is_cold(&mut known_state, secs(7.0)));
 }
 
-/// A zone is taken back after an evacuation. Its targets got cold meanwhile, and the store has lost
-/// their word of it: at full rate from all hosts they would crash. For the declared time they are
-/// taken for cold, however a host learns of the return.
+/// The targets of an evacuated zone became cold, and the store has lost their reports of that. At
+/// the full rate of all hosts they would crash. Therefore they are treated as cold for the declared
+/// time after the evacuation, however a host learns that it has ended.
 #[test]
-fn targets_of_a_zone_that_was_taken_back_are_taken_for_cold() {
+fn targets_are_treated_as_cold_after_an_evacuation() {
     let rules = ServiceRules { cold_rate: 4.7, cold_start: Some(secs(2.5)), max_connections: 9 };
     let services = BTreeMap::from([("desk".into(), rules)]);
     type Return = fn(&mut KnownState);
@@ -177,7 +180,7 @@
         assert!(known_state.set_evacuated("north-a".into(), true, secs(2.0)));
         take_back(&mut known_state);
         assert_eq!(cold(&mut known_state, secs(9.0)), ["t-1"]);
-        // An older word that says nothing of cold does not end it.
+        // An update without a cold time does not end it.
         known_state.apply_target(
             TargetEntry { slots: 4, ..entry("t-1", "north-a") },
             region(),
@@ -188,11 +191,12 @@
     }
 }
 
-/// The store returns after an outage, and the first thing that its watch tells is that a target's
-/// entry has lapsed. The target lives and writes it again two seconds later: without the wait its
-/// service would have no target until then. One that does not come back is gone in time.
+/// Right after an outage the watch of the store reports that a target's entry has lapsed. The
+/// target is alive and rewrites it two seconds later; without the grace period its service would
+/// have no target until then. A target whose entry is not rewritten is dropped after the grace
+/// period.
 #[test]
-fn a_removal_right_after_an_outage_waits() {
+fn a_removal_right_after_an_outage_is_delayed() {
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&["t-1", "t-2", "t-3"]), secs(1.0));
     known_state.store_failed(secs(10.0));
@@ -201,22 +205,22 @@
         assert_eq!(known_state.remove_target(&id.into(), secs(15.1)), Removal::Kept);
     }
     known_state.apply_target(entry("t-1", "north-a"), region(), secs(16.9));
-    assert_eq!(usable(&mut known_state), ["t-1", "t-2", "t-3"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-1", "t-2", "t-3"]);
     assert_eq!(known_state.expire_lapsed(secs(17.3)), [TargetId::from("t-2")]);
-    assert_eq!(usable(&mut known_state), ["t-1", "t-3"]);
+    assert_eq!(usable_ids(&mut known_state), ["t-1", "t-3"]);
     assert_eq!(known_state.remove_target(&"t-3".into(), secs(17.3)), Removal::Gone);
     assert_eq!(known_state.remove_target(&"t-9".into(), secs(17.3)), Removal::Unknown);
-    // A short silence can't have let an entry lapse.
+    // No entry can lapse in a short outage.
     known_state.store_failed(secs(20.0));
     assert!(!known_state.store_answered(secs(21.0)));
     assert_eq!(known_state.remove_target(&"t-1".into(), secs(21.0)), Removal::Gone);
 }
 
-/// Hundreds of targets, one of which drains, and the host looks at all of them ten times a second.
-/// Built anew and hashed each time, they would take most of a small host's processor; all but the
-/// changed one stay what they were.
+/// A host reads the lists of hundreds of targets ten times a second. Rebuilding and hashing all of
+/// them each time would take most of a small host's CPU time, so after a change of one target all
+/// other targets must be reused.
 #[test]
-fn one_changed_target_costs_one_target() {
+fn unchanged_targets_are_reused() {
     let ids: Vec<String> = (0..900).map(|at| format!("t-{at:03}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut known_state = KnownState::default();
@@ -235,7 +239,7 @@
     assert_eq!(after.values().flat_map(|targets| targets.iter()).filter(kept).count(), 900);
     assert_eq!(after[&draining.service].len(), 899);
 
-    // Whatever the order in which hosts hear of targets, the same targets give the same stamp.
+    // The stamp does not depend on the order in which a host learns of targets.
     let mut backwards = KnownState::default();
     for id in ids.iter().rev().filter(|id| **id != "t-500") {
         backwards.apply_target(entry(id, "north-a"), region(), secs(1.0));
--- a/src/entry/tests/settings_file.rs
+++ b/src/entry/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of a running host.
+//! Tests of changes to the settings file of a running host.
 
 use std::{fs, path::PathBuf};
 
@@ -18,10 +18,10 @@
     }
 }
 
-/// The file changes without a signal, then somebody spoils it, removes it and puts it back. Each
-/// change is taken in or refused once, and a host never runs without settings.
+/// The file changes without a signal, then becomes invalid, is removed and is restored. Each change
+/// must be reported once, and errors must leave the current settings in force.
 #[test]
-fn each_change_of_the_file_is_seen_once() {
+fn each_change_of_the_file_is_reported_once() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/entry/host.yaml");
     let text = fs::read_to_string(example).expect("the example is there");
     let name = format!("lavenderplank-settings-{}.yaml", std::process::id());
@@ -48,9 +48,10 @@
     assert_matches!(file.check(), SettingsChange::Changed(_));
 }
 
-/// The line names what counts at the next start only.
+/// Guards against a log line that does not name the changes that take effect only at the next
+/// start.
 #[test]
-fn what_waits_for_the_next_start_is_named() {
+fn changes_that_need_a_restart_are_named() {
     let event = reload_event(ReloadEnd::InForce, &["listen", "zone"]);
     let detail = assert_matches!(event, Event::Reloaded { detail, .. } => detail);
     assert_eq!(detail, Arc::from("at the next start: listen, zone"));
--- a/src/entry/tests/strain.rs
+++ b/src/entry/tests/strain.rs
@@ -1,11 +1,12 @@
-//! Hosts that get too little of their processor.
+//! Tests of the detection of hosts that get too little CPU time.
 
 use super::secs;
 use crate::{entry::strain::StrainDetector, prelude::*};
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// Ticks that come that far apart, for that long, from the moment on; what changed meanwhile.
+/// Runs ticks that are `apart` seconds apart for `span` seconds; returns how often the state
+/// changed.
 fn run(strain: &mut StrainDetector, now: &mut Duration, apart: f64, span: f64) -> usize {
     let until = *now + secs(span);
     let mut changes = 0;
@@ -16,10 +17,11 @@
     changes
 }
 
-/// A host turns five times slower: its ticks come half a second apart. It says so within two
-/// seconds, stays at it, and takes it back within three once its ticks are in time again.
+/// A host becomes five times slower, so that its ticks are half a second apart. It is strained
+/// within three seconds, stays strained, and recovers within three seconds once its ticks are on
+/// time again.
 #[test]
-fn a_slow_host_says_so_and_recovers() {
+fn a_slow_host_becomes_strained_and_recovers() {
     let (mut strain, mut now) = (StrainDetector::default(), secs(100.0));
     assert_eq!(run(&mut strain, &mut now, 0.1, 5.0), 0);
     assert_eq!(run(&mut strain, &mut now, 0.5, 3.0), 1);
@@ -29,10 +31,10 @@
     assert!(!strain.is_strained());
 }
 
-/// A small host works off bursts, and ticks come up to a tenth of a second late. Another was frozen
-/// for ten seconds and is well when it wakes. Neither is strained.
+/// Bursts of load delay the ticks of a small host by up to a tenth of a second. Another host is
+/// frozen for ten seconds and works normally afterwards. Neither is strained.
 #[test]
-fn bursts_and_one_long_pause_are_no_strain() {
+fn bursts_and_one_long_pause_do_not_strain_a_host() {
     let (mut strain, mut now) = (StrainDetector::default(), secs(100.0));
     assert_eq!(run(&mut strain, &mut now, 0.2, 20.0), 0);
     let (mut strain, mut now) = (StrainDetector::default(), secs(100.0));
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -198,7 +198,7 @@
     /// Applies the limits and the state of other hosts from the view.
     fn update_quota(&self, view: &View) {
         let now = self.clock.now();
-        if let Some(declared) = &view.declared
+        if let Some(declared) = &view.declaration
             && self.quota_version.get() < declared.version
         {
             self.quota_version.set(declared.version);
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,4 +1,4 @@
-//! What the control side publishes for the traffic side.
+//! Snapshot that the control side publishes for the traffic side.
 
 use std::collections::HashMap;
 
@@ -11,44 +11,44 @@
     quota::TeamCounts,
 };
 
-/// Everything that a request's decisions read of the control side.
+/// State of the control side on which decisions about requests are based.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// When it was published.
+    /// When the view was published.
     pub published_at: Moment,
-    pub declared: Option<Arc<Declaration>>,
-    /// When the declaration was last confirmed to be the latest in the store; `None` if it never was,
-    /// or another host knows a later one.
+    pub declaration: Option<Arc<Declaration>>,
+    /// When the declaration was last confirmed to be the latest in the store; `None` if it never
+    /// was, or another host knows a later one.
     pub declared_checked_at: Option<Moment>,
     /// Whether most of the other live hosts were running when this host started.
     pub peers_started_earlier: bool,
     /// Number of hosts that are live or may be partitioned, including this one.
     pub known_hosts: usize,
-    /// Other living hosts and this one, by region and name.
+    /// This host and other live hosts, except those that are leaving.
     pub hosts: Vec<LiveHost>,
-    /// Requests that other hosts have in attempt, by target's tag.
+    /// Requests that other hosts have in flight, by tag of the target.
     pub in_flight_elsewhere: HashMap<u32, u32>,
-    /// Busy slots asked for, by region and hash of the service; this host's share is left out.
+    /// Slots that callers of other hosts need, by region and hash of the service.
     pub demand: HashMap<(RegionId, u32), f64>,
-    /// Crashes that other hosts saw, by fingerprint.
+    /// Crashes of targets that other hosts attribute to a request, by fingerprint of the request.
     pub crashes: HashMap<u64, u8>,
-    /// Objects that other hosts lately asked targets for.
+    /// Objects that other hosts recently requested from targets.
     pub recent_objects: Vec<(TargetTag, ObjectTag)>,
-    /// What other hosts of the own region sent to each region.
+    /// Requests that other hosts of the own region sent to each region.
     pub sent: SentTotals,
-    /// What other hosts tell of slow targets.
+    /// Slow targets that other hosts reported.
     pub slow_targets: HashMap<TargetTag, SlowdownReport>,
     pub targets: UsableTargets,
     /// Requests of teams that other hosts reported.
     pub team_counts: BTreeMap<NameTag, TeamCounts>,
 }
 
-/// A host that takes callers.
+/// A host that accepts requests from callers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LiveHost {
     pub callers: SocketAddr,
     pub host: HostId,
-    /// It gets too little of its processor.
+    /// Whether the host gets too little CPU time.
     pub is_strained: bool,
     pub region: RegionId,
     pub zone: ZoneId,
--- a/src/entry/watcher_election.rs
+++ b/src/entry/watcher_election.rs
@@ -1,27 +1,30 @@
-//! Which hosts watch the store.
+//! Election of the hosts that watch the store.
 //!
-//! A waiting watch counts as a call, and every change makes each watcher call again. So two hosts
-//! of a region watch, chosen by hash among the living that reach the store; the others hear of
-//! changes by heartbeats and ask. A host that hears nobody watches itself.
+//! A pending watch counts as a call to the store, and each watcher calls again after every change.
+//! Therefore only two hosts of a region watch, chosen by hash among the live hosts that reach the
+//! store. The others learn of changes by heartbeats and query a host that has them. A host that
+//! knows of no other live host watches the store itself.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{fleet::Peer, prelude::*};
 
-/// Watchers in a region: while one is lost unnoticed, the other still tells.
+/// Number of watchers in a region: if one fails, the other still gets changes until the failure is
+/// detected.
 const WATCHERS_PER_REGION: usize = 2;
 
-/// Time for which a host goes on watching when others seem to be enough: who lives changes often
-/// right after a start.
+/// Time for which a watcher goes on watching although enough hosts are ranked ahead of it. The set
+/// of live hosts changes often right after a start.
 const STEP_DOWN_DELAY: Duration = Duration::from_secs(3);
 
-/// Time after a start in which it does not go on: all that start at once would watch.
+/// Time after the start in which a surplus watcher stops at once: otherwise all hosts that start
+/// together would watch.
 const STARTUP_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// Time after which a host that did not reach the store may be chosen again.
+/// Time after which a host that did not reach the store may be elected again.
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(8);
 
-/// Whether this host watches.
+/// Decides whether this host watches the store.
 #[derive(Debug, Default)]
 pub struct WatcherElection {
     is_watcher: bool,
@@ -32,12 +35,13 @@
 }
 
 impl WatcherElection {
-    /// A host that starts now.
+    /// Creates the election of a host that starts now.
     pub fn new(now: Moment) -> Self {
         Self { started_at: now, ..Self::default() }
     }
 
-    /// Decides anew; `peers` are the living hosts of all regions.
+    /// Decides again and returns whether this host watches; `peers` are the live hosts of all
+    /// regions.
     pub fn decide<'a>(
         &mut self,
         host: &HostId,
@@ -64,23 +68,23 @@
         self.is_watcher
     }
 
-    /// Whether another host of the region watches in the first place. It stands by for the first
-    /// one's loss and may be later with all that it is told.
+    /// Whether another host of the region is ranked ahead. A standby watcher covers a failure of
+    /// that host and may receive updates later.
     pub fn is_standby(&self) -> bool {
         self.is_standby
     }
 
-    /// The store answered.
+    /// Records that the store answered.
     pub fn store_answered(&mut self) {
         self.store_lost_at = None;
     }
 
-    /// The store did not answer.
+    /// Records that the store did not answer.
     pub fn store_failed(&mut self, now: Moment) {
         self.store_lost_at.get_or_insert(now);
     }
 
-    /// Whether the store is thought to answer this host.
+    /// Whether this host is assumed to reach the store.
     pub fn reaches_store(&self, now: Moment) -> bool {
         let long_ago = |at: Moment| STORE_RETRY_DELAY <= now.saturating_sub(at) && !self.is_watcher;
         self.store_lost_at.is_none_or(long_ago)
