--- a/src/placement/cached_objects.rs
+++ b/src/placement/cached_objects.rs
@@ -30,8 +30,8 @@
     /// Records that a request about the object was sent to the target.
     pub fn record_use(&mut self, target: TargetTag, object: ObjectTag) {
         let objects = self.targets.entry(target).or_default();
-        if let Some(at) = objects.iter().rposition(|it| *it == object) {
-            objects[at..].rotate_left(1);
+        if let Some(position) = objects.iter().rposition(|it| *it == object) {
+            objects[position..].rotate_left(1);
             return;
         }
         if objects.len() == MAX_OBJECTS_PER_TARGET {
--- a/src/placement/target_health.rs
+++ b/src/placement/target_health.rs
@@ -104,9 +104,9 @@
     /// Factor by which slowness and failures prolong answers of this target.
     pub fn slowdown(&self, now: Moment) -> f64 {
         let decay = self.decay_factor(now);
-        let slow = 1.0 + (self.time_ratio.unwrap_or(1.0).max(1.0) - 1.0) * decay;
-        let failing = (self.failure_rate * decay).min(0.9);
-        slow / ((1.0 - failing) * (1.0 - failing))
+        let slowness = 1.0 + (self.time_ratio.unwrap_or(1.0).max(1.0) - 1.0) * decay;
+        let failure_rate = (self.failure_rate * decay).min(0.9);
+        slowness / ((1.0 - failure_rate) * (1.0 - failure_rate))
     }
 
     /// The same, including the recent reports of other hosts: in a large fleet, one host sends too
@@ -182,14 +182,14 @@
     fn record_ratio(&mut self, ratio: f64, now: Moment) {
         self.decay(now);
         self.time_ratio =
-            Some(self.time_ratio.map_or(ratio, |slow| slow + (ratio - slow) * SAMPLE_WEIGHT));
+            Some(self.time_ratio.map_or(ratio, |mean| mean + (ratio - mean) * SAMPLE_WEIGHT));
     }
 
     /// Applies the decay since the last update to both means.
     fn decay(&mut self, now: Moment) {
         let decay = self.decay_factor(now);
         self.failure_rate *= decay;
-        self.time_ratio = self.time_ratio.map(|slow| 1.0 + (slow - 1.0) * decay);
+        self.time_ratio = self.time_ratio.map(|mean| 1.0 + (mean - 1.0) * decay);
         self.updated_at = now;
     }
 }
--- a/src/placement/tests/choose.rs
+++ b/src/placement/tests/choose.rs
@@ -57,7 +57,7 @@
 
 fn sent_index(choice: Choice) -> usize {
     match choice {
-        Choice::Send(offer) => offer.index,
+        Choice::Send(estimate) => estimate.index,
         other => panic!("not sent: {other:?}"),
     }
 }
@@ -133,10 +133,10 @@
         candidates[holder].depth = Some(0);
         let short = PlacementQuery { time_left: secs(0.3), ..fixture.query(object) };
         let refused = choice(&candidates, &short);
-        let Choice::Busy { best: Some(offer), free_in: Some(free_in) } = refused else {
+        let Choice::Busy { best: Some(estimate), free_in: Some(free_in) } = refused else {
             panic!("{refused:?}");
         };
-        assert_eq!((offer.index, offer.expected(), free_in), (holder, secs(0.3), secs(0.2)));
+        assert_eq!((estimate.index, estimate.expected(), free_in), (holder, secs(0.3), secs(0.2)));
     }
 }
 
@@ -159,7 +159,9 @@
     candidates[..2].iter_mut().for_each(|candidate| candidate.unavailable = false);
     candidates[0].load = 12.0;
     let may_spill = PlacementQuery { may_spill: true, ..fixture.query(1) };
-    assert!(matches!(choice(&candidates, &may_spill), Choice::Send(offer) if 2 <= offer.index));
+    assert!(
+        matches!(choice(&candidates, &may_spill), Choice::Send(estimate) if 2 <= estimate.index)
+    );
 }
 
 /// A slow target is used less, and an unavailable one not at all.
