--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -28,7 +28,7 @@
 };
 use crate::{
     event_log::{Event, EventSink, WatchReason},
-    fleet::{DeclaredCheck, Fleet, FleetConfig, Load},
+    fleet::{DeclarationCheck, Fleet, FleetConfig, Load},
     metrics::{ControlFigures, EntryMetrics},
     prelude::*,
     store::{FollowPace, Followed, Follower, Platform},
@@ -152,11 +152,16 @@
     fn publish(&mut self) {
         let now = self.now();
         let settings = &self.parts.settings;
-        let declared = self.known_state.declared().cloned();
+        let declared = self.known_state.declaration().cloned();
         let targets = self.known_state.usable_targets().clone();
         let declared_checked_at = self.latest_declared_check(now);
-        let mut view =
-            View { published_at: now, declared, declared_checked_at, targets, ..View::default() };
+        let mut view = View {
+            published_at: now,
+            declaration: declared,
+            declared_checked_at,
+            targets,
+            ..View::default()
+        };
         if !self.leaving {
             view.hosts.push(LiveHost {
                 callers: settings.listen.callers,
@@ -172,7 +177,7 @@
                 *view.in_flight_elsewhere.entry(*tag).or_default() += u32::from(*count);
             }
             view.recent_objects.extend(&load.recent_objects);
-            for (tag, slowness) in &load.slow {
+            for (tag, slowness) in &load.slow_targets {
                 let sum = view.slow_targets.entry(*tag).or_default();
                 *sum = sum.merge(*slowness);
             }
@@ -182,7 +187,7 @@
             for (service, slots) in &load.demand {
                 *demand.entry((region.clone(), *service)).or_default() += f64::from(*slots);
             }
-            for (team, (arrived, admitted)) in &load.teams {
+            for (team, (arrived, admitted)) in &load.team_counts {
                 let sum = view.team_counts.entry(*team).or_default();
                 sum.0 = sum.0.saturating_add(*arrived);
                 sum.1 = sum.1.saturating_add(*admitted);
@@ -211,10 +216,10 @@
     /// When the store last confirmed the declaration as the latest, to this host or another one;
     /// `None` if it never did, or a later declaration is known.
     fn latest_declared_check(&self, now: Moment) -> Option<Moment> {
-        let version = self.known_state.declared()?.version;
-        let checks = self.fleet.declared_checks(now);
+        let version = self.known_state.declaration()?.version;
+        let checks = self.fleet.declaration_checks(now);
         let mut latest = self.declared_checked_at;
-        for DeclaredCheck { at, version: known } in checks {
+        for DeclarationCheck { at, version: known } in checks {
             if version < known {
                 return None;
             }
@@ -228,7 +233,7 @@
         let targets = || view.targets.values().flat_map(|targets| targets.iter());
         let cold = targets().filter(|target| target.is_cold(now)).count();
         ControlFigures {
-            declaration: view.declared.as_ref().map_or(0, |declared| declared.version),
+            declaration: view.declaration.as_ref().map_or(0, |declared| declared.version),
             hosts: view.hosts.len(),
             store_age: now.saturating_sub(self.told_at),
             targets_cold: cold,
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -139,7 +139,7 @@
                 holders: request.object.map_or(&[], |object| cached.holders(object)),
                 object: request.object,
                 regions: if may_spill(state) { &eligible } else { &picked_only },
-                spread: rand::random(),
+                offset: rand::random(),
             });
             let shortlisted = shortlist.into_iter().map(|at| &targets[at]);
             let shortlisted = self.candidates(view, request, shortlisted, &cached);
@@ -183,7 +183,7 @@
         cached: &CachedObjects,
     ) -> Vec<Candidate<'a>> {
         let now = self.clock.now();
-        let services = view.declared.as_ref().map(|declared| &declared.services);
+        let services = view.declaration.as_ref().map(|declared| &declared.services);
         let rules = services.and_then(|services| services.get(&request.service));
         let rate = rules.map_or(1.0, |rules| rules.cold_rate);
         let allowed = targets.filter(|target| request.allows(target));
