--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -203,7 +203,7 @@
     /// Applies the limits and the state of other hosts from the view.
     fn update_quota(&self, view: &View) {
         let now = self.clock.now();
-        if let Some(declared) = &view.declared
+        if let Some(declared) = &view.declaration
             && self.quota_version.get() < declared.version
         {
             self.quota_version.set(declared.version);
@@ -410,8 +410,8 @@
     fn reported_recent_objects(&self) -> Vec<(TargetTag, ObjectTag)> {
         let recent = self.recent_objects.borrow();
         let newest = recent.iter().rev().take(MAX_REPORTED_OBJECTS);
-        let runs: BTreeSet<_> = newest.map(|(_, target, object)| (*target, *object)).collect();
-        runs.into_iter().collect()
+        let objects: BTreeSet<_> = newest.map(|(_, target, object)| (*target, *object)).collect();
+        objects.into_iter().collect()
     }
 
     /// Current values for the metrics.
@@ -440,19 +440,19 @@
         let sent = self.sent_counter.borrow_mut().counts(now);
         let view = self.view();
         let reported = |tag| view.as_ref().and_then(|view| view.slow_targets.get(tag).copied());
-        let slow = target_health
+        let slow_targets = target_health
             .iter()
             .filter_map(|(tag, it)| Some((*tag, it.report(reported(tag), now)?)));
-        let slow = slow.collect();
-        let teams = self.quota.borrow().report(now);
+        let slow_targets = slow_targets.collect();
+        let team_counts = self.quota.borrow().report(now);
         Load {
             crashes,
             demand,
             in_flight,
             recent_objects: self.reported_recent_objects(),
             sent,
-            slow,
-            teams,
+            slow_targets,
+            team_counts,
         }
     }
 }
