--- a/src/daemon/control/operator.rs
+++ b/src/daemon/control/operator.rs
@@ -70,7 +70,7 @@
         };
         let ask = ExplainRequest { caller: Some(caller), service: service.clone() };
         let (mut explanation, options) = self.parts.traffic.with_steer(|steer, now| {
-            let home = steer.blocks().home(caller).unwrap_or(&view.own.region).clone();
+            let home = steer.blocks().home_region(caller).unwrap_or(&view.own.region).clone();
             let explanation = explain(view, steer.blocks(), &ask, now);
             (explanation, steer.target_statuses(service, &home, now))
         });
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -243,7 +243,7 @@
         let notice = tokio::time::sleep(LEAVE_NOTICE);
         let cut = self.wait_for_requests().await;
         let sealed = self.traffic.seal();
-        let entries = sealed.entries();
+        let entries = sealed.entry_count();
         // An empty ledger is handed over too: that it holds no entry is proof that nothing ran. A
         // booking that was on its way to this host would otherwise be `unknown` to all others.
         let taken = self.hand_over(&sealed).await || entries == 0;
@@ -280,7 +280,7 @@
             if !self.give(&host, &parts).await {
                 continue;
             }
-            let entries = sealed.entries() as u64;
+            let entries = sealed.entry_count() as u64;
             self.recorder.record(None, EventKind::HandoverDone { entries, to: host.id });
             return true;
         }
--- a/src/daemon/http.rs
+++ b/src/daemon/http.rs
@@ -18,7 +18,7 @@
 };
 use crate::{
     ingress::{BodyMemory, Remote, read_body},
-    lookup::Lookup,
+    lookup::LookupResponse,
     prelude::*,
 };
 
@@ -143,7 +143,7 @@
     }
 }
 
-fn found(lookup: &Lookup) -> Response {
+fn found(lookup: &LookupResponse) -> Response {
     let mut res = warp::reply::json(&LookupBody::from(lookup)).into_response();
     let age = format!("max-age={}", lookup.max_age.as_secs());
     if let Ok(age) = age.parse() {
@@ -177,8 +177,8 @@
     pub zone: ZoneId,
 }
 
-impl From<&Lookup> for LookupBody {
-    fn from(lookup: &Lookup) -> Self {
+impl From<&LookupResponse> for LookupBody {
+    fn from(lookup: &LookupResponse) -> Self {
         let hosts = lookup.hosts.iter().map(|host| LookupHost {
             address: host.address,
             binding: host.binding.clone(),
--- a/src/daemon/incoming.rs
+++ b/src/daemon/incoming.rs
@@ -9,9 +9,9 @@
 use crate::{
     base::HeaderLine,
     ingress::BodyHold,
-    ledger::body_digest,
+    ledger::request_digest,
     prelude::*,
-    quarantine::{Fingerprint, Mark, fingerprint},
+    quarantine::{Fingerprint, QuarantineMark, fingerprint},
     routing::{Arrival, CallId, Via},
     settings::Secret,
 };
@@ -64,7 +64,7 @@
             call,
             client: self.client()?,
             deadline: self.received + time_limit(&self.headers)?,
-            digest: body_digest(method, &self.path, &self.body),
+            digest: request_digest(method, &self.path, &self.body),
             fingerprint: fingerprint(&asked, &self.service, method, &self.path, &self.body),
             key: self.text(headers::IDEMPOTENCY_KEY)?,
             member: asked,
@@ -90,7 +90,7 @@
     }
 
     /// What the host that sent the request knows of it as one that crashes targets.
-    pub fn mark(&self, fingerprint: Fingerprint) -> Option<Mark> {
+    pub fn mark(&self, fingerprint: Fingerprint) -> Option<QuarantineMark> {
         let text = self.headers.get(headers::MARK)?.to_str().ok()?;
         read_mark(text, fingerprint)
     }
@@ -121,13 +121,13 @@
 }
 
 /// A mark on that very request; hosts tell of others by exchange.
-pub fn read_mark(text: &str, fingerprint: Fingerprint) -> Option<Mark> {
-    let mark: Mark = serde_json::from_str(text).ok()?;
+pub fn read_mark(text: &str, fingerprint: Fingerprint) -> Option<QuarantineMark> {
+    let mark: QuarantineMark = serde_json::from_str(text).ok()?;
     (mark.fingerprint == fingerprint).then_some(mark)
 }
 
 /// The value of the `lavender-mark` header.
-pub fn mark_text(mark: &Mark) -> String {
+pub fn mark_text(mark: &QuarantineMark) -> String {
     serde_json::to_string(mark).unwrap_or_default()
 }
 
--- a/src/daemon/outgoing.rs
+++ b/src/daemon/outgoing.rs
@@ -4,7 +4,9 @@
 use warp::reply::{Reply as _, Response};
 
 use super::{headers, incoming::mark_text};
-use crate::{base::HeaderLine, base::Resend, ledger::KeptAnswer, prelude::*, quarantine::Mark};
+use crate::{
+    base::HeaderLine, base::Resend, ledger::KeptAnswer, prelude::*, quarantine::QuarantineMark,
+};
 
 /// The answer of the table's row for an error kind.
 pub fn error(
@@ -40,7 +42,7 @@
 }
 
 /// Tells the host that sent the request what is known of it.
-pub fn put_mark(res: &mut Response, mark: &Mark) {
+pub fn put_mark(res: &mut Response, mark: &QuarantineMark) {
     put(res, headers::MARK, &mark_text(mark));
 }
 
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -29,9 +29,9 @@
 use crate::{
     forward::Upstream,
     ledger::{KeptAnswer, SealedLedger},
-    lookup::{BlockTable, HostIndex, Lookup, LookupAsk},
+    lookup::{BlockTable, HostIndex, LookupRequest, LookupResponse},
     prelude::*,
-    quarantine::{Fingerprint, Mark},
+    quarantine::{Fingerprint, QuarantineMark},
     routing::{Action, Answer, AttemptId, CallId, Event, Outcome, Router, Via},
     settings::Secret,
     timeline::{EventKind, EventSink},
@@ -173,10 +173,10 @@
     }
 
     /// Ranked hosts for a caller; `None` until a manifest is in force.
-    pub fn look_up(&self, client: IpAddr, service: &ServiceId) -> Option<Lookup> {
+    pub fn look_up(&self, client: IpAddr, service: &ServiceId) -> Option<LookupResponse> {
         let shown = self.shown.load_full()?;
         shown.view.manifest.service(service)?;
-        let ask = LookupAsk { client, service: service.clone() };
+        let ask = LookupRequest { client, service: service.clone() };
         let lookup = shown.index.rank(&shown.blocks, &ask);
         if self.parts.sink.is_on() {
             self.parts.sink.record(None, EventKind::LookedUp { service: service.clone() });
@@ -233,7 +233,7 @@
 
     /// Takes in what a host at the other end of a hop knows of the request that it carries. By the
     /// exchanges alone the suspicion comes later than the request, which then crashes another target.
-    pub(super) fn learn(self: &Arc<Self>, mark: Option<Mark>) {
+    pub(super) fn learn(self: &Arc<Self>, mark: Option<QuarantineMark>) {
         if let Some(mark) = mark {
             self.feed(Event::Marked { marks: vec![mark] });
         }
@@ -348,7 +348,7 @@
         }
     }
 
-    pub(super) fn mark(&self, fingerprint: Fingerprint) -> Option<Mark> {
+    pub(super) fn mark(&self, fingerprint: Fingerprint) -> Option<QuarantineMark> {
         self.with_steer(|steer, now| steer.mark(fingerprint, now))
     }
 
--- a/src/ledger/digest.rs
+++ b/src/ledger/digest.rs
@@ -5,16 +5,16 @@
 use crate::prelude::*;
 
 /// A caller's idempotency key.
-pub type Key = Arc<str>;
+pub type IdempotencyKey = Arc<str>;
 
 /// First 16 bytes of the SHA-256 of a request.
-pub type BodyDigest = [u8; 16];
+pub type RequestDigest = [u8; 16];
 
 /// First 16 bytes of the SHA-256 of a key.
 pub(super) type KeyDigest = [u8; 16];
 
 /// Digest of what a request asks for. Two requests with the same key must agree in it.
-pub fn body_digest(method: &str, path: &str, body: &[u8]) -> BodyDigest {
+pub fn request_digest(method: &str, path: &str, body: &[u8]) -> RequestDigest {
     let mut hash = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes()] {
         hash.update((part.len() as u64).to_le_bytes());
--- a/src/ledger/error.rs
+++ b/src/ledger/error.rs
@@ -13,9 +13,9 @@
     #[error("this host has no room for {0} more entries; hand the ledger to another host")]
     NoRoom(usize),
     #[error("incarnation {0:016x} is this host's own; hand the ledger to another host")]
-    Own(Incarnation),
+    OwnIncarnation(Incarnation),
     #[error("this host is stopping too; hand the ledger to another host")]
     Sealed,
     #[error("sealed ledger of version {0} is not known here; hand it to a newer host")]
-    Version(u32),
+    UnsupportedVersion(u32),
 }
--- a/src/ledger/generation.rs
+++ b/src/ledger/generation.rs
@@ -1,7 +1,7 @@
 //! The entries of one generation.
 
 use super::{
-    Begin, BodyDigest, KeptAnswer,
+    BeginOutcome, KeptAnswer, RequestDigest,
     digest::KeyDigest,
     sealed::{SealedEntry, SealedState},
 };
@@ -10,7 +10,7 @@
 /// What is known of one key.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
-    pub(super) body: BodyDigest,
+    pub(super) body: RequestDigest,
     pub(super) state: State,
 }
 
@@ -26,13 +26,13 @@
 
 impl State {
     /// What a resend is told.
-    pub(super) fn begin(&self) -> Begin {
+    pub(super) fn begin(&self) -> BeginOutcome {
         match self {
-            State::Answered(answer) => Begin::Kept(answer.clone()),
-            State::Fact(status) => Begin::KeptFact { status: *status },
-            State::NotRun => Begin::Refused,
-            State::Running => Begin::Running,
-            State::Unknown => Begin::Unknown,
+            State::Answered(answer) => BeginOutcome::Kept(answer.clone()),
+            State::Fact(status) => BeginOutcome::AnswerNotKept { status: *status },
+            State::NotRun => BeginOutcome::Refused,
+            State::Running => BeginOutcome::Running,
+            State::Unknown => BeginOutcome::OutcomeUnknown,
         }
     }
 }
--- a/src/ledger/history.rs
+++ b/src/ledger/history.rs
@@ -1,7 +1,7 @@
 //! All generations of one incarnation.
 
 use super::{
-    Begin, BodyDigest,
+    BeginOutcome, RequestDigest,
     digest::KeyDigest,
     generation::{GenerationTable, State},
     sealed::{SealedEntry, SealedGeneration, SealedHistory},
@@ -20,7 +20,7 @@
 /// What a history knows of a key.
 pub(super) enum Known {
     /// Nothing more is to be asked.
-    Said(Begin),
+    Said(BeginOutcome),
     /// It never came before.
     Runnable,
 }
@@ -30,18 +30,18 @@
         Self { generations: BTreeMap::new(), host, newest: 0 }
     }
 
-    pub(super) fn look(&self, number: Generation, key: &KeyDigest, body: &BodyDigest) -> Known {
+    pub(super) fn look(&self, number: Generation, key: &KeyDigest, body: &RequestDigest) -> Known {
         if self.newest < number {
-            return Known::Said(Begin::Stranger);
+            return Known::Said(BeginOutcome::UnknownBinding);
         }
         let Some(table) = self.generations.get(&number) else {
-            return Known::Said(Begin::Dropped);
+            return Known::Said(BeginOutcome::GenerationDropped);
         };
         match table.entries.get(key) {
-            Some(entry) if entry.body != *body => Known::Said(Begin::Conflict),
+            Some(entry) if entry.body != *body => Known::Said(BeginOutcome::Conflict),
             Some(entry) => Known::Said(entry.state.begin()),
-            None if !table.open => Known::Said(Begin::Dropped),
-            None if table.closed => Known::Said(Begin::Full),
+            None if !table.open => Known::Said(BeginOutcome::GenerationDropped),
+            None if table.closed => Known::Said(BeginOutcome::Full),
             None => Known::Runnable,
         }
     }
--- a/src/ledger/ledger.rs
+++ b/src/ledger/ledger.rs
@@ -1,8 +1,9 @@
 //! The ledger of one host.
 
 use super::{
-    Begin, BodyDigest, End, Error, KeptAnswer, Key, LedgerLimits, Result, SealedLedger,
-    budget::{AnswerBudget, Place},
+    BeginOutcome, Error, ExecutionOutcome, IdempotencyKey, KeptAnswer, LedgerLimits, RequestDigest,
+    Result, SealedLedger,
+    answer_budget::{AnswerBudget, Place},
     digest::{KeyDigest, key_digest},
     generation::{Entry, GenerationTable, State},
     history::{History, Known},
@@ -49,7 +50,7 @@
     }
 
     /// Incarnations of stopped hosts that this ledger answers for, sorted.
-    pub fn adopted(&self) -> Vec<Incarnation> {
+    pub fn adopted_incarnations(&self) -> Vec<Incarnation> {
         self.adopted.keys().copied().collect()
     }
 
@@ -69,7 +70,7 @@
     }
 
     /// Whether the entry that must stand before a request is sent does stand.
-    pub fn is_running(&self, binding: &Binding, key: &Key) -> bool {
+    pub fn is_running(&self, binding: &Binding, key: &IdempotencyKey) -> bool {
         let table = self.own.generations.get(&binding.generation);
         let entry = table.and_then(|table| table.entries.get(&key_digest(key)));
         self.is_own(binding) && entry.is_some_and(|entry| matches!(entry.state, State::Running))
@@ -79,11 +80,11 @@
     pub fn begin(
         &mut self,
         binding: &Binding,
-        key: &Key,
-        digest: BodyDigest,
+        key: &IdempotencyKey,
+        digest: RequestDigest,
         _request: &RequestId,
         now: Moment,
-    ) -> Begin {
+    ) -> BeginOutcome {
         self.rotate(now);
         let key = key_digest(key);
         if !self.is_own(binding) {
@@ -91,41 +92,52 @@
         }
         match self.own.look(binding.generation, &key, &digest) {
             Known::Said(begin) => begin,
-            Known::Runnable if self.sealed => Begin::Sealed,
+            Known::Runnable if self.sealed => BeginOutcome::Sealed,
             Known::Runnable => self.enter(binding.generation, key, digest),
         }
     }
 
     /// A new key of a stopped host: the sealed ledger names all that it ever took on, so the key
     /// was not run there, and it is not run here either (see the module's docs).
-    fn begin_adopted(&self, binding: &Binding, key: &KeyDigest, digest: &BodyDigest) -> Begin {
+    fn begin_adopted(
+        &self,
+        binding: &Binding,
+        key: &KeyDigest,
+        digest: &RequestDigest,
+    ) -> BeginOutcome {
         let Some(history) = self.adopted.get(&binding.incarnation) else {
-            return Begin::Stranger;
+            return BeginOutcome::UnknownBinding;
         };
         if history.host != binding.host {
-            return Begin::Stranger;
+            return BeginOutcome::UnknownBinding;
         }
         match history.look(binding.generation, key, digest) {
             Known::Said(begin) => begin,
-            Known::Runnable => Begin::Sealed,
+            Known::Runnable => BeginOutcome::Sealed,
         }
     }
 
-    fn enter(&mut self, number: Generation, key: KeyDigest, body: BodyDigest) -> Begin {
+    fn enter(&mut self, number: Generation, key: KeyDigest, body: RequestDigest) -> BeginOutcome {
         let full = self.limits.entries <= self.own.len();
         let Some(table) = self.own.generations.get_mut(&number) else {
-            return Begin::Dropped;
+            return BeginOutcome::GenerationDropped;
         };
         if full {
             table.closed = true;
-            return Begin::Full;
+            return BeginOutcome::Full;
         }
         table.entries.insert(key, Entry { body, state: State::Running });
-        Begin::Fresh
+        BeginOutcome::Accepted
     }
 
     /// Writes down how a request ended. Called once for each `Fresh`.
-    pub fn end(&mut self, binding: &Binding, key: &Key, end: End, now: Moment) {
+    pub fn end(
+        &mut self,
+        binding: &Binding,
+        key: &IdempotencyKey,
+        end: ExecutionOutcome,
+        now: Moment,
+    ) {
         self.rotate(now);
         let key = key_digest(key);
         let is_own = self.is_own(binding);
@@ -134,14 +146,14 @@
         invariant::hold(running, "ledger-end-follows-begin", || format!("{binding}: {end:?}"));
         let Some(state) = state.filter(|_| running) else { return };
         match end {
-            End::Answered(answer) => {
+            ExecutionOutcome::Answered(answer) => {
                 *state = State::Fact(answer.status);
                 let place =
                     Place { generation: binding.generation, incarnation: self.incarnation, key };
                 self.keep(place, answer);
             }
-            End::NotRun => *state = State::NotRun,
-            End::Unknown => *state = State::Unknown,
+            ExecutionOutcome::NotRun => *state = State::NotRun,
+            ExecutionOutcome::Unknown => *state = State::Unknown,
         }
     }
 
@@ -224,12 +236,12 @@
         }
         let own = sealed.histories.iter().find(|one| one.incarnation == self.incarnation);
         if let Some(own) = own {
-            return Err(Error::Own(own.incarnation));
+            return Err(Error::OwnIncarnation(own.incarnation));
         }
         self.rotate(now);
         let held: usize = self.adopted.values().map(History::len).sum();
-        if self.limits.adopted_entries < held + sealed.entries() {
-            return Err(Error::NoRoom(sealed.entries()));
+        if self.limits.adopted_entries < held + sealed.entry_count() {
+            return Err(Error::NoRoom(sealed.entry_count()));
         }
         for history in sealed.histories {
             self.adopt_history(history, now);
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -12,26 +12,26 @@
 //!
 //! Pure: no clock, no I/O. Keys and bodies are held as digests, so that an entry has a fixed size.
 
-mod answer;
-mod begin;
-mod budget;
+mod answer_budget;
 mod digest;
 mod error;
 mod generation;
 mod history;
+mod kept_answer;
 #[expect(clippy::module_inception, reason = "the type that the slice is named after")]
 mod ledger;
 mod limits;
+mod outcome;
 mod sealed;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
-    answer::KeptAnswer,
-    begin::{Begin, End},
-    digest::{BodyDigest, Key, body_digest},
+    digest::{IdempotencyKey, RequestDigest, request_digest},
     error::{Error, Result},
+    kept_answer::KeptAnswer,
     ledger::Ledger,
     limits::LedgerLimits,
+    outcome::{BeginOutcome, ExecutionOutcome},
     sealed::{SealedLedger, SealedPart},
 };
--- a/src/ledger/begin.rs
+++ b/src/ledger/outcome.rs
@@ -5,19 +5,19 @@
 
 /// Whether a request may run. Only `Fresh` lets it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Begin {
+pub enum BeginOutcome {
     /// The key came with another body before: this one was not run.
     Conflict,
     /// The generation is gone: whether the request ran is unknown.
-    Dropped,
+    GenerationDropped,
     /// The entry is made; the request may be sent, once, and `end` must be called once.
-    Fresh,
+    Accepted,
     /// No room for another entry: not run, and never to be run under this binding.
     Full,
     /// It ran; this is its answer.
     Kept(Arc<KeptAnswer>),
     /// It ran and was answered with this status; the answer was not kept.
-    KeptFact { status: u16 },
+    AnswerNotKept { status: u16 },
     /// Told before that it was not run, and never to be run: an earlier copy that comes late must
     /// not make that untrue. Another try needs another key.
     Refused,
@@ -26,14 +26,14 @@
     /// This ledger takes no new keys any more, and knows all that it ever took: not run.
     Sealed,
     /// The binding is not of this ledger: whether the request ran is unknown here.
-    Stranger,
+    UnknownBinding,
     /// It was sent, and how it ended is not known.
-    Unknown,
+    OutcomeUnknown,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum ExecutionOutcome {
     /// The target ran it and answered.
     Answered(Arc<KeptAnswer>),
     /// Proven not to have run. The key is refused from then on.
--- a/src/ledger/sealed.rs
+++ b/src/ledger/sealed.rs
@@ -3,7 +3,7 @@
 use base64::{Engine, engine::general_purpose::STANDARD};
 use sha2::{Digest, Sha256};
 
-use super::{BodyDigest, Error, KeptAnswer, Result, digest::KeyDigest, generation::State};
+use super::{Error, KeptAnswer, RequestDigest, Result, digest::KeyDigest, generation::State};
 use crate::prelude::*;
 
 /// Version of the sealed form. A host refuses a version that it does not know.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct SealedEntry {
     #[serde(with = "hex::serde")]
-    pub(super) body: BodyDigest,
+    pub(super) body: RequestDigest,
     #[serde(with = "hex::serde")]
     pub(super) key: KeyDigest,
     pub(super) state: SealedState,
@@ -71,7 +71,7 @@
     }
 
     /// Number of entries.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         let tables = self.histories.iter().flat_map(|history| &history.generations);
         tables.map(|table| table.entries.len()).sum()
     }
@@ -132,14 +132,14 @@
         let header: Header =
             serde_json::from_slice(whole).map_err(|_| Error::Damaged("it has no version"))?;
         if header.version != VERSION {
-            return Err(Error::Version(header.version));
+            return Err(Error::UnsupportedVersion(header.version));
         }
         serde_json::from_slice(whole).map_err(|_| Error::Damaged("it does not parse"))
     }
 
     /// Refuses a version that this host does not know.
     pub(super) fn check(&self) -> Result<()> {
-        if self.version == VERSION { Ok(()) } else { Err(Error::Version(self.version)) }
+        if self.version == VERSION { Ok(()) } else { Err(Error::UnsupportedVersion(self.version)) }
     }
 }
 
--- a/src/ledger/tests.rs
+++ b/src/ledger/tests.rs
@@ -26,18 +26,18 @@
         Self { ledger: Ledger::new(host.into(), incarnation, limits()), now: Moment::ZERO }
     }
 
-    fn begin(&mut self, binding: &Binding, key: &str, body: &str) -> Begin {
-        let digest = body_digest("POST", "/seats", body.as_bytes());
+    fn begin(&mut self, binding: &Binding, key: &str, body: &str) -> BeginOutcome {
+        let digest = request_digest("POST", "/seats", body.as_bytes());
         self.ledger.begin(binding, &key.into(), digest, &"r".into(), self.now)
     }
 
-    fn end(&mut self, binding: &Binding, key: &str, end: End) {
+    fn end(&mut self, binding: &Binding, key: &str, end: ExecutionOutcome) {
         self.ledger.end(binding, &key.into(), end, self.now);
     }
 
     fn fresh(&mut self, key: &str) -> Binding {
         let binding = self.ledger.binding();
-        assert_eq!(self.begin(&binding, key, "body"), Begin::Fresh);
+        assert_eq!(self.begin(&binding, key, "body"), BeginOutcome::Accepted);
         binding
     }
 }
@@ -49,18 +49,21 @@
 #[test]
 fn a_resend_is_told_what_is_known_and_never_runs_again() {
     for (end, told) in [
-        (None, Begin::Running),
-        (Some(End::Answered(answer(10))), Begin::Kept(answer(10))),
-        (Some(End::Answered(answer(5_000))), Begin::KeptFact { status: 201 }),
-        (Some(End::NotRun), Begin::Refused),
-        (Some(End::Unknown), Begin::Unknown),
+        (None, BeginOutcome::Running),
+        (Some(ExecutionOutcome::Answered(answer(10))), BeginOutcome::Kept(answer(10))),
+        (
+            Some(ExecutionOutcome::Answered(answer(5_000))),
+            BeginOutcome::AnswerNotKept { status: 201 },
+        ),
+        (Some(ExecutionOutcome::NotRun), BeginOutcome::Refused),
+        (Some(ExecutionOutcome::Unknown), BeginOutcome::OutcomeUnknown),
     ] {
         let mut bench = Bench::new("a", 1);
         let binding = bench.fresh("k");
         if let Some(end) = end {
             bench.end(&binding, "k", end);
         }
-        assert_eq!(bench.begin(&binding, "k", "other body"), Begin::Conflict);
+        assert_eq!(bench.begin(&binding, "k", "other body"), BeginOutcome::Conflict);
         assert_eq!(bench.begin(&binding, "k", "body"), told);
     }
 }
@@ -75,7 +78,7 @@
         Binding { generation: 1, ..own },
     ];
     for binding in strange {
-        assert_eq!(bench.begin(&binding, "k", "body"), Begin::Stranger, "{binding}");
+        assert_eq!(bench.begin(&binding, "k", "body"), BeginOutcome::UnknownBinding, "{binding}");
     }
 }
 
@@ -86,20 +89,20 @@
 fn a_dropped_generation_is_unknown_but_what_runs_is_found() {
     let mut bench = Bench::new("a", 1);
     let old = bench.fresh("done");
-    bench.end(&old, "done", End::Answered(answer(10)));
+    bench.end(&old, "done", ExecutionOutcome::Answered(answer(10)));
     bench.fresh("running");
     bench.now = 10 * SECOND;
-    assert_matches!(bench.begin(&old, "done", "body"), Begin::Kept(_));
-    assert_eq!(bench.begin(&old, "late", "body"), Begin::Fresh);
+    assert_matches!(bench.begin(&old, "done", "body"), BeginOutcome::Kept(_));
+    assert_eq!(bench.begin(&old, "late", "body"), BeginOutcome::Accepted);
     bench.now = 20 * SECOND;
-    assert_eq!(bench.begin(&old, "done", "body"), Begin::Dropped);
-    assert_eq!(bench.begin(&old, "new", "body"), Begin::Dropped);
-    assert_eq!(bench.begin(&old, "running", "body"), Begin::Running);
+    assert_eq!(bench.begin(&old, "done", "body"), BeginOutcome::GenerationDropped);
+    assert_eq!(bench.begin(&old, "new", "body"), BeginOutcome::GenerationDropped);
+    assert_eq!(bench.begin(&old, "running", "body"), BeginOutcome::Running);
     assert_eq!(bench.ledger.answer_bytes(), 0);
-    bench.end(&old, "running", End::NotRun);
-    bench.end(&old, "late", End::Unknown);
+    bench.end(&old, "running", ExecutionOutcome::NotRun);
+    bench.end(&old, "late", ExecutionOutcome::Unknown);
     bench.now = 30 * SECOND;
-    assert_eq!(bench.begin(&old, "running", "body"), Begin::Dropped);
+    assert_eq!(bench.begin(&old, "running", "body"), BeginOutcome::GenerationDropped);
     assert!(bench.ledger.is_empty());
 }
 
@@ -110,8 +113,8 @@
     for key in ["1", "2", "3", "4"] {
         bench.fresh(key);
     }
-    assert_eq!(bench.begin(&binding, "5", "body"), Begin::Full);
-    assert_eq!(bench.begin(&binding, "1", "body"), Begin::Running);
+    assert_eq!(bench.begin(&binding, "5", "body"), BeginOutcome::Full);
+    assert_eq!(bench.begin(&binding, "1", "body"), BeginOutcome::Running);
 }
 
 /// A key is refused for want of room, and its caller books under a new binding. Room comes back,
@@ -122,15 +125,15 @@
     bench.now = 5 * SECOND;
     for key in ["1", "2", "3", "4"] {
         let binding = bench.fresh(key);
-        bench.end(&binding, key, End::Unknown);
+        bench.end(&binding, key, ExecutionOutcome::Unknown);
     }
     bench.now = 15 * SECOND;
     bench.ledger.rotate(bench.now);
     let refused = bench.ledger.binding();
     assert_eq!(refused.generation, 1);
-    assert_eq!(bench.begin(&refused, "5", "body"), Begin::Full);
+    assert_eq!(bench.begin(&refused, "5", "body"), BeginOutcome::Full);
     bench.now = 20 * SECOND;
-    assert_eq!(bench.begin(&refused, "5", "body"), Begin::Full);
+    assert_eq!(bench.begin(&refused, "5", "body"), BeginOutcome::Full);
     let reopened = bench.fresh("5");
     assert_eq!(reopened.generation, 2);
 }
@@ -141,10 +144,10 @@
     let binding = bench.ledger.binding();
     for key in ["1", "2", "3"] {
         bench.fresh(key);
-        bench.end(&binding, key, End::Answered(answer(300)));
+        bench.end(&binding, key, ExecutionOutcome::Answered(answer(300)));
     }
-    assert_eq!(bench.begin(&binding, "1", "body"), Begin::KeptFact { status: 201 });
-    assert_eq!(bench.begin(&binding, "2", "body"), Begin::Kept(answer(300)));
+    assert_eq!(bench.begin(&binding, "1", "body"), BeginOutcome::AnswerNotKept { status: 201 });
+    assert_eq!(bench.begin(&binding, "2", "body"), BeginOutcome::Kept(answer(300)));
     assert!(bench.ledger.answer_bytes() <= limits().answer_bytes);
 }
 
@@ -155,25 +158,25 @@
 fn successors_answer_for_a_stopped_host_and_run_nothing_of_it() {
     let mut old = Bench::new("a", 1);
     let binding = old.fresh("answered");
-    old.end(&binding, "answered", End::Answered(answer(10)));
+    old.end(&binding, "answered", ExecutionOutcome::Answered(answer(10)));
     old.fresh("running");
     old.fresh("not-run");
-    old.end(&binding, "not-run", End::NotRun);
+    old.end(&binding, "not-run", ExecutionOutcome::NotRun);
     let sealed = old.ledger.seal(old.now);
-    assert_eq!(old.begin(&binding, "new", "body"), Begin::Sealed);
-    assert_eq!(old.begin(&binding, "not-run", "body"), Begin::Refused);
-    old.end(&binding, "running", End::Unknown);
+    assert_eq!(old.begin(&binding, "new", "body"), BeginOutcome::Sealed);
+    assert_eq!(old.begin(&binding, "not-run", "body"), BeginOutcome::Refused);
+    old.end(&binding, "running", ExecutionOutcome::Unknown);
     for mut heir in [Bench::new("b", 2), Bench::new("c", 3)] {
         heir.ledger.adopt(sealed.clone(), heir.now).unwrap();
         heir.ledger.adopt(sealed.clone(), heir.now).unwrap();
-        assert_eq!(heir.ledger.adopted(), [1]);
-        assert_matches!(heir.begin(&binding, "answered", "body"), Begin::Kept(_));
-        assert_eq!(heir.begin(&binding, "answered", "other"), Begin::Conflict);
-        assert_eq!(heir.begin(&binding, "running", "body"), Begin::Unknown);
-        assert_eq!(heir.begin(&binding, "not-run", "body"), Begin::Refused);
-        assert_eq!(heir.begin(&binding, "new", "body"), Begin::Sealed);
+        assert_eq!(heir.ledger.adopted_incarnations(), [1]);
+        assert_matches!(heir.begin(&binding, "answered", "body"), BeginOutcome::Kept(_));
+        assert_eq!(heir.begin(&binding, "answered", "other"), BeginOutcome::Conflict);
+        assert_eq!(heir.begin(&binding, "running", "body"), BeginOutcome::OutcomeUnknown);
+        assert_eq!(heir.begin(&binding, "not-run", "body"), BeginOutcome::Refused);
+        assert_eq!(heir.begin(&binding, "new", "body"), BeginOutcome::Sealed);
         heir.now = 20 * SECOND;
-        assert_eq!(heir.begin(&binding, "answered", "body"), Begin::Stranger);
+        assert_eq!(heir.begin(&binding, "answered", "body"), BeginOutcome::UnknownBinding);
         assert_eq!(heir.ledger.answer_bytes(), 0);
     }
 }
@@ -182,7 +185,7 @@
 fn a_sealed_ledger_passes_whole_or_not_at_all() {
     let mut old = Bench::new("a", 1);
     let binding = old.fresh("k");
-    old.end(&binding, "k", End::Answered(answer(200)));
+    old.end(&binding, "k", ExecutionOutcome::Answered(answer(200)));
     let sealed = old.ledger.seal(old.now);
     let parts = sealed.split(100);
     assert!(3 < parts.len());
@@ -199,6 +202,6 @@
     assert_eq!(full.adopt(sealed.clone(), old.now), Err(Error::NoRoom(1)));
     assert_eq!(old.ledger.adopt(sealed.clone(), old.now), Err(Error::Sealed));
     let mut own = Bench::new("a", 1);
-    assert_eq!(own.ledger.adopt(sealed, own.now), Err(Error::Own(1)));
-    assert!(own.ledger.is_empty() && full.adopted().is_empty());
+    assert_eq!(own.ledger.adopt(sealed, own.now), Err(Error::OwnIncarnation(1)));
+    assert!(own.ledger.is_empty() && full.adopted_incarnations().is_empty());
 }
--- a/src/lookup/block_table.rs
+++ b/src/lookup/block_table.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum BlockError {
     #[error("block {block} begins a part but is not above the part before; sign the blocks again")]
-    Order { block: IpNet },
+    OutOfOrder { block: IpNet },
     #[error("block {block} is there twice; give it once")]
-    Twice { block: IpNet },
+    Duplicate { block: IpNet },
 }
 
 /// Client blocks of a member: those that the manifest's text lists, and ascending parts that the
@@ -53,7 +53,7 @@
         for part in parts {
             let Some(first) = part.first() else { continue };
             if Some(first) <= last {
-                return Err(BlockError::Order { block: first });
+                return Err(BlockError::OutOfOrder { block: first });
             }
             last = part.last();
             let covers = runs.last().map_or_else(Vec::new, |before| before.covers_of(first));
@@ -62,13 +62,13 @@
         let table = BlockTable { listed: self.listed.clone(), runs };
         let twice = table.listed.iter().find(|listed| table.is_in_runs(&listed.block));
         if let Some(ClientBlock { block, .. }) = twice {
-            return Err(BlockError::Twice { block });
+            return Err(BlockError::Duplicate { block });
         }
         Ok(table)
     }
 
     /// The home region of a caller, if a block holds its address.
-    pub fn home(&self, ip: IpAddr) -> Option<&RegionId> {
+    pub fn home_region(&self, ip: IpAddr) -> Option<&RegionId> {
         let ip = ip.to_canonical();
         let listed = self.listed.find(ip);
         let found = self.find_in_runs(ip);
--- a/src/lookup/ask.rs
+++ b/src/lookup/messages.rs
@@ -6,14 +6,14 @@
 
 /// A caller's question.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct LookupAsk {
+pub struct LookupRequest {
     pub client: IpAddr,
     pub service: ServiceId,
 }
 
 /// The answer: hosts in the order in which the caller should try them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Lookup {
+pub struct LookupResponse {
     /// For requests that must not be repeated: the binding of the first host.
     pub binding: Binding,
     pub hosts: Vec<RankedHost>,
--- a/src/lookup/rank.rs
+++ b/src/lookup/rank.rs
@@ -8,7 +8,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{BlockTable, Lookup, LookupAsk, RankedHost};
+use super::{BlockTable, LookupRequest, LookupResponse, RankedHost};
 use crate::{
     manifest::{DrainScope, Service},
     prelude::*,
@@ -50,7 +50,7 @@
 }
 
 /// Ranks the live hosts of `view` for one caller; see `HostIndex::rank`.
-pub fn rank(view: &View, table: &BlockTable, ask: &LookupAsk, _now: Moment) -> Lookup {
+pub fn rank(view: &View, table: &BlockTable, ask: &LookupRequest, _now: Moment) -> LookupResponse {
     HostIndex::build(view).rank(table, ask)
 }
 
@@ -79,8 +79,8 @@
     /// Ranks the hosts for a caller: its home region first, there the zones that hold a target of
     /// the service, then by rendezvous hash of the caller's address. Every part of the order hangs
     /// on one host or on the manifest alone, so that a lost host moves only its own callers.
-    pub fn rank(&self, table: &BlockTable, ask: &LookupAsk) -> Lookup {
-        let home = table.home(ask.client).cloned();
+    pub fn rank(&self, table: &BlockTable, ask: &LookupRequest) -> LookupResponse {
+        let home = table.home_region(ask.client).cloned();
         let first_region = home.as_ref().unwrap_or(&self.own.region);
         let key = client_key(ask.client);
         let zones = self.zones.get(&ask.service);
@@ -96,7 +96,7 @@
             hosts.push(self.own.clone());
         }
         let binding = hosts[0].binding.clone();
-        Lookup { binding, hosts, home, max_age: self.max_age, sequence: self.sequence }
+        LookupResponse { binding, hosts, home, max_age: self.max_age, sequence: self.sequence }
     }
 
     /// Adds hosts of the other regions: the best of each, then the second of each, and so on. The
--- a/src/lookup/tests.rs
+++ b/src/lookup/tests.rs
@@ -61,14 +61,14 @@
     ])
 }
 
-fn first(view: &View, client: u32) -> Lookup {
+fn first(view: &View, client: u32) -> LookupResponse {
     let client = IpAddr::from((0x0a00_0000 + client).to_be_bytes());
-    rank(view, &table(), &LookupAsk { client, service: "status".into() }, Moment::ZERO)
+    rank(view, &table(), &LookupRequest { client, service: "status".into() }, Moment::ZERO)
 }
 
 #[test]
 fn longest_prefix_is_home() {
-    let home = |ip: &str| table().home(ip.parse().unwrap()).cloned();
+    let home = |ip: &str| table().home_region(ip.parse().unwrap()).cloned();
     assert_eq!(home("10.2.0.1").as_deref(), Some("zagreb"));
     assert_eq!(home("10.1.0.1").as_deref(), Some("split"));
     assert_eq!(home("::ffff:10.1.0.1").as_deref(), Some("split"));
--- a/src/measure/capacity/ledgers.rs
+++ b/src/measure/capacity/ledgers.rs
@@ -7,7 +7,10 @@
     gauge::{cost_ns, thread_time},
 };
 use crate::{
-    ledger::{Begin, End, KeptAnswer, Key, Ledger, LedgerLimits, body_digest},
+    ledger::{
+        BeginOutcome, ExecutionOutcome, IdempotencyKey, KeptAnswer, Ledger, LedgerLimits,
+        request_digest,
+    },
     prelude::*,
 };
 
@@ -57,7 +60,7 @@
     Load::worked_out(Resource::Memory, most, how)
 }
 
-fn key(index: usize) -> Key {
+fn key(index: usize) -> IdempotencyKey {
     format!("01890a5d-ac96-774b-bcce-{index:012x}").into()
 }
 
@@ -66,16 +69,16 @@
     let limits = LedgerLimits::default();
     let mut ledger = Ledger::new("host-0000".into(), 7, limits);
     let binding = ledger.binding();
-    let digest = body_digest("POST", "/seats", b"{}");
+    let digest = request_digest("POST", "/seats", b"{}");
     let request: RequestId = "request".into();
     for index in 0..size {
         let key = key(index);
         let begun = ledger.begin(&binding, &key, digest, &request, Moment::ZERO);
-        if begun != Begin::Fresh {
+        if begun != BeginOutcome::Accepted {
             break;
         }
-        let end = answer.map_or(End::Unknown, |len| {
-            End::Answered(Arc::new(KeptAnswer {
+        let end = answer.map_or(ExecutionOutcome::Unknown, |len| {
+            ExecutionOutcome::Answered(Arc::new(KeptAnswer {
                 body: vec![b'x'; len].into(),
                 headers: Vec::new(),
                 status: 200,
@@ -88,7 +91,7 @@
 
 fn resend_cost(mut ledger: Ledger, size: usize) -> f64 {
     let binding = ledger.binding();
-    let digest = body_digest("POST", "/seats", b"{}");
+    let digest = request_digest("POST", "/seats", b"{}");
     let request: RequestId = "request".into();
     let mut index = 0;
     cost_ns(|| {
--- a/src/measure/capacity/lookups.rs
+++ b/src/measure/capacity/lookups.rs
@@ -9,7 +9,7 @@
     target,
 };
 use crate::{
-    lookup::{BlockTable, LookupAsk, rank},
+    lookup::{BlockTable, LookupRequest, rank},
     prelude::*,
 };
 
@@ -46,7 +46,7 @@
     let mut index = 0;
     cost_ns(|| {
         index = (index + 7_919) % size;
-        black_box(table.home(fleet::client(index)));
+        black_box(table.home_region(fleet::client(index)));
     })
 }
 
@@ -57,7 +57,7 @@
     let mut index = 0;
     cost_ns(|| {
         index = (index + 7) % 1_000;
-        let ask = LookupAsk { client: fleet::client(index), service: "service-0".into() };
+        let ask = LookupRequest { client: fleet::client(index), service: "service-0".into() };
         black_box(rank(&view, &table, &ask, Moment::ZERO));
     })
 }
--- a/src/measure/capacity/requests.rs
+++ b/src/measure/capacity/requests.rs
@@ -12,7 +12,7 @@
     target,
 };
 use crate::{
-    ledger::body_digest,
+    ledger::request_digest,
     prelude::*,
     routing::{Action, Arrival, Event, Outcome, Router, RouterLimits, Via},
     selection::LoadReport,
@@ -97,7 +97,7 @@
             call: self.call,
             client: fleet::client(0),
             deadline: self.now + Duration::from_secs(2),
-            digest: body_digest("GET", "/", b""),
+            digest: request_digest("GET", "/", b""),
             fingerprint: 1,
             key: None,
             member: "member".into(),
--- a/src/measure/ledger.rs
+++ b/src/measure/ledger.rs
@@ -13,7 +13,7 @@
     ledgers::filled,
 };
 use crate::{
-    ledger::{Begin, End, KeptAnswer, Ledger, LedgerLimits, body_digest},
+    ledger::{BeginOutcome, ExecutionOutcome, KeptAnswer, Ledger, LedgerLimits, request_digest},
     prelude::*,
     standin::platform::{Faults, PlatformStandin},
     store::{Expect, HttpPlatform, Limits, Platform, new_operation},
@@ -81,10 +81,10 @@
     let times = (0..bookings).map(|number| {
         let key = format!("booking-{number}").into();
         let start = Instant::now();
-        let digest = body_digest("POST", "/seats", b"{}");
+        let digest = request_digest("POST", "/seats", b"{}");
         let begun = ledger.begin(&binding, &key, digest, &request, Moment::ZERO);
-        if begun == Begin::Fresh {
-            ledger.end(&binding, &key, End::Answered(answer.clone()), Moment::ZERO);
+        if begun == BeginOutcome::Accepted {
+            ledger.end(&binding, &key, ExecutionOutcome::Answered(answer.clone()), Moment::ZERO);
         }
         start.elapsed()
     });
--- a/src/measure/policies/cost.rs
+++ b/src/measure/policies/cost.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    lookup::{BlockTable, HostIndex, LookupAsk},
+    lookup::{BlockTable, HostIndex, LookupRequest},
     manifest::Weighing,
     measure::capacity::{
         fleet,
@@ -89,7 +89,7 @@
     let mut index = 0;
     cost_ns(|| {
         index = (index + 7_919) % blocks;
-        black_box(table.home(fleet::client(index)));
+        black_box(table.home_region(fleet::client(index)));
     })
 }
 
@@ -104,7 +104,7 @@
     let mut number = 0;
     let rank = cost_ns(|| {
         number = (number + 7_919) % blocks;
-        let ask = LookupAsk { client: fleet::client(number), service: "service-0".into() };
+        let ask = LookupRequest { client: fleet::client(number), service: "service-0".into() };
         black_box(index.rank(table, &ask));
     });
     [build, rank]
--- a/src/measure/policies/experiment.rs
+++ b/src/measure/policies/experiment.rs
@@ -14,7 +14,7 @@
     world::{self, SLOTS, ServiceShape},
 };
 use crate::{
-    lookup::{BlockTable, HostIndex, LookupAsk},
+    lookup::{BlockTable, HostIndex, LookupRequest},
     manifest::Manifest,
     prelude::*,
     routing::{Answer, Event, Router, RouterLimits, Via},
@@ -220,7 +220,7 @@
         }
         state.sendings += 1;
         if state.hosts.is_empty() || state.hosts_until <= now {
-            let ask = LookupAsk { client: state.client, service: state.service.clone() };
+            let ask = LookupRequest { client: state.client, service: state.service.clone() };
             let lookup = self.index.rank(&self.table, &ask);
             // Callers cache: a request meets an answer of any age up to the longest.
             state.hosts_until = now + lookup.max_age.mul_f64(self.rng.random());
--- a/src/membership/digest.rs
+++ b/src/membership/digest.rs
@@ -1,7 +1,9 @@
 //! What two hosts tell each other in one exchange.
 
 use super::notes::BaselineNote;
-use crate::{drain::DrainRecord, prelude::*, quarantine::Mark, tenure::ZoneTenure, view::HostView};
+use crate::{
+    drain::DrainRecord, prelude::*, quarantine::QuarantineMark, tenure::ZoneTenure, view::HostView,
+};
 
 /// What one host tells another. Each list holds only what the other may lack; fields that an older
 /// host does not know are skipped by it, and those that it does not send are empty.
@@ -26,7 +28,7 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub hosts: Vec<HostEntry>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub marks: Vec<Mark>,
+    pub marks: Vec<QuarantineMark>,
     /// Hash of the quarantine marks that the sender holds.
     #[serde(default)]
     pub marks_hash: u64,
--- a/src/membership/notes.rs
+++ b/src/membership/notes.rs
@@ -2,14 +2,16 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{drain::DrainRecord, prelude::*, quarantine::Mark, tenure::ZoneTenure, view::Baseline};
+use crate::{
+    drain::DrainRecord, prelude::*, quarantine::QuarantineMark, tenure::ZoneTenure, view::Baseline,
+};
 
 /// What this host holds and wants known at every other host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Notes {
     pub baselines: Vec<BaselineNote>,
     pub drains: Vec<DrainRecord>,
-    pub marks: Vec<Mark>,
+    pub marks: Vec<QuarantineMark>,
     /// Sequence of the manifest in force; 0 without one.
     pub sequence: Sequence,
     /// Hosts that share the zone's targets; told inside the zone only.
@@ -61,7 +63,7 @@
     pub from_afar: bool,
     /// The highest manifest sequence above the own one, and where its holder answers RPC.
     pub manifest: Option<(Sequence, SocketAddr)>,
-    pub marks: Vec<Mark>,
+    pub marks: Vec<QuarantineMark>,
     /// A newer list of the hosts that share the zone's targets.
     pub tenure: Option<ZoneTenure>,
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     prelude::*,
-    quarantine::{Mark, Verdict},
+    quarantine::{QuarantineMark, QuarantineVerdict},
     view::Baseline,
 };
 
@@ -61,7 +61,8 @@
 fn news_carries_marks_unasked_and_says_where_they_come_from() {
     let mut fleet = settled(2, 2);
     let now = fleet.now;
-    let mark = Mark { fingerprint: 7, left: secs(60), verdict: Verdict::Suspect };
+    let mark =
+        QuarantineMark { fingerprint: 7, left: secs(60), verdict: QuarantineVerdict::Suspect };
     let notes = Notes { marks: vec![mark.clone()], ..Notes::default() };
     fleet.nodes[0].membership.set_notes(notes);
     let own = fleet.nodes[0].membership.own().clone();
--- a/src/operator/explain.rs
+++ b/src/operator/explain.rs
@@ -4,7 +4,7 @@
 
 use super::explanation::Explanation;
 use crate::{
-    lookup::{BlockTable, HostIndex, LookupAsk, owner_of},
+    lookup::{BlockTable, HostIndex, LookupRequest, owner_of},
     manifest::{DrainScope, Service, Target},
     peer::ExplainRequest,
     prelude::*,
@@ -44,7 +44,7 @@
         explanation.step("home", format!("no caller given; taken as at home in {own}"));
         return own;
     };
-    match blocks.home(caller) {
+    match blocks.home_region(caller) {
         Some(home) => {
             explanation.step("home", format!("{caller} is in a client block of region {home}"));
             home.clone()
@@ -60,7 +60,7 @@
 fn hosts(explanation: &mut Explanation, view: &View, blocks: &BlockTable, ask: &ExplainRequest) {
     if let Some(client) = ask.caller {
         let lookup = HostIndex::build(view)
-            .rank(blocks, &LookupAsk { client, service: ask.service.clone() });
+            .rank(blocks, &LookupRequest { client, service: ask.service.clone() });
         let ranked: Vec<String> = lookup.hosts.iter().map(|host| host.host.to_string()).collect();
         explanation.step("hosts", format!("a look-up gives {}", ranked.join(", then ")));
     }
--- a/src/quarantine/mark.rs
+++ b/src/quarantine/mark.rs
@@ -6,7 +6,7 @@
 /// How far the suspicion goes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Verdict {
+pub enum QuarantineVerdict {
     /// In flight at a crash: runs alone.
     Suspect,
     /// Crashed a target while it ran alone: refused.
@@ -15,15 +15,15 @@
 
 /// A fingerprint and how long it still stands; clocks of hosts don't compare, time left does.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Mark {
-    #[serde(with = "hex_text")]
+pub struct QuarantineMark {
+    #[serde(with = "fingerprint_hex")]
     pub fingerprint: Fingerprint,
     pub left: Duration,
-    pub verdict: Verdict,
+    pub verdict: QuarantineVerdict,
 }
 
 /// JSON numbers lose digits beyond 64 bits in many readers, so the hash travels as text.
-pub(crate) mod hex_text {
+pub(crate) mod fingerprint_hex {
     use std::borrow::Cow;
 
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -10,9 +10,9 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use self::mark::hex_text;
+pub(crate) use self::mark::fingerprint_hex;
 pub use self::{
     fingerprint::{Fingerprint, fingerprint},
-    mark::{Mark, Verdict},
-    suspects::{Quarantine, QuarantineLimits, Standing},
+    mark::{QuarantineMark, QuarantineVerdict},
+    suspects::{Quarantine, QuarantineLimits, RunMode},
 };
--- a/src/quarantine/suspects.rs
+++ b/src/quarantine/suspects.rs
@@ -1,6 +1,6 @@
 //! The quarantine of one host.
 
-use super::{Fingerprint, Mark, Verdict};
+use super::{Fingerprint, QuarantineMark, QuarantineVerdict};
 use crate::{base::invariant, prelude::*};
 
 /// Longest refusal, as a multiple of the first.
@@ -25,11 +25,11 @@
 
 /// How a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum RunMode {
     /// Only with nothing else on its target.
-    Alone,
+    Exclusive,
     /// Like any other.
-    Clear,
+    Normal,
     /// Not at all until then.
     Refused { until: Moment },
 }
@@ -72,27 +72,27 @@
     }
 
     /// A request was sent to `target`.
-    pub fn started(&mut self, fingerprint: Fingerprint, target: &TargetId, now: Moment) {
-        let standing = self.standing(fingerprint, now);
+    pub fn record_start(&mut self, fingerprint: Fingerprint, target: &TargetId, now: Moment) {
+        let run_mode = self.run_mode(fingerprint, now);
         let runs = self.running.entry(target.clone()).or_default();
         let shared = !runs.is_empty();
         runs.iter_mut().for_each(|run| run.shared = true);
         runs.push(Run { fingerprint, shared });
-        let refused = matches!(standing, Standing::Refused { .. });
+        let refused = matches!(run_mode, RunMode::Refused { .. });
         invariant::hold(!refused, "quarantine-not-run", || format!("{fingerprint:032x}"));
-        let alone = standing != Standing::Alone || !shared;
+        let alone = run_mode != RunMode::Exclusive || !shared;
         invariant::hold(alone, "suspect-runs-alone", || format!("{fingerprint:032x}"));
     }
 
     /// A request that was sent to `target` ended; `crashed` when the target went down under it.
     /// Returns what peers should learn at once.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         fingerprint: Fingerprint,
         target: &TargetId,
         crashed: bool,
         now: Moment,
-    ) -> Option<Mark> {
+    ) -> Option<QuarantineMark> {
         let run = self.take_run(fingerprint, target)?;
         if !crashed {
             self.clear(fingerprint);
@@ -116,34 +116,34 @@
     }
 
     /// A request ended in a way that proves nothing: shed, timed out, cancelled.
-    pub fn abandoned(&mut self, fingerprint: Fingerprint, target: &TargetId) {
+    pub fn record_inconclusive_end(&mut self, fingerprint: Fingerprint, target: &TargetId) {
         self.take_run(fingerprint, target);
     }
 
     /// How a request of this fingerprint may run now.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Moment) -> Standing {
-        let Some(record) = self.records.get(&fingerprint) else { return Standing::Clear };
+    pub fn run_mode(&self, fingerprint: Fingerprint, now: Moment) -> RunMode {
+        let Some(record) = self.records.get(&fingerprint) else { return RunMode::Normal };
         match record.state {
-            State::Refused if now < record.until => Standing::Refused { until: record.until },
+            State::Refused if now < record.until => RunMode::Refused { until: record.until },
             // Past its time a guilty request is tried again, but alone.
-            State::Refused => Standing::Alone,
-            State::Suspect if now < record.until => Standing::Alone,
-            State::Cleared | State::Suspect => Standing::Clear,
+            State::Refused => RunMode::Exclusive,
+            State::Suspect if now < record.until => RunMode::Exclusive,
+            State::Cleared | State::Suspect => RunMode::Normal,
         }
     }
 
     /// Everything that peers should know.
-    pub fn marks(&self, now: Moment) -> Vec<Mark> {
+    pub fn marks(&self, now: Moment) -> Vec<QuarantineMark> {
         self.records.keys().filter_map(|&fingerprint| self.mark(fingerprint, now)).collect()
     }
 
     /// Takes in what a peer knows. A mark that ends about when the own record of it does (or did)
     /// is an echo and ignored: two hosts that repeat each other, each echo a little late, would
     /// keep a suspicion alive for ever. A fresh verdict ends well after the old one.
-    pub fn learn(&mut self, mark: &Mark, now: Moment) {
+    pub fn merge_mark(&mut self, mark: &QuarantineMark, now: Moment) {
         let (state, longest) = match mark.verdict {
-            Verdict::Refused => (State::Refused, self.limits.refused * MAX_DOUBLING),
-            Verdict::Suspect => (State::Suspect, self.limits.suspect),
+            QuarantineVerdict::Refused => (State::Refused, self.limits.refused * MAX_DOUBLING),
+            QuarantineVerdict::Suspect => (State::Suspect, self.limits.suspect),
         };
         let left = mark.left.min(longest);
         if let Some(known) = self.records.get(&mark.fingerprint) {
@@ -179,7 +179,7 @@
     }
 
     fn is_suspect(&self, fingerprint: Fingerprint, now: Moment) -> bool {
-        self.standing(fingerprint, now) != Standing::Clear
+        self.run_mode(fingerprint, now) != RunMode::Normal
     }
 
     fn clear(&mut self, fingerprint: Fingerprint) {
@@ -207,15 +207,15 @@
     }
 
     /// What peers should know of one fingerprint.
-    pub fn mark(&self, fingerprint: Fingerprint, now: Moment) -> Option<Mark> {
+    pub fn mark(&self, fingerprint: Fingerprint, now: Moment) -> Option<QuarantineMark> {
         let record = self.records.get(&fingerprint)?;
         let left = record.until.checked_sub(now).filter(|left| !left.is_zero())?;
         let verdict = match record.state {
             State::Cleared => return None,
-            State::Refused => Verdict::Refused,
-            State::Suspect => Verdict::Suspect,
+            State::Refused => QuarantineVerdict::Refused,
+            State::Suspect => QuarantineVerdict::Suspect,
         };
-        Some(Mark { fingerprint, left, verdict })
+        Some(QuarantineMark { fingerprint, left, verdict })
     }
 
     /// Keeps a record within the bound: past ones go first, then suspicions, then what ends first.
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -13,33 +13,37 @@
     let (bad, good) = (1, 2);
     let [a, b, c]: [TargetId; 3] = ["a".into(), "b".into(), "c".into()];
     let mut here = Quarantine::new(QuarantineLimits::default());
-    here.started(bad, &a, secs(0));
-    here.started(good, &a, secs(0));
-    here.ended(bad, &a, true, secs(1));
-    here.ended(good, &a, true, secs(1));
-    assert_eq!(here.standing(bad, secs(1)), Standing::Alone);
-    assert_eq!(here.standing(good, secs(1)), Standing::Alone);
+    here.record_start(bad, &a, secs(0));
+    here.record_start(good, &a, secs(0));
+    here.record_end(bad, &a, true, secs(1));
+    here.record_end(good, &a, true, secs(1));
+    assert_eq!(here.run_mode(bad, secs(1)), RunMode::Exclusive);
+    assert_eq!(here.run_mode(good, secs(1)), RunMode::Exclusive);
 
-    here.started(good, &b, secs(2));
-    assert_eq!(here.ended(good, &b, false, secs(3)), None);
-    assert_eq!(here.standing(good, secs(3)), Standing::Clear);
+    here.record_start(good, &b, secs(2));
+    assert_eq!(here.record_end(good, &b, false, secs(3)), None);
+    assert_eq!(here.run_mode(good, secs(3)), RunMode::Normal);
 
-    here.started(bad, &c, secs(3));
-    let mark = here.ended(bad, &c, true, secs(4)).unwrap();
-    assert_eq!(mark.verdict, Verdict::Refused);
-    assert_eq!(here.standing(bad, secs(5)), Standing::Refused { until: secs(64) });
+    here.record_start(bad, &c, secs(3));
+    let mark = here.record_end(bad, &c, true, secs(4)).unwrap();
+    assert_eq!(mark.verdict, QuarantineVerdict::Refused);
+    assert_eq!(here.run_mode(bad, secs(5)), RunMode::Refused { until: secs(64) });
 
     let mut there = Quarantine::new(QuarantineLimits::default());
-    there.learn(&mark, secs(1000));
-    assert_eq!(there.standing(bad, secs(1001)), Standing::Refused { until: secs(1060) });
+    there.merge_mark(&mark, secs(1000));
+    assert_eq!(there.run_mode(bad, secs(1001)), RunMode::Refused { until: secs(1060) });
     assert!(invariant::take().is_empty());
 }
 
 #[test]
 fn mark_travels_as_json() {
-    let mark = Mark { fingerprint: u128::MAX - 1, left: secs(3), verdict: Verdict::Refused };
+    let mark = QuarantineMark {
+        fingerprint: u128::MAX - 1,
+        left: secs(3),
+        verdict: QuarantineVerdict::Refused,
+    };
     let text = serde_json::to_string(&mark).unwrap();
-    assert_eq!(serde_json::from_str::<Mark>(&text).unwrap(), mark);
+    assert_eq!(serde_json::from_str::<QuarantineMark>(&text).unwrap(), mark);
 }
 
 #[test]
@@ -48,17 +52,17 @@
     // little more time left than its own; a suspicion must end near its time all the same.
     let mut hosts = [(); 2].map(|()| Quarantine::new(QuarantineLimits::default()));
     let target: TargetId = "a".into();
-    hosts[0].started(1, &target, secs(0));
-    hosts[0].ended(1, &target, true, secs(0));
+    hosts[0].record_start(1, &target, secs(0));
+    hosts[0].record_end(1, &target, true, secs(0));
     for second in 1..100 {
         for from in [0, 1] {
             let marks = hosts[from].marks(secs(second));
             let arrival = secs(second) + Duration::from_millis(900);
-            marks.iter().for_each(|mark| hosts[1 - from].learn(mark, arrival));
+            marks.iter().for_each(|mark| hosts[1 - from].merge_mark(mark, arrival));
         }
     }
     for host in hosts {
-        assert_eq!(host.standing(1, secs(64)), Standing::Clear);
+        assert_eq!(host.run_mode(1, secs(64)), RunMode::Normal);
     }
 }
 
@@ -68,25 +72,25 @@
     // still spreads the suspicion; believing it would make the request run alone again and again.
     let target: TargetId = "a".into();
     let mut here = Quarantine::new(QuarantineLimits::default());
-    here.started(1, &target, secs(0));
-    let mark = here.ended(1, &target, true, secs(0)).unwrap();
-    here.started(1, &target, secs(1));
-    here.ended(1, &target, false, secs(1));
-    here.learn(&mark, secs(2));
-    assert_eq!(here.standing(1, secs(2)), Standing::Clear);
-    here.learn(&Mark { verdict: Verdict::Refused, ..mark }, secs(2));
-    assert_eq!(here.standing(1, secs(2)), Standing::Refused { until: secs(62) });
+    here.record_start(1, &target, secs(0));
+    let mark = here.record_end(1, &target, true, secs(0)).unwrap();
+    here.record_start(1, &target, secs(1));
+    here.record_end(1, &target, false, secs(1));
+    here.merge_mark(&mark, secs(2));
+    assert_eq!(here.run_mode(1, secs(2)), RunMode::Normal);
+    here.merge_mark(&QuarantineMark { verdict: QuarantineVerdict::Refused, ..mark }, secs(2));
+    assert_eq!(here.run_mode(1, secs(2)), RunMode::Refused { until: secs(62) });
 }
 
 #[test]
 fn shed_or_cancelled_run_proves_nothing() {
     let target: TargetId = "a".into();
     let mut here = Quarantine::new(QuarantineLimits::default());
-    here.started(1, &target, secs(0));
-    here.ended(1, &target, true, secs(0));
-    here.started(1, &target, secs(1));
-    here.abandoned(1, &target);
-    assert_eq!(here.standing(1, secs(1)), Standing::Alone);
+    here.record_start(1, &target, secs(0));
+    here.record_end(1, &target, true, secs(0));
+    here.record_start(1, &target, secs(1));
+    here.record_inconclusive_end(1, &target);
+    assert_eq!(here.run_mode(1, secs(1)), RunMode::Exclusive);
 }
 
 #[test]
@@ -97,9 +101,9 @@
     let mut now = secs(0);
     let mut times = Vec::new();
     for _ in 0..6 {
-        here.started(1, &target, now);
-        here.ended(1, &target, true, now);
-        if let Standing::Refused { until } = here.standing(1, now) {
+        here.record_start(1, &target, now);
+        here.record_end(1, &target, true, now);
+        if let RunMode::Refused { until } = here.run_mode(1, now) {
             times.push((until - now).as_secs());
             now = until;
         }
@@ -107,11 +111,11 @@
     assert_eq!(times, [60, 120, 240, 480, 480]);
     let until = now - secs(1);
     for other in 2..100 {
-        here.started(other, &target, until);
-        here.ended(other, &target, true, until);
+        here.record_start(other, &target, until);
+        here.record_end(other, &target, true, until);
     }
     assert_eq!(here.len(), 8);
-    assert_eq!(here.standing(1, until), Standing::Refused { until: now });
+    assert_eq!(here.run_mode(1, until), RunMode::Refused { until: now });
 }
 
 #[test]
@@ -119,16 +123,16 @@
     let target: TargetId = "a".into();
     let names = || invariant::take().iter().map(|broken| broken.name).collect::<Vec<_>>();
     let mut here = Quarantine::new(QuarantineLimits { records: 2, ..Default::default() });
-    here.started(1, &target, secs(0));
-    here.ended(1, &target, true, secs(0));
-    here.started(2, &target, secs(0));
-    here.started(1, &target, secs(0));
+    here.record_start(1, &target, secs(0));
+    here.record_end(1, &target, true, secs(0));
+    here.record_start(2, &target, secs(0));
+    here.record_start(1, &target, secs(0));
     assert_eq!(names(), ["suspect-runs-alone"]);
-    here.ended(2, &target, false, secs(0));
-    here.ended(1, &target, true, secs(0));
-    here.started(1, &target, secs(0));
-    here.ended(1, &target, true, secs(0));
-    here.started(1, &target, secs(1));
+    here.record_end(2, &target, false, secs(0));
+    here.record_end(1, &target, true, secs(0));
+    here.record_start(1, &target, secs(0));
+    here.record_end(1, &target, true, secs(0));
+    here.record_start(1, &target, secs(1));
     assert_eq!(names(), ["quarantine-not-run"]);
     (10..12).for_each(|other| here.put_unasked(other, secs(9)));
     assert_eq!(names(), ["quarantine-bounded"]);
--- a/src/routing/arrival.rs
+++ b/src/routing/arrival.rs
@@ -9,10 +9,10 @@
 };
 use crate::{
     base::invariant,
-    ledger::{Begin, End, Key},
+    ledger::{BeginOutcome, ExecutionOutcome, IdempotencyKey},
     manifest::ServiceKind,
     prelude::*,
-    quarantine::Standing,
+    quarantine::RunMode,
     shift::{CompletedRequest, DirectQuery},
     timeline::EventKind,
     view::View,
@@ -127,23 +127,27 @@
         };
         let request = arrival.request.clone();
         match self.ledger.begin(&binding, &key, arrival.digest, &request, now) {
-            Begin::Conflict => self.fail(call, ErrorKind::KeyConflict, now, rng),
-            Begin::Dropped => self.fail(call, ErrorKind::GenerationDropped, now, rng),
-            Begin::Fresh => {
+            BeginOutcome::Conflict => self.fail(call, ErrorKind::KeyConflict, now, rng),
+            BeginOutcome::GenerationDropped => {
+                self.fail(call, ErrorKind::GenerationDropped, now, rng)
+            }
+            BeginOutcome::Accepted => {
                 self.call_mut(call).in_ledger = true;
                 match self.calls[&call].manifest_error {
                     Some(error) => self.fail(call, error, now, rng),
                     None => self.admit_new_request(call, now, rng),
                 }
             }
-            Begin::Full => self.fail(call, ErrorKind::LedgerFull, now, rng),
-            Begin::Kept(kept) => self.answer(call, Answer::Kept { kept }),
-            Begin::KeptFact { .. } => self.fail(call, ErrorKind::AnswerNotKept, now, rng),
-            Begin::Refused => self.fail(call, ErrorKind::KeyRefused, now, rng),
-            Begin::Running => self.call_mut(call).awaits_copy = true,
-            Begin::Sealed => self.fail(call, ErrorKind::BindingClosed, now, rng),
-            Begin::Stranger => self.forward_to_owner(call, &binding, now, rng),
-            Begin::Unknown => self.fail(call, ErrorKind::DispatchLost, now, rng),
+            BeginOutcome::Full => self.fail(call, ErrorKind::LedgerFull, now, rng),
+            BeginOutcome::Kept(kept) => self.answer(call, Answer::Kept { kept }),
+            BeginOutcome::AnswerNotKept { .. } => {
+                self.fail(call, ErrorKind::AnswerNotKept, now, rng)
+            }
+            BeginOutcome::Refused => self.fail(call, ErrorKind::KeyRefused, now, rng),
+            BeginOutcome::Running => self.call_mut(call).awaits_copy = true,
+            BeginOutcome::Sealed => self.fail(call, ErrorKind::BindingClosed, now, rng),
+            BeginOutcome::UnknownBinding => self.forward_to_owner(call, &binding, now, rng),
+            BeginOutcome::OutcomeUnknown => self.fail(call, ErrorKind::DispatchLost, now, rng),
         }
     }
 
@@ -213,7 +217,7 @@
     /// routes it.
     fn admit_new_request(&mut self, call: CallId, now: Moment, rng: &mut impl Rng) {
         let arrival = &self.calls[&call].arrival;
-        if let Standing::Refused { .. } = self.quarantine.standing(arrival.fingerprint, now) {
+        if let RunMode::Refused { .. } = self.quarantine.run_mode(arrival.fingerprint, now) {
             return self.fail(call, ErrorKind::Quarantined, now, rng);
         }
         // A hedge is not a request of its own; if counted, it would add to the budget for others.
@@ -275,7 +279,7 @@
     /// The home region of a request's caller; this host's own if no client block contains it.
     pub(super) fn home_region(&self, arrival: &Arrival) -> RegionId {
         let own = self.view.as_ref().map(|view| &view.own.region);
-        self.blocks.home(arrival.client).or(own).cloned().unwrap_or_else(|| "".into())
+        self.blocks.home_region(arrival.client).or(own).cloned().unwrap_or_else(|| "".into())
     }
 
     /// Ends a call with an error, and tells the ledger whether that proves that it did not run.
@@ -283,7 +287,11 @@
         let Some(state) = self.calls.get(&call) else { return };
         let error = state.final_error(error);
         if state.in_ledger {
-            let end = if error.row().ran == Ran::No { End::NotRun } else { End::Unknown };
+            let end = if error.row().ran == Ran::No {
+                ExecutionOutcome::NotRun
+            } else {
+                ExecutionOutcome::Unknown
+            };
             self.end_ledger_entry(call, end, now, rng);
         }
         self.record_failed_shift(call, error, now);
@@ -312,7 +320,7 @@
     pub(super) fn end_ledger_entry(
         &mut self,
         call: CallId,
-        end: End,
+        end: ExecutionOutcome,
         now: Moment,
         rng: &mut impl Rng,
     ) {
@@ -329,7 +337,7 @@
         }
     }
 
-    fn waiters(&self, binding: &Binding, key: &Key) -> Vec<CallId> {
+    fn waiters(&self, binding: &Binding, key: &IdempotencyKey) -> Vec<CallId> {
         let is_waiting = |call: &Call| {
             call.awaits_copy
                 && call.arrival.binding.as_ref() == Some(binding)
@@ -349,7 +357,7 @@
         if error != ErrorKind::CapReached {
             return jittered_retry_after(error, rng);
         }
-        let home = self.blocks.home(state.arrival.client)?;
+        let home = self.blocks.home_region(state.arrival.client)?;
         Some(self.caps.retry_after(&state.arrival.service, home, now, rng))
     }
 
--- a/src/routing/attempt_end.rs
+++ b/src/routing/attempt_end.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     base::invariant,
-    ledger::{End, KeptAnswer},
+    ledger::{ExecutionOutcome, KeptAnswer},
     prelude::*,
     selection::HealthSignal,
     shift::CompletedRequest,
@@ -102,13 +102,13 @@
         // Only a complete answer clears a suspect; a request that was shed or timed out may still
         // crash a target.
         if crashed || error.is_none() {
-            let mark = self.quarantine.ended(arrival.fingerprint, target, crashed, now);
+            let mark = self.quarantine.record_end(arrival.fingerprint, target, crashed, now);
             if let Some(mark) = mark {
                 let fingerprint = format!("{:032x}", mark.fingerprint).into();
                 self.record_event(Some(&arrival.request), EventKind::Quarantined { fingerprint });
             }
         } else {
-            self.quarantine.abandoned(arrival.fingerprint, target);
+            self.quarantine.record_inconclusive_end(arrival.fingerprint, target);
         }
         self.record_event(
             Some(&arrival.request),
@@ -126,7 +126,7 @@
     ) {
         let has_entry = self.call_mut(call).in_ledger;
         if has_entry {
-            let end = kept.map_or(End::Unknown, End::Answered);
+            let end = kept.map_or(ExecutionOutcome::Unknown, ExecutionOutcome::Answered);
             self.end_ledger_entry(call, end, now, rng);
         }
         invariant::hold(
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -4,9 +4,9 @@
 
 use super::{AttemptId, CallId};
 use crate::{
-    ledger::{BodyDigest, KeptAnswer, Key},
+    ledger::{IdempotencyKey, KeptAnswer, RequestDigest},
     prelude::*,
-    quarantine::{Fingerprint, Mark, hex_text},
+    quarantine::{Fingerprint, QuarantineMark, fingerprint_hex},
     selection::LoadReport,
     view::View,
 };
@@ -42,10 +42,10 @@
     pub client: IpAddr,
     /// On this host's clock.
     pub deadline: Moment,
-    pub digest: BodyDigest,
-    #[serde(with = "hex_text")]
+    pub digest: RequestDigest,
+    #[serde(with = "fingerprint_hex")]
     pub fingerprint: Fingerprint,
-    pub key: Option<Key>,
+    pub key: Option<IdempotencyKey>,
     pub member: MemberId,
     pub request: RequestId,
     pub service: ServiceId,
@@ -107,7 +107,7 @@
     Leave,
     /// Peers reported requests that crash targets.
     Marked {
-        marks: Vec<Mark>,
+        marks: Vec<QuarantineMark>,
     },
     /// A target reported its load.
     Reported {
--- a/src/routing/hedge.rs
+++ b/src/routing/hedge.rs
@@ -10,7 +10,7 @@
 use crate::{
     manifest::Service,
     prelude::*,
-    quarantine::Standing,
+    quarantine::RunMode,
     selection::{Candidate, HealthSignal, Tier},
     timeline::EventKind,
     view::View,
@@ -59,7 +59,7 @@
         let Some(service) = view.manifest.service(&state.arrival.service) else { return };
         let home = self.home_region(&state.arrival);
         // A request that may have crashed a target must not run on two targets at once.
-        let clear = self.quarantine.standing(state.arrival.fingerprint, now) == Standing::Clear;
+        let clear = self.quarantine.run_mode(state.arrival.fingerprint, now) == RunMode::Normal;
         if !clear || home != view.own.region {
             return;
         }
@@ -175,7 +175,7 @@
         }
         let Destination::OwnTarget { slot, target } = &stopped.destination else { return };
         let fingerprint = self.calls[&stopped.call].arrival.fingerprint;
-        self.quarantine.abandoned(fingerprint, target);
+        self.quarantine.record_inconclusive_end(fingerprint, target);
         self.slots.release(target, *slot, now);
     }
 
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -11,7 +11,7 @@
     base::invariant,
     manifest::{Service, Target},
     prelude::*,
-    quarantine::Standing,
+    quarantine::RunMode,
     selection::{Candidate, Tier},
     shift::{ShiftQuery, accept_foreign},
     timeline::EventKind,
@@ -309,10 +309,10 @@
     /// would take the other requests down with the target.
     fn quarantine_allows(&self, call: CallId, target: &TargetId, now: Moment) -> bool {
         let fingerprint = self.calls[&call].arrival.fingerprint;
-        match self.quarantine.standing(fingerprint, now) {
-            Standing::Alone => self.slots.in_flight(target) == 0,
-            Standing::Clear => !self.runs_suspect(target, now),
-            Standing::Refused { .. } => false,
+        match self.quarantine.run_mode(fingerprint, now) {
+            RunMode::Exclusive => self.slots.in_flight(target) == 0,
+            RunMode::Normal => !self.runs_suspect(target, now),
+            RunMode::Refused { .. } => false,
         }
     }
 
@@ -320,7 +320,7 @@
     /// queue: it would never get a slot and be told `deadline-passed` and `not run`, though it ran.
     pub(super) fn is_quarantined(&self, call: CallId, now: Moment) -> bool {
         let fingerprint = self.calls[&call].arrival.fingerprint;
-        matches!(self.quarantine.standing(fingerprint, now), Standing::Refused { .. })
+        matches!(self.quarantine.run_mode(fingerprint, now), RunMode::Refused { .. })
     }
 
     fn runs_suspect(&self, target: &TargetId, now: Moment) -> bool {
@@ -332,7 +332,7 @@
         });
         on_target
             .filter_map(|attempt| self.calls.get(&attempt.call))
-            .any(|call| self.quarantine.standing(call.arrival.fingerprint, now) != Standing::Clear)
+            .any(|call| self.quarantine.run_mode(call.arrival.fingerprint, now) != RunMode::Normal)
     }
 
     fn dispatch(
@@ -355,7 +355,7 @@
         invariant::hold(!needs_entry || has_entry, "entry-before-dispatch", || {
             format!("request {} has no ledger entry", arrival.request)
         });
-        self.quarantine.started(arrival.fingerprint, &target, now);
+        self.quarantine.record_start(arrival.fingerprint, &target, now);
         self.selector.record_start(&target, now);
         self.record_event(Some(&arrival.request), EventKind::Dispatched { target: target.clone() });
         self.actions.push(Action::Dispatch { address, attempt, call, target, timeout });
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -17,7 +17,7 @@
     lookup::{BlockTable, owner_of},
     manifest::{Service, Share, Target, Weighing},
     prelude::*,
-    quarantine::{Fingerprint, Mark, Quarantine, QuarantineLimits},
+    quarantine::{Fingerprint, Quarantine, QuarantineLimits, QuarantineMark},
     selection::{EjectionChange, Policy, Selector, SelectorOptions},
     shift::{ShiftLimiter, ShiftOptions},
     timeline::EventKind,
@@ -132,7 +132,7 @@
             Event::Ended { attempt, outcome } => self.on_attempt_ended(attempt, outcome, now, rng),
             Event::Leave => self.on_leave(),
             Event::Marked { marks } => {
-                marks.iter().for_each(|mark| self.quarantine.learn(mark, now))
+                marks.iter().for_each(|mark| self.quarantine.merge_mark(mark, now))
             }
             Event::Reported { report, target } => {
                 self.slots.apply_report(&target, report.busy, now);
@@ -169,12 +169,12 @@
     }
 
     /// The quarantine mark of a request, for the hosts that it is forwarded to or came from.
-    pub fn mark(&self, fingerprint: Fingerprint, now: Moment) -> Option<Mark> {
+    pub fn mark(&self, fingerprint: Fingerprint, now: Moment) -> Option<QuarantineMark> {
         self.quarantine.mark(fingerprint, now)
     }
 
     /// The quarantine marks of requests that crash targets, for the peers.
-    pub fn marks(&self, now: Moment) -> Vec<Mark> {
+    pub fn marks(&self, now: Moment) -> Vec<QuarantineMark> {
         self.quarantine.marks(now)
     }
 
@@ -191,7 +191,7 @@
 
     /// Stopped incarnations whose ledgers this host has adopted.
     pub fn adopted(&self) -> Vec<Incarnation> {
-        self.ledger.adopted()
+        self.ledger.adopted_incarnations()
     }
 
     /// Of the requests from this region's own callers at this host, the share that was shifted to
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -9,10 +9,10 @@
 
 use super::{call::Destination, *};
 use crate::{
-    ledger::{KeptAnswer, body_digest},
+    ledger::{KeptAnswer, request_digest},
     manifest::{DrainScope, Manifest, Region, Service, ServiceKind, Target, Weighing},
     prelude::*,
-    quarantine::{Mark, Verdict},
+    quarantine::{QuarantineMark, QuarantineVerdict},
     selection::LoadReport,
     timeline::EventKind,
     view::{HostView, Tenure, View},
@@ -64,7 +64,7 @@
             call: self.calls,
             client: IpAddr::V4(Ipv4Addr::LOCALHOST),
             deadline: self.now + Duration::from_secs(5),
-            digest: body_digest("POST", "/", b"x"),
+            digest: request_digest("POST", "/", b"x"),
             fingerprint: u128::from(self.calls),
             key: None,
             member: "member".into(),
@@ -257,7 +257,8 @@
     let mut host = Host::new();
     let read = host.arrival("read");
     let left = Duration::from_secs(50);
-    let mark = Mark { fingerprint: read.fingerprint, left, verdict: Verdict::Suspect };
+    let mark =
+        QuarantineMark { fingerprint: read.fingerprint, left, verdict: QuarantineVerdict::Suspect };
     host.handle(Event::Marked { marks: vec![mark] });
     let attempt = host.dispatch(read.clone());
     assert_eq!(
@@ -265,7 +266,7 @@
         Some(ErrorKind::DispatchLost)
     );
     let verdict = host.router.mark(read.fingerprint, host.now).map(|mark| mark.verdict);
-    assert_eq!(verdict, Some(Verdict::Refused));
+    assert_eq!(verdict, Some(QuarantineVerdict::Refused));
     let again = Arrival { call: 99, request: "again".into(), ..read };
     assert_eq!(error_answer(&host.handle(Event::Arrived(again))), Some(ErrorKind::Quarantined));
 }
--- a/src/routing/tests/hedge.rs
+++ b/src/routing/tests/hedge.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::quarantine::{Mark, Verdict};
+use crate::quarantine::{QuarantineMark, QuarantineVerdict};
 
 /// Reads after which a host has a latency estimate.
 const READS_PER_ESTIMATE: usize = 64;
@@ -195,7 +195,8 @@
     let mut with_suspect = host_with_latencies();
     let read = with_suspect.arrival("read");
     let left = Duration::from_secs(60);
-    let mark = Mark { fingerprint: read.fingerprint, left, verdict: Verdict::Suspect };
+    let mark =
+        QuarantineMark { fingerprint: read.fingerprint, left, verdict: QuarantineVerdict::Suspect };
     with_suspect.handle(Event::Marked { marks: vec![mark] });
     assert!(!is_hedged(&mut with_suspect, read));
 
@@ -225,7 +226,8 @@
         let left = Duration::from_secs(60);
         if is_suspect {
             hedge.fingerprint = 77;
-            let mark = Mark { fingerprint: 77, left, verdict: Verdict::Suspect };
+            let mark =
+                QuarantineMark { fingerprint: 77, left, verdict: QuarantineVerdict::Suspect };
             host.handle(Event::Marked { marks: vec![mark] });
         }
         let request = Arrival { call: 1_000, via: Via::SlotHop, ..hedge.clone() };
--- a/src/soak/callers.rs
+++ b/src/soak/callers.rs
@@ -10,7 +10,7 @@
 };
 use crate::{
     base::Resend,
-    ledger::Key,
+    ledger::IdempotencyKey,
     prelude::*,
     routing::{Answer, Via},
 };
@@ -127,7 +127,8 @@
         caller.sends += 1;
         let (send, region, booking) = (caller.sends, caller.region, caller.booking);
         let binding = caller.binding.clone();
-        let key: Option<Key> = booking.then(|| format!("{intent}-{}", caller.round).into());
+        let key: Option<IdempotencyKey> =
+            booking.then(|| format!("{intent}-{}", caller.round).into());
         caller.sent.push(binding.clone().zip(key.clone()));
         self.checker.sent(region, booking, self.now);
         let copy = Copy { binding, deadline: DEADLINE, intent, key, via: Via::Caller };
--- a/src/soak/checker.rs
+++ b/src/soak/checker.rs
@@ -6,7 +6,7 @@
     fixture::{HOSTS, SHIFT_CAP},
     message::Intent,
 };
-use crate::{ledger::Key, prelude::*};
+use crate::{ledger::IdempotencyKey, prelude::*};
 
 /// Time over which shifts are counted.
 const CAP_WINDOW: Duration = Duration::from_secs(20);
@@ -69,7 +69,7 @@
 }
 
 /// What may run at most once under any failure.
-pub(super) type Pair = (Binding, Key);
+pub(super) type Pair = (Binding, IdempotencyKey);
 
 /// Requests of one home region and kind.
 #[derive(Debug, Default)]
--- a/src/soak/message.rs
+++ b/src/soak/message.rs
@@ -2,7 +2,7 @@
 
 use super::fixture::{HOSTS, ZONES, region_of_zone, zone_of_host};
 use crate::{
-    ledger::{Key, SealedLedger},
+    ledger::{IdempotencyKey, SealedLedger},
     manifest::SignedManifest,
     membership::Digest,
     prelude::*,
@@ -28,7 +28,7 @@
     pub(super) deadline: Duration,
     pub(super) intent: Intent,
     /// A request that may run at most once.
-    pub(super) key: Option<Key>,
+    pub(super) key: Option<IdempotencyKey>,
     pub(super) via: Via,
 }
 
--- a/src/soak/requests.rs
+++ b/src/soak/requests.rs
@@ -18,7 +18,7 @@
     world::World,
 };
 use crate::{
-    ledger::{KeptAnswer, body_digest},
+    ledger::{KeptAnswer, request_digest},
     manifest::DrainScope,
     prelude::*,
     quarantine::fingerprint,
@@ -352,7 +352,7 @@
         call,
         client,
         deadline: local + copy.deadline,
-        digest: body_digest("POST", "/", body.as_bytes()),
+        digest: request_digest("POST", "/", body.as_bytes()),
         fingerprint: fingerprint(&member, &service, "POST", "/", body.as_bytes()),
         key: copy.key.clone(),
         member,
--- a/src/trace/scenario/script.rs
+++ b/src/trace/scenario/script.rs
@@ -4,7 +4,7 @@
 
 use super::world;
 use crate::{
-    ledger::{KeptAnswer, body_digest},
+    ledger::{KeptAnswer, request_digest},
     manifest::Manifest,
     prelude::*,
     quarantine::fingerprint,
@@ -136,7 +136,7 @@
             call,
             client: ask.client,
             deadline: self.now + PATIENCE,
-            digest: body_digest("POST", ask.path, b"{}"),
+            digest: request_digest("POST", ask.path, b"{}"),
             fingerprint: fingerprint(&member, &service, "POST", ask.path, b"{}"),
             key: ask.keyed.as_ref().map(|(_, key)| (*key).into()),
             member,
--- a/src/trace/steer_machine.rs
+++ b/src/trace/steer_machine.rs
@@ -61,7 +61,7 @@
     /// Closes the ledger and gives it, as the input `Seal` does.
     pub fn seal(&mut self, now: Moment) -> (SealedLedger, Vec<Output>) {
         let sealed = self.steer.seal(now);
-        let entries = sealed.entries();
+        let entries = sealed.entry_count();
         (sealed, vec![Output::Sealed { entries }])
     }
 
--- a/src/trace/steer_recorder.rs
+++ b/src/trace/steer_recorder.rs
@@ -88,7 +88,7 @@
 
     /// Records that the own ledger was sealed.
     pub fn sealed(&self, now: Moment, sealed: &SealedLedger) {
-        self.step(now, Input::Seal, vec![Output::Sealed { entries: sealed.entries() }]);
+        self.step(now, Input::Seal, vec![Output::Sealed { entries: sealed.entry_count() }]);
     }
 
     fn step(&self, now: Moment, input: Input, outputs: Vec<Output>) {
--- a/tests/block_parts.rs
+++ b/tests/block_parts.rs
@@ -87,7 +87,7 @@
             prop_assert_eq!(table.len(), whole.len());
             let ends = all.keys().flat_map(|block| [block.network(), block.broadcast()]);
             for ip in asked.iter().copied().chain(ends) {
-                prop_assert_eq!(table.home(ip), whole.home(ip), "{}", ip);
+                prop_assert_eq!(table.home_region(ip), whole.home_region(ip), "{}", ip);
             }
             Ok(())
         })
@@ -106,7 +106,7 @@
         part(&["2001:db8:1::/48"]),
     ];
     let table = BlockTable::default().with_parts(&parts).unwrap();
-    let home = |ip: &str| table.home(ip.parse().unwrap()).map(|home| home.to_string());
+    let home = |ip: &str| table.home_region(ip.parse().unwrap()).map(|home| home.to_string());
     let expected = BTreeMap::from([
         ("10.1.4.9", Some("10.1.4.0/24")),
         ("10.1.8.1", Some("10.1.0.0/16")),
@@ -133,11 +133,11 @@
     let block = |text: &str| -> IpNet { text.parse().unwrap() };
     let table = BlockTable::build(&blocks(&["10.4.0.0/16"]));
     assert!(table.with_parts(&[low.clone(), part(&[]), high.clone()]).is_ok());
-    let order = |text| Some(BlockError::Order { block: block(text) });
+    let order = |text| Some(BlockError::OutOfOrder { block: block(text) });
     assert_eq!(table.with_parts(&[high.clone(), low.clone()]).err(), order("10.0.0.0/8"));
     assert_eq!(table.with_parts(&[low.clone(), low.clone()]).err(), order("10.0.0.0/8"));
     let repeats = part(&["10.1.0.0/16"]);
     assert_eq!(table.with_parts(&[low.clone(), repeats]).err(), order("10.1.0.0/16"));
-    let twice = Some(BlockError::Twice { block: block("10.4.0.0/16") });
+    let twice = Some(BlockError::Duplicate { block: block("10.4.0.0/16") });
     assert_eq!(table.with_parts(&[low, part(&["10.4.0.0/16"])]).err(), twice);
 }
--- a/tests/fuzz_messages.rs
+++ b/tests/fuzz_messages.rs
@@ -15,7 +15,7 @@
         DrainOrder, Envelope, ExplainRequest, HandoverAck, HandoverChunk, ManifestReply, PartReply,
         PartRequest, UndrainOrder,
     },
-    quarantine::Mark,
+    quarantine::QuarantineMark,
     routing,
     timeline::{Event, EventKind, EventSink, Filter, Recorder, read_lines},
     trace::{Input, PANICKED, SteerMachine, SteerTrace, read, replay, scenario, untrue},
@@ -174,7 +174,7 @@
     one::<HandoverChunk>(bytes);
     one::<HostStatus>(bytes);
     one::<ManifestReply>(bytes);
-    one::<Mark>(bytes);
+    one::<QuarantineMark>(bytes);
     one::<PartReply>(bytes);
     one::<PartRequest>(bytes);
     one::<SealedPart>(bytes);
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -15,7 +15,10 @@
 use bytes::Bytes;
 use lavenderplank::{
     base::{Binding, Incarnation, Moment, invariant},
-    ledger::{Begin, End, KeptAnswer, Ledger, LedgerLimits, SealedLedger, body_digest},
+    ledger::{
+        BeginOutcome, ExecutionOutcome, KeptAnswer, Ledger, LedgerLimits, SealedLedger,
+        request_digest,
+    },
 };
 use proptest::{
     collection,
@@ -239,37 +242,38 @@
     fn arrive(&mut self, request: Message, host: usize, same_body: bool) {
         let incarnation = request.binding.incarnation;
         let answers = |host: &Host| {
-            host.incarnation == incarnation || host.ledger.adopted().contains(&incarnation)
+            host.incarnation == incarnation
+                || host.ledger.adopted_incarnations().contains(&incarnation)
         };
         let owners: Vec<usize> = (0..HOSTS).filter(|at| answers(&self.hosts[*at])).collect();
         let owner = if owners.is_empty() { host } else { owners[host % owners.len()] };
         let Message { binding, key } = &request;
-        let body = body_digest("POST", "/", if same_body { b"one" } else { b"two" });
+        let body = request_digest("POST", "/", if same_body { b"one" } else { b"two" });
         let now = self.now;
         let ledger = &mut self.hosts[owner].ledger;
         let begin = ledger.begin(binding, &key.to_string().into(), body, &"r".into(), now);
         match begin {
-            Begin::Conflict => self.see("conflict"),
-            Begin::Dropped => self.see("dropped"),
-            Begin::Fresh => {
+            BeginOutcome::Conflict => self.see("conflict"),
+            BeginOutcome::GenerationDropped => self.see("dropped"),
+            BeginOutcome::Accepted => {
                 self.see("fresh");
                 self.entries.push(request);
             }
-            Begin::Full => self.tell_never(request, "full"),
-            Begin::Kept(kept) => {
+            BeginOutcome::Full => self.tell_never(request, "full"),
+            BeginOutcome::Kept(kept) => {
                 self.see("kept");
                 assert_eq!(kept.body, key.to_string(), "another booking's answer");
                 assert!(self.ran_under(&request), "kept an answer of nothing");
             }
-            Begin::KeptFact { .. } => {
+            BeginOutcome::AnswerNotKept { .. } => {
                 self.see("fact");
                 assert!(self.ran_under(&request), "a fact of nothing");
             }
-            Begin::Refused => self.tell_never(request, "refused"),
-            Begin::Running => self.see("running"),
-            Begin::Sealed => self.tell_never(request, "sealed"),
-            Begin::Stranger => self.see("stranger"),
-            Begin::Unknown => self.see("unknown"),
+            BeginOutcome::Refused => self.tell_never(request, "refused"),
+            BeginOutcome::Running => self.see("running"),
+            BeginOutcome::Sealed => self.tell_never(request, "sealed"),
+            BeginOutcome::UnknownBinding => self.see("stranger"),
+            BeginOutcome::OutcomeUnknown => self.see("unknown"),
         }
     }
 
@@ -288,9 +292,9 @@
         let owner = self.hosts.iter_mut().find(|host| host.incarnation == binding.incarnation);
         let Some(owner) = owner else { return };
         let end = match fate {
-            Fate::Answered => End::Answered(answer(*key)),
-            Fate::LostAfterRun | Fate::LostBeforeRun => End::Unknown,
-            Fate::NotRun => End::NotRun,
+            Fate::Answered => ExecutionOutcome::Answered(answer(*key)),
+            Fate::LostAfterRun | Fate::LostBeforeRun => ExecutionOutcome::Unknown,
+            Fate::NotRun => ExecutionOutcome::NotRun,
         };
         owner.ledger.end(binding, &key.to_string().into(), end, self.now);
         if fate == Fate::NotRun {
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -23,7 +23,7 @@
         Alternatives, Attempt, Edition, Failure, ForwardLimits, HttpUpstream, Reply, ReplyBody,
         ResumedBody, Upstream, asks_for_whole,
     },
-    ledger::{Begin, End, KeptAnswer, Ledger, LedgerLimits, body_digest},
+    ledger::{BeginOutcome, ExecutionOutcome, KeptAnswer, Ledger, LedgerLimits, request_digest},
 };
 use tokio::{net::TcpSocket, task::JoinSet};
 
@@ -335,7 +335,7 @@
 /// Ends the entry as unknown when the caller leaves before the exchange has ended.
 struct EntryGuard<'a> {
     binding: Binding,
-    end: End,
+    end: ExecutionOutcome,
     owner: &'a Owner,
 }
 
@@ -357,26 +357,27 @@
         self.ledger.lock().unwrap().binding()
     }
 
-    fn begin(&self, binding: &Binding) -> Begin {
-        let digest = body_digest("POST", "/seats", b"two seats");
+    fn begin(&self, binding: &Binding) -> BeginOutcome {
+        let digest = request_digest("POST", "/seats", b"two seats");
         let mut ledger = self.ledger.lock().unwrap();
         ledger.begin(binding, &"key".into(), digest, &"request-1".into(), Moment::ZERO)
     }
 
     /// Runs the booking if the ledger lets it; gives what the ledger said first.
-    async fn book(&self, binding: &Binding, attempt: Attempt) -> Begin {
+    async fn book(&self, binding: &Binding, attempt: Attempt) -> BeginOutcome {
         let begin = self.begin(binding);
-        if begin != Begin::Fresh {
+        if begin != BeginOutcome::Accepted {
             return begin;
         }
-        let mut guard = EntryGuard { binding: binding.clone(), end: End::Unknown, owner: self };
+        let mut guard =
+            EntryGuard { binding: binding.clone(), end: ExecutionOutcome::Unknown, owner: self };
         guard.end = match self.client.send(attempt).await {
             Ok(Reply { body: ReplyBody::Whole(body), headers, status }) => {
-                End::Answered(Arc::new(KeptAnswer { body, headers, status }))
+                ExecutionOutcome::Answered(Arc::new(KeptAnswer { body, headers, status }))
             }
-            Ok(_) => End::Unknown,
-            Err(failure) if failure.kind().row().ran == Ran::No => End::NotRun,
-            Err(_) => End::Unknown,
+            Ok(_) => ExecutionOutcome::Unknown,
+            Err(failure) if failure.kind().row().ran == Ran::No => ExecutionOutcome::NotRun,
+            Err(_) => ExecutionOutcome::Unknown,
         };
         begin
     }
@@ -395,9 +396,9 @@
         racers.spawn(async move { owner.book(&owner.binding(), attempt).await });
     }
     let begins = racers.join_all().await;
-    assert_eq!(begins.iter().filter(|begin| **begin == Begin::Fresh).count(), 1);
+    assert_eq!(begins.iter().filter(|begin| **begin == BeginOutcome::Accepted).count(), 1);
     assert_eq!(target.runs(), 1);
-    assert_matches!(owner.begin(&owner.binding()), Begin::Kept(_));
+    assert_matches!(owner.begin(&owner.binding()), BeginOutcome::Kept(_));
 }
 
 /// The clerk's terminal gives up while the target works. The booking may run to its end there, so
@@ -411,7 +412,7 @@
         _ = owner.book(&binding, booking(target.address)) => panic!("the target never answers"),
         () = target.wait_for_runs(1) => {}
     }
-    assert_eq!(owner.book(&binding, booking(target.address)).await, Begin::Unknown);
+    assert_eq!(owner.book(&binding, booking(target.address)).await, BeginOutcome::OutcomeUnknown);
     assert_eq!(target.runs(), 1);
 }
 
@@ -432,7 +433,10 @@
     };
     let (told, ()) = tokio::join!(carried, delivered);
     assert_matches!(told, Err(Failure::Lost));
-    assert_matches!(owner.begin(&owner.binding()), Begin::Kept(answer) if answer.body == "seat");
+    assert_matches!(
+        owner.begin(&owner.binding()),
+        BeginOutcome::Kept(answer) if answer.body == "seat"
+    );
     assert_eq!(target.runs(), 1);
 }
 
@@ -446,6 +450,9 @@
     old.book(&binding, booking(target.address)).await;
     drop(old);
     let restarted = Owner::open(2);
-    assert_eq!(restarted.book(&binding, booking(target.address)).await, Begin::Stranger);
+    assert_eq!(
+        restarted.book(&binding, booking(target.address)).await,
+        BeginOutcome::UnknownBinding
+    );
     assert_eq!(target.runs(), 1);
 }
