--- a/src/entry/listeners.rs
+++ b/src/entry/listeners.rs
@@ -73,9 +73,9 @@
     }
     let _open_connection = OpenConnection::new(&state);
     let (io, disconnect) = CallerIo::new(stream);
-    let declared = state.view().and_then(|view| view.declaration.clone());
-    let idle_timeout =
-        declared.map_or(DEFAULT_IDLE_TIMEOUT, |declared| declared.idle_timeout + IDLE_SLACK);
+    let declaration = state.view().and_then(|view| view.declaration.clone());
+    let idle_timeout = declaration
+        .map_or(DEFAULT_IDLE_TIMEOUT, |declaration| declaration.idle_timeout + IDLE_SLACK);
     let early_requests = RefCell::default();
     let caller = Rc::new(CallerConnection { state: state.clone(), disconnect, early_requests });
     let service = service_fn(|req| handle(caller.clone(), req));
--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -183,7 +183,7 @@
         cached: &CachedObjects,
     ) -> Vec<Candidate<'a>> {
         let now = self.clock.now();
-        let services = view.declaration.as_ref().map(|declared| &declared.services);
+        let services = view.declaration.as_ref().map(|declaration| &declaration.services);
         let rules = services.and_then(|services| services.get(&request.service));
         let rate = rules.map_or(1.0, |rules| rules.cold_rate);
         let allowed = targets.filter(|target| request.allows(target));
--- a/src/entry/request_handler.rs
+++ b/src/entry/request_handler.rs
@@ -92,11 +92,11 @@
         Some(response)
     };
     let Some(view) = state.view() else { return refuse(ErrorKind::NoManifest, None) };
-    let Some(declared) = view.declaration.clone() else {
+    let Some(declaration) = view.declaration.clone() else {
         return refuse(ErrorKind::NoManifest, None);
     };
-    version.set(declared.version);
-    let Some(route) = find_route(&declared, &head) else {
+    version.set(declaration.version);
+    let Some(route) = find_route(&declaration, &head) else {
         return refuse(ErrorKind::ServiceUnknown, None);
     };
     let authorize = |view: &View| match check_access(&state, view, &route, &metadata.key) {
@@ -111,7 +111,7 @@
         return refuse(ErrorKind::HostLeaving, Some(RETRY_AFTER_MIN));
     }
     let body = tokio::select! {
-        body = read_body(&state, &declared, body) => body,
+        body = read_body(&state, &declaration, body) => body,
         () = disconnect.closed() => return None,
     };
     let (body, reservation) = match body {
@@ -145,7 +145,7 @@
     let deadline = accepted_at + timeout.saturating_sub(RESPONSE_MARGIN);
     let taken = Event::Taken {
         body_bytes: body.len(),
-        declaration: declared.version,
+        declaration: declaration.version,
         fingerprint,
         idempotent: route.idempotency == Idempotency::Idempotent,
         left_ms: timeout.as_millis() as u64,
@@ -174,19 +174,19 @@
 
 /// Whether a pipelined request may be started before the ones ahead of it are answered.
 pub fn may_start_early(state: &TrafficState, head: &Parts) -> bool {
-    let declared = state.view().and_then(|view| view.declaration.clone());
-    let route = declared.and_then(|declared| find_route(&declared, head));
+    let declaration = state.view().and_then(|view| view.declaration.clone());
+    let route = declaration.and_then(|declaration| find_route(&declaration, head));
     route.is_some_and(|route| route.idempotency == Idempotency::Idempotent)
 }
 
 fn check_access(state: &TrafficState, view: &View, route: &Route, key: &CallerKey) -> Access {
-    let Some(declared) = &view.declaration else { return Access::Unchecked };
+    let Some(declaration) = &view.declaration else { return Access::Unchecked };
     let age = view.declared_checked_at.map(|at| state.clock.now().saturating_sub(at));
-    Access::check(declared, route, key, age, &state.bounds())
+    Access::check(declaration, route, key, age, &state.bounds())
 }
 
-fn find_route(declared: &Declaration, head: &Parts) -> Option<Arc<Route>> {
-    declared.route(host_of(head)?, head.uri.path()).cloned()
+fn find_route(declaration: &Declaration, head: &Parts) -> Option<Arc<Route>> {
+    declaration.route(host_of(head)?, head.uri.path()).cloned()
 }
 
 /// A request that was accepted, with its attempts.
@@ -420,7 +420,7 @@
 /// Reads the whole body, within the declared size limit and the memory limit of all bodies.
 async fn read_body(
     state: &TrafficState,
-    declared: &Declaration,
+    declaration: &Declaration,
     body: RequestBody,
 ) -> Result<(Bytes, BodyReservation), ErrorKind> {
     let mut reservation = state.body_memory.start_reservation();
@@ -430,7 +430,7 @@
         let frame = frame.map_err(|_| ErrorKind::BadRequest)?;
         // Trailers are hop-by-hop and are not forwarded.
         let Ok(bytes) = frame.into_data() else { continue };
-        if declared.max_body_bytes < bytes_read.len() + bytes.len() {
+        if declaration.max_body_bytes < bytes_read.len() + bytes.len() {
             return Err(ErrorKind::BodyTooLarge);
         }
         if !reservation.grow(bytes.len()) {
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -191,5 +191,5 @@
 }
 
 fn declaration_version(view: &View) -> u64 {
-    view.declaration.as_ref().map_or(0, |declared| declared.version)
+    view.declaration.as_ref().map_or(0, |declaration| declaration.version)
 }
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -203,12 +203,12 @@
     /// Applies the limits and the state of other hosts from the view.
     fn update_quota(&self, view: &View) {
         let now = self.clock.now();
-        if let Some(declared) = &view.declaration
-            && self.quota_version.get() < declared.version
+        if let Some(declaration) = &view.declaration
+            && self.quota_version.get() < declaration.version
         {
-            self.quota_version.set(declared.version);
+            self.quota_version.set(declaration.version);
             let limit = |team: &Arc<Team>| Some((team.tag(), team.limit?));
-            let limits = declared.teams.iter().filter_map(limit).collect();
+            let limits = declaration.teams.iter().filter_map(limit).collect();
             self.quota.borrow_mut().set_limits(&limits, now);
         }
         if self.quota_view_at.get() < view.published_at {
