--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -82,7 +82,7 @@
 pub struct EntryHost {
     bounds: BoundsCell,
     control: Address<EntryControl>,
-    leave: watch::Sender<bool>,
+    shutdown_tx: watch::Sender<bool>,
     listen: Listen,
     traffic: JoinHandle<()>,
     stopped: oneshot::Receiver<()>,
@@ -98,7 +98,7 @@
         let socket = gossip.await.map_err(|error| bind_error("gossip", listen.gossip, error))?;
         listen.gossip = socket.local_addr()?;
         let socket = Arc::new(socket);
-        let state = bind_listener("control", &mut listen.control).await?;
+        let state_listener = bind_listener("control", &mut listen.control).await?;
         let listeners = Listeners {
             callers: bind_listener("callers", &mut listen.callers).await?.into_std()?,
             lookups: bind_listener("look-ups", &mut listen.lookup).await?.into_std()?,
@@ -131,11 +131,11 @@
         let control = EntryControl::spawn(control, PeerClient::open()?);
         tokio::task::spawn_local(receive_datagrams(socket, control.clone()));
         tokio::task::spawn_local(tick_control(parts.clock.clone(), control.clone()));
-        tokio::task::spawn_local(serve_state(state, control.clone()));
+        tokio::task::spawn_local(serve_state(state_listener, control.clone()));
         if let Some(listener) = metrics_listener {
             tokio::task::spawn_local(serve_metrics(listener, metrics.clone(), events.clone()));
         }
-        let (leave, leaving) = watch::channel(false);
+        let (shutdown_tx, shutdown_rx) = watch::channel(false);
         let (tx, stopped) = oneshot::channel();
         let traffic = TrafficThread {
             bounds: bounds.clone(),
@@ -143,22 +143,22 @@
             events: events.clone(),
             metrics: metrics.clone(),
             protocol: parts.protocol,
-            leaving,
+            shutdown_rx,
             listeners,
             load,
             settings: settings.clone(),
             strained,
             view,
         };
-        let thread = std::thread::Builder::new().name("traffic".into());
-        let traffic = thread.spawn(move || {
+        let builder = std::thread::Builder::new().name("traffic".into());
+        let traffic = builder.spawn(move || {
             if let Err(error) = traffic.run() {
                 log::error!("the traffic thread failed: {error}");
             }
             let _ = tx.send(());
         })?;
         let listen = settings.listen.clone();
-        Ok(Self { bounds, control, leave, listen, stopped, traffic })
+        Ok(Self { bounds, control, shutdown_tx, listen, stopped, traffic })
     }
 
     /// Addresses of the listeners.
@@ -178,9 +178,11 @@
     /// waits for the traffic thread to end.
     pub async fn stop(self) {
         if self.control.send(Leave).await.is_err() {
-            log::error!("the control actor has stopped; other hosts are not told of the shutdown");
+            log::error!(
+                "the control actor has stopped; other hosts are not notified of the shutdown"
+            );
         }
-        let _ = self.leave.send(true);
+        let _ = self.shutdown_tx.send(true);
         let _ = self.stopped.await;
         if self.traffic.join().is_err() {
             log::error!("the traffic thread panicked");
@@ -217,6 +219,7 @@
     }
 }
 
+/// Sends a tick to the control actor at each heartbeat.
 async fn tick_control(clock: Arc<dyn Clock>, control: Address<EntryControl>) {
     let mut interval = tokio::time::interval(HEARTBEAT);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
@@ -237,11 +240,11 @@
         let control = control.clone();
         let permit = permits.clone().try_acquire_owned().ok();
         async move {
-            let answer = async |req| match &permit {
+            let response = async |req| match &permit {
                 Some(_) => answer_state_query(&control, req).await,
                 None => status_response(StatusCode::SERVICE_UNAVAILABLE),
             };
-            if tokio::time::timeout(QUERY_TIMEOUT, serve_platform_connection(stream, answer))
+            if tokio::time::timeout(QUERY_TIMEOUT, serve_platform_connection(stream, response))
                 .await
                 .is_err()
             {
@@ -259,12 +262,12 @@
     if req.uri().path() != STATE_PATH {
         return status_response(StatusCode::NOT_FOUND);
     }
-    let answer = control.send(StateQuery(parse_revisions(req.uri().query()))).await;
-    let answer = answer.map_err(|error| error.to_string());
-    match answer.and_then(|answer| answer.map_err(|error| error.to_string())) {
-        Ok(packed) => Response::new(Full::new(packed)),
+    let response = control.send(StateQuery(parse_revisions(req.uri().query()))).await;
+    let response = response.map_err(|error| error.to_string());
+    match response.and_then(|response| response.map_err(|error| error.to_string())) {
+        Ok(body) => Response::new(Full::new(body)),
         Err(error) => {
-            log::error!("encoding this host's state failed: {error}");
+            log::error!("answering a state query failed: {error}");
             status_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
@@ -295,10 +298,10 @@
     }
     match metrics.text(events.dropped()) {
         Ok(text) => {
-            let mut answer = Response::new(Full::new(text.into()));
+            let mut response = Response::new(Full::new(text.into()));
             let media_type = HeaderValue::from_static(METRICS_MEDIA_TYPE);
-            answer.headers_mut().insert(header::CONTENT_TYPE, media_type);
-            answer
+            response.headers_mut().insert(header::CONTENT_TYPE, media_type);
+            response
         }
         Err(error) => {
             log::error!("encoding the metrics failed: {error}");
@@ -321,7 +324,7 @@
     events: Arc<dyn EventSink>,
     metrics: Arc<EntryMetrics>,
     protocol: Arc<dyn Protocol>,
-    leaving: watch::Receiver<bool>,
+    shutdown_rx: watch::Receiver<bool>,
     listeners: Listeners,
     load: Arc<ArcSwap<Load>>,
     settings: Arc<EntrySettings>,
@@ -347,10 +350,10 @@
             self.view,
             self.events,
         );
-        let leaving = self.leaving.clone();
+        let shutdown_rx = self.shutdown_rx.clone();
         let shared = state.clone();
         tokio::task::spawn_local(accept(callers_listener, move |stream| {
-            serve_caller(shared.clone(), stream, leaving.clone())
+            serve_caller(shared.clone(), stream, shutdown_rx.clone())
         }));
         let shared = state.clone();
         tokio::task::spawn_local(accept(ready_listener, move |stream| {
@@ -369,12 +372,13 @@
         }));
         tokio::task::spawn_local(tick_traffic(state.clone(), self.load, self.metrics));
         tokio::task::spawn_local(monitor_strain(state.clone(), self.strained));
-        let _ = self.leaving.wait_for(|leaving| *leaving).await;
+        let _ = self.shutdown_rx.wait_for(|is_stopping| *is_stopping).await;
         wait_until_idle(&state).await;
         Ok(())
     }
 }
 
+/// Updates the traffic side's state, its load report to other hosts and its metrics.
 async fn tick_traffic(
     state: Rc<TrafficState>,
     load: Arc<ArcSwap<Load>>,
--- a/src/entry/peer_queries.rs
+++ b/src/entry/peer_queries.rs
@@ -99,7 +99,7 @@
     }
 
     /// Picks the host to query now, if any. `own_stamp` is the stamp of this host, `others` are the
-    /// stamps known of other hosts, and `watches` tells whether this host watches the store itself.
+    /// stamps known of other hosts, and `watches` is whether this host watches the store itself.
     pub fn next_peer<'a>(
         &mut self,
         own_stamp: &Stamp,
--- a/src/entry/strain.rs
+++ b/src/entry/strain.rs
@@ -2,8 +2,8 @@
 //!
 //! A host may become several times slower for seconds while its callers keep sending. Nothing
 //! fails, but everything is late: callers wait in its queue although other hosts are idle. The host
-//! detects the strain by the delay of its own ticks and tells all other hosts, and look-ups omit it
-//! until its ticks are on time again.
+//! detects the strain by the delay of its own ticks and reports it to all other hosts, and look-ups
+//! omit it until its ticks are on time again.
 
 use crate::prelude::*;
 
--- a/src/entry/watcher_election.rs
+++ b/src/entry/watcher_election.rs
@@ -29,7 +29,9 @@
 pub struct WatcherElection {
     is_watcher: bool,
     is_standby: bool,
+    /// When the store first failed to answer since its last answer.
     store_lost_at: Option<Moment>,
+    /// Since when enough hosts have been ranked ahead of this watcher.
     surplus_since: Option<Moment>,
     started_at: Moment,
 }
