--- a/src/ledger/answer_budget.rs
+++ b/src/ledger/answer_budget.rs
@@ -1,29 +1,29 @@
-//! Bytes of kept answers, oldest first.
+//! Limits the memory of kept answers by evicting the oldest first.
 
 use std::collections::VecDeque;
 
 use super::digest::KeyDigest;
 use crate::prelude::*;
 
-/// Where an entry stands.
+/// Identifies an entry of any own or adopted generation.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct Place {
+pub(super) struct EntryId {
     pub(super) generation: Generation,
     pub(super) incarnation: Incarnation,
     pub(super) key: KeyDigest,
 }
 
-/// Counts the bytes of kept answers and says which must go.
+/// Tracks the bytes of kept answers and selects which to evict.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AnswerBudget {
     bytes: usize,
-    order: VecDeque<(Place, usize)>,
+    order: VecDeque<(EntryId, usize)>,
 }
 
 impl AnswerBudget {
-    /// Takes `cost` bytes for the answer at `place` and gives the places of the answers that have
-    /// to go so that all fit into `limit`, or `None` when this answer alone is too large.
-    pub(super) fn add(&mut self, place: Place, cost: usize, limit: usize) -> Option<Vec<Place>> {
+    /// Reserves `cost` bytes for the answer of entry `id`. Returns the entries whose answers must
+    /// be evicted so that all fit into `limit` bytes, or `None` if this answer alone exceeds it.
+    pub(super) fn add(&mut self, id: EntryId, cost: usize, limit: usize) -> Option<Vec<EntryId>> {
         if limit < cost {
             return None;
         }
@@ -34,7 +34,7 @@
             evicted.push(oldest);
         }
         self.bytes += cost;
-        self.order.push_back((place, cost));
+        self.order.push_back((id, cost));
         Some(evicted)
     }
 
@@ -42,11 +42,11 @@
         self.bytes
     }
 
-    /// Gives back what the places that `gone` names have taken.
-    pub(super) fn release(&mut self, gone: impl Fn(&Place) -> bool) {
+    /// Frees the bytes reserved for the entries that match `gone`.
+    pub(super) fn release(&mut self, gone: impl Fn(&EntryId) -> bool) {
         let bytes = &mut self.bytes;
-        self.order.retain(|(place, cost)| {
-            let keep = !gone(place);
+        self.order.retain(|(id, cost)| {
+            let keep = !gone(id);
             if !keep {
                 *bytes -= cost;
             }
--- a/src/ledger/digest.rs
+++ b/src/ledger/digest.rs
@@ -1,4 +1,4 @@
-//! Digests that stand for keys and bodies.
+//! Digests that represent keys and requests in a ledger.
 
 use sha2::{Digest, Sha256};
 
@@ -7,13 +7,13 @@
 /// A caller's idempotency key.
 pub type IdempotencyKey = Arc<str>;
 
-/// First 16 bytes of the SHA-256 of a request.
+/// First 16 bytes of the SHA-256 of a request's method, path and body.
 pub type RequestDigest = [u8; 16];
 
 /// First 16 bytes of the SHA-256 of a key.
 pub(super) type KeyDigest = [u8; 16];
 
-/// Digest of what a request asks for. Two requests with the same key must agree in it.
+/// Digest of a request. Requests with the same key must have the same digest.
 pub fn request_digest(method: &str, path: &str, body: &[u8]) -> RequestDigest {
     let mut hash = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes()] {
@@ -21,16 +21,16 @@
         hash.update(part);
     }
     hash.update(body);
-    short(hash)
+    truncate(hash)
 }
 
 pub(super) fn key_digest(key: &str) -> KeyDigest {
     let mut hash = Sha256::new();
     hash.update(key.as_bytes());
-    short(hash)
+    truncate(hash)
 }
 
-fn short(hash: Sha256) -> [u8; 16] {
+fn truncate(hash: Sha256) -> [u8; 16] {
     let whole = hash.finalize();
     let mut first = [0; 16];
     first.copy_from_slice(&whole[..16]);
--- a/src/ledger/error.rs
+++ b/src/ledger/error.rs
@@ -1,21 +1,27 @@
-//! Why a sealed ledger was not taken over.
+//! Errors of adopting a sealed ledger.
 
 use crate::prelude::*;
 
-/// Result of taking over a sealed ledger.
+/// Result of adopting a sealed ledger.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a sealed ledger was refused. Nothing of it was taken over.
+/// Why a sealed ledger was rejected. None of it was adopted.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    #[error("the sealed ledger is damaged ({0}); send it again")]
+    #[error("sealed ledger is damaged: {0}; send it again")]
     Damaged(&'static str),
-    #[error("this host has no room for {0} more entries; hand the ledger to another host")]
+    #[error(
+        "no room for {0} more ledger entries on this host; hand the ledger over to another host"
+    )]
     NoRoom(usize),
-    #[error("incarnation {0:016x} is this host's own; hand the ledger to another host")]
+    #[error(
+        "incarnation {0:016x} belongs to this host itself; hand the ledger over to another host"
+    )]
     OwnIncarnation(Incarnation),
-    #[error("this host is stopping too; hand the ledger to another host")]
+    #[error("this host is stopping, too; hand the ledger over to another host")]
     Sealed,
-    #[error("sealed ledger of version {0} is not known here; hand it to a newer host")]
+    #[error(
+        "unsupported sealed ledger version {0}; hand the ledger over to a host of a newer version"
+    )]
     UnsupportedVersion(u32),
 }
--- a/src/ledger/generation.rs
+++ b/src/ledger/generation.rs
@@ -7,32 +7,36 @@
 };
 use crate::prelude::*;
 
-/// What is known of one key.
+/// What the ledger knows about one key.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
+    /// Digest of the request, to detect a key that is reused for another request.
     pub(super) body: RequestDigest,
-    pub(super) state: State,
+    pub(super) state: EntryState,
 }
 
-/// How far a request has come.
+/// State of the request that used a key.
 #[derive(Clone, Debug)]
-pub(super) enum State {
+pub(super) enum EntryState {
     Answered(Arc<KeptAnswer>),
-    Fact(u16),
+    /// Answered with this status; the answer was too large or was evicted.
+    AnswerNotKept(u16),
+    /// The request provably did not run.
     NotRun,
     Running,
+    /// The request was sent, and its outcome is unknown.
     Unknown,
 }
 
-impl State {
-    /// What a resend is told.
-    pub(super) fn begin(&self) -> BeginOutcome {
+impl EntryState {
+    /// Result of `Ledger::begin` for a resend of the same request.
+    pub(super) fn resend_outcome(&self) -> BeginOutcome {
         match self {
-            State::Answered(answer) => BeginOutcome::Kept(answer.clone()),
-            State::Fact(status) => BeginOutcome::AnswerNotKept { status: *status },
-            State::NotRun => BeginOutcome::Refused,
-            State::Running => BeginOutcome::Running,
-            State::Unknown => BeginOutcome::OutcomeUnknown,
+            EntryState::Answered(answer) => BeginOutcome::Kept(answer.clone()),
+            EntryState::AnswerNotKept(status) => BeginOutcome::AnswerNotKept { status: *status },
+            EntryState::NotRun => BeginOutcome::Refused,
+            EntryState::Running => BeginOutcome::Running,
+            EntryState::Unknown => BeginOutcome::OutcomeUnknown,
         }
     }
 }
@@ -40,29 +44,31 @@
 /// Entries of one generation.
 #[derive(Clone, Debug)]
 pub(super) struct GenerationTable {
-    /// Refused a key for want of room, and takes no other ever again: the caller whose key was
-    /// refused takes a new binding, and a late copy of its request must not run under this one.
+    /// Accepts no new keys, because one was rejected when the ledger was full. Never reset: the
+    /// caller retries under a new binding, and a delayed copy of its first request must not run
+    /// under this one as well.
     pub(super) closed: bool,
     pub(super) entries: BTreeMap<KeyDigest, Entry>,
-    /// From then on its whole content is dropped, but for what is still running.
-    pub(super) expires: Moment,
-    /// Cleared when dropped: a key that is not found is then unknown.
-    pub(super) open: bool,
+    /// When all entries are dropped, except those of requests that are still running.
+    pub(super) expires_at: Moment,
+    /// Whether all accepted keys are still held. False once the generation has expired: whether a
+    /// missing key was accepted is then unknown.
+    pub(super) complete: bool,
 }
 
 impl GenerationTable {
-    pub(super) fn new(expires: Moment) -> Self {
-        Self { closed: false, entries: BTreeMap::new(), expires, open: true }
+    pub(super) fn new(expires_at: Moment) -> Self {
+        Self { closed: false, entries: BTreeMap::new(), expires_at, complete: true }
     }
 
-    /// Drops all but what is still running: those requests may yet be asked for, and a second
-    /// `begin` of one of them must not find its key gone.
-    pub(super) fn drop_settled(&mut self) {
-        self.open = false;
-        self.entries.retain(|_, entry| matches!(entry.state, State::Running));
+    /// Drops all entries except those of running requests: a resend of one of them must still find
+    /// its key.
+    pub(super) fn drop_finished(&mut self) {
+        self.complete = false;
+        self.entries.retain(|_, entry| matches!(entry.state, EntryState::Running));
     }
 
-    pub(super) fn seal(&self) -> Vec<SealedEntry> {
+    pub(super) fn sealed_entries(&self) -> Vec<SealedEntry> {
         let entries = self.entries.iter();
         entries
             .map(|(key, entry)| SealedEntry {
--- a/src/ledger/kept_answer.rs
+++ b/src/ledger/kept_answer.rs
@@ -1,16 +1,16 @@
-//! A target's answer, kept for resends.
+//! A target's answer, kept to be returned to resends of the request.
 
 use bytes::Bytes;
 
 use crate::{base::HeaderLine, prelude::*};
 
-/// Bytes that one kept answer costs besides its text.
-const ANSWER_OVERHEAD: usize = 128;
+/// Memory per kept answer in addition to its body and headers.
+const ANSWER_OVERHEAD_BYTES: usize = 128;
 
-/// Bytes that one kept header costs besides its text.
-const HEADER_OVERHEAD: usize = 64;
+/// Memory per header in addition to its name and value.
+const HEADER_OVERHEAD_BYTES: usize = 64;
 
-/// A whole answer of a target.
+/// A target's complete answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeptAnswer {
     #[serde(with = "base64_bytes")]
@@ -20,16 +20,16 @@
 }
 
 impl KeptAnswer {
-    /// About how much memory it takes, in bytes.
-    pub fn cost(&self) -> usize {
+    /// Approximate memory that the answer takes.
+    pub fn memory_bytes(&self) -> usize {
         let headers = self.headers.iter();
         let head: usize =
-            headers.map(|line| HEADER_OVERHEAD + line.name.len() + line.value.len()).sum();
-        ANSWER_OVERHEAD + head + self.body.len()
+            headers.map(|line| HEADER_OVERHEAD_BYTES + line.name.len() + line.value.len()).sum();
+        ANSWER_OVERHEAD_BYTES + head + self.body.len()
     }
 }
 
-/// Bytes as base64 text, for formats that have no bytes.
+/// Serializes bytes as base64 text, for formats without a byte type, such as JSON.
 mod base64_bytes {
     use base64::{Engine, engine::general_purpose::STANDARD};
     use bytes::Bytes;
--- a/src/ledger/ledger.rs
+++ b/src/ledger/ledger.rs
@@ -3,15 +3,15 @@
 use super::{
     BeginOutcome, Error, ExecutionOutcome, IdempotencyKey, KeptAnswer, LedgerLimits, RequestDigest,
     Result, SealedLedger,
-    answer_budget::{AnswerBudget, Place},
+    answer_budget::{AnswerBudget, EntryId},
     digest::{KeyDigest, key_digest},
-    generation::{Entry, GenerationTable, State},
-    history::{History, Known},
+    generation::{Entry, EntryState, GenerationTable},
+    history::{History, KeyStatus},
     sealed::SealedHistory,
 };
 use crate::{base::invariant, prelude::*};
 
-/// Which requests this incarnation has run, and those of the stopped hosts it took over from.
+/// Records the requests that this incarnation accepted, and those adopted from stopped hosts.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     adopted: BTreeMap<Incarnation, History>,
@@ -19,16 +19,17 @@
     incarnation: Incarnation,
     limits: LedgerLimits,
     own: History,
+    /// Whether the ledger is closed to new keys.
     sealed: bool,
-    /// When the current generation began.
-    since: Moment,
+    generation_started_at: Moment,
 }
 
 impl Ledger {
-    /// An empty ledger. The incarnation must be drawn at random for each start of the process.
+    /// Creates an empty ledger. The incarnation must be drawn at random at each start of the
+    /// process.
     pub fn new(host: HostId, incarnation: Incarnation, limits: LedgerLimits) -> Self {
         let mut own = History::new(host);
-        own.generations.insert(0, GenerationTable::new(limits.lifetime()));
+        own.generations.insert(0, GenerationTable::new(limits.generation_lifetime()));
         Self {
             adopted: BTreeMap::new(),
             budget: AnswerBudget::default(),
@@ -36,11 +37,11 @@
             limits,
             own,
             sealed: false,
-            since: Moment::ZERO,
+            generation_started_at: Moment::ZERO,
         }
     }
 
-    /// The binding that look-ups give out now.
+    /// The binding that look-up responses carry now.
     pub fn binding(&self) -> Binding {
         Binding {
             generation: self.own.newest,
@@ -49,34 +50,34 @@
         }
     }
 
-    /// Incarnations of stopped hosts that this ledger answers for, sorted.
+    /// Incarnations of stopped hosts whose entries were adopted, sorted.
     pub fn adopted_incarnations(&self) -> Vec<Incarnation> {
         self.adopted.keys().copied().collect()
     }
 
-    /// Own entries and those taken over.
+    /// Number of entries, own and adopted.
     pub fn len(&self) -> usize {
         self.own.len() + self.adopted.values().map(History::len).sum::<usize>()
     }
 
-    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes of kept answers.
     pub fn answer_bytes(&self) -> usize {
         self.budget.bytes()
     }
 
-    /// Whether the entry that must stand before a request is sent does stand.
+    /// Whether the key has an own entry of a running request. Must be true before a request is
+    /// sent.
     pub fn is_running(&self, binding: &Binding, key: &IdempotencyKey) -> bool {
         let table = self.own.generations.get(&binding.generation);
         let entry = table.and_then(|table| table.entries.get(&key_digest(key)));
-        self.is_own(binding) && entry.is_some_and(|entry| matches!(entry.state, State::Running))
+        self.is_own(binding)
+            && entry.is_some_and(|entry| matches!(entry.state, EntryState::Running))
     }
 
-    /// Asks whether a request may run; on `Fresh` its entry is made.
+    /// Decides whether a request may run. On `Accepted` its entry is recorded.
     pub fn begin(
         &mut self,
         binding: &Binding,
@@ -90,15 +91,15 @@
         if !self.is_own(binding) {
             return self.begin_adopted(binding, &key, &digest);
         }
-        match self.own.look(binding.generation, &key, &digest) {
-            Known::Said(begin) => begin,
-            Known::Runnable if self.sealed => BeginOutcome::Sealed,
-            Known::Runnable => self.enter(binding.generation, key, digest),
+        match self.own.find(binding.generation, &key, &digest) {
+            KeyStatus::Decided(outcome) => outcome,
+            KeyStatus::New if self.sealed => BeginOutcome::Sealed,
+            KeyStatus::New => self.insert_entry(binding.generation, key, digest),
         }
     }
 
-    /// A new key of a stopped host: the sealed ledger names all that it ever took on, so the key
-    /// was not run there, and it is not run here either (see the module's docs).
+    /// Answers for an adopted binding. The sealed ledger holds all keys that the stopped host
+    /// accepted, so a new key did not run there; it does not run here either (see the module docs).
     fn begin_adopted(
         &self,
         binding: &Binding,
@@ -111,91 +112,99 @@
         if history.host != binding.host {
             return BeginOutcome::UnknownBinding;
         }
-        match history.look(binding.generation, key, digest) {
-            Known::Said(begin) => begin,
-            Known::Runnable => BeginOutcome::Sealed,
+        match history.find(binding.generation, key, digest) {
+            KeyStatus::Decided(outcome) => outcome,
+            KeyStatus::New => BeginOutcome::Sealed,
         }
     }
 
-    fn enter(&mut self, number: Generation, key: KeyDigest, body: RequestDigest) -> BeginOutcome {
+    fn insert_entry(
+        &mut self,
+        generation: Generation,
+        key: KeyDigest,
+        body: RequestDigest,
+    ) -> BeginOutcome {
         let full = self.limits.entries <= self.own.len();
-        let Some(table) = self.own.generations.get_mut(&number) else {
+        let Some(table) = self.own.generations.get_mut(&generation) else {
             return BeginOutcome::GenerationDropped;
         };
         if full {
             table.closed = true;
             return BeginOutcome::Full;
         }
-        table.entries.insert(key, Entry { body, state: State::Running });
+        table.entries.insert(key, Entry { body, state: EntryState::Running });
         BeginOutcome::Accepted
     }
 
-    /// Writes down how a request ended. Called once for each `Fresh`.
+    /// Records the outcome of a request. Must be called once for each `Accepted`.
     pub fn end(
         &mut self,
         binding: &Binding,
         key: &IdempotencyKey,
-        end: ExecutionOutcome,
+        outcome: ExecutionOutcome,
         now: Moment,
     ) {
         self.rotate(now);
         let key = key_digest(key);
         let is_own = self.is_own(binding);
         let state = self.own.state_mut(binding.generation, &key).filter(|_| is_own);
-        let running = state.as_ref().is_some_and(|state| matches!(state, State::Running));
-        invariant::hold(running, "ledger-end-follows-begin", || format!("{binding}: {end:?}"));
+        let running = state.as_ref().is_some_and(|state| matches!(state, EntryState::Running));
+        invariant::hold(running, "ledger-end-follows-begin", || format!("{binding}: {outcome:?}"));
         let Some(state) = state.filter(|_| running) else { return };
-        match end {
+        match outcome {
             ExecutionOutcome::Answered(answer) => {
-                *state = State::Fact(answer.status);
-                let place =
-                    Place { generation: binding.generation, incarnation: self.incarnation, key };
-                self.keep(place, answer);
+                *state = EntryState::AnswerNotKept(answer.status);
+                let id =
+                    EntryId { generation: binding.generation, incarnation: self.incarnation, key };
+                self.keep_answer(id, answer);
             }
-            ExecutionOutcome::NotRun => *state = State::NotRun,
-            ExecutionOutcome::Unknown => *state = State::Unknown,
+            ExecutionOutcome::NotRun => *state = EntryState::NotRun,
+            ExecutionOutcome::Unknown => *state = EntryState::Unknown,
         }
     }
 
-    /// Keeps the answer of an entry that stands as a fact, if it fits.
-    fn keep(&mut self, place: Place, answer: Arc<KeptAnswer>) {
+    /// Keeps the answer of an `AnswerNotKept` entry if it fits into the byte limit, evicting the
+    /// oldest answers.
+    fn keep_answer(&mut self, id: EntryId, answer: Arc<KeptAnswer>) {
         let limit = self.limits.answer_bytes;
-        let Some(evicted) = self.budget.add(place.clone(), answer.cost(), limit) else { return };
+        let Some(evicted) = self.budget.add(id.clone(), answer.memory_bytes(), limit) else {
+            return;
+        };
         for old in evicted {
             if let Some(state) = self.state_mut(&old)
-                && let State::Answered(answer) = state
+                && let EntryState::Answered(answer) = state
             {
-                *state = State::Fact(answer.status);
+                *state = EntryState::AnswerNotKept(answer.status);
             }
         }
-        if let Some(state) = self.state_mut(&place) {
-            *state = State::Answered(answer);
+        if let Some(state) = self.state_mut(&id) {
+            *state = EntryState::Answered(answer);
         }
     }
 
-    fn state_mut(&mut self, place: &Place) -> Option<&mut State> {
-        let history = if place.incarnation == self.incarnation {
+    fn state_mut(&mut self, id: &EntryId) -> Option<&mut EntryState> {
+        let history = if id.incarnation == self.incarnation {
             &mut self.own
         } else {
-            self.adopted.get_mut(&place.incarnation)?
+            self.adopted.get_mut(&id.incarnation)?
         };
-        history.state_mut(place.generation, &place.key)
+        history.state_mut(id.generation, &id.key)
     }
 
-    /// Drops old generations whole, and starts a new one when the current one has come of age, or
-    /// when it was closed for want of room and there is room again.
+    /// Drops expired generations. Starts a new one when the current one has reached
+    /// `generation_age`, or when it was closed because the ledger was full and there is room again.
     pub fn rotate(&mut self, now: Moment) {
         self.drop_expired(now);
         let current = self.own.generations.get(&self.own.newest);
         let is_closed = current.is_none_or(|table| table.closed);
         let is_reopened = is_closed && self.own.len() < self.limits.entries;
-        let is_old = self.limits.generation_age <= now.saturating_sub(self.since);
+        let is_old = self.limits.generation_age <= now.saturating_sub(self.generation_started_at);
         if self.sealed || !(is_old || is_reopened) {
             return;
         }
-        self.since = now;
+        self.generation_started_at = now;
         self.own.newest += 1;
-        let table = GenerationTable::new(now + self.limits.lifetime());
+        let table = GenerationTable::new(now + self.limits.generation_lifetime());
         self.own.generations.insert(self.own.newest, table);
     }
 
@@ -209,16 +218,16 @@
             return;
         }
         self.adopted.retain(|_, history| !history.generations.is_empty());
-        self.budget.release(|place| dropped.contains(&(place.incarnation, place.generation)));
+        self.budget.release(|id| dropped.contains(&(id.incarnation, id.generation)));
     }
 
-    /// Ends the taking of new keys for good; what runs goes on.
+    /// Stops accepting new keys for good; running requests continue.
     pub fn close(&mut self) {
         self.sealed = true;
     }
 
-    /// Closes, and gives all that is known, for a successor. Requests that still run may end
-    /// here; the successor calls them unknown.
+    /// Closes the ledger and returns all entries for a successor. Requests that are still running
+    /// may end here; the successor reports their outcome as unknown.
     pub fn seal(&mut self, now: Moment) -> SealedLedger {
         self.rotate(now);
         self.close();
@@ -228,19 +237,19 @@
         SealedLedger::new(histories)
     }
 
-    /// Answers for a stopped host from now on. All of it is taken over or nothing.
+    /// Adopts the entries of a stopped host, either all or none.
     pub fn adopt(&mut self, sealed: SealedLedger, now: Moment) -> Result<()> {
-        sealed.check()?;
+        sealed.check_version()?;
         if self.sealed {
             return Err(Error::Sealed);
         }
-        let own = sealed.histories.iter().find(|one| one.incarnation == self.incarnation);
+        let own = sealed.histories.iter().find(|history| history.incarnation == self.incarnation);
         if let Some(own) = own {
             return Err(Error::OwnIncarnation(own.incarnation));
         }
         self.rotate(now);
-        let held: usize = self.adopted.values().map(History::len).sum();
-        if self.limits.adopted_entries < held + sealed.entry_count() {
+        let adopted_entries: usize = self.adopted.values().map(History::len).sum();
+        if self.limits.adopted_entries < adopted_entries + sealed.entry_count() {
             return Err(Error::NoRoom(sealed.entry_count()));
         }
         for history in sealed.histories {
@@ -251,30 +260,31 @@
 
     fn adopt_history(&mut self, sealed: SealedHistory, now: Moment) {
         let SealedHistory { generations, host, incarnation, newest } = sealed;
-        let most = self.limits.lifetime();
+        let max_retention = self.limits.generation_lifetime();
         let history = self.adopted.entry(incarnation).or_insert_with(|| History::new(host));
         history.newest = history.newest.max(newest);
         for generation in generations {
-            history.merge(generation, now, most);
+            history.merge(generation, now, max_retention);
         }
-        self.budget.release(|place| place.incarnation == incarnation);
-        self.keep_adopted(incarnation);
+        self.budget.release(|id| id.incarnation == incarnation);
+        self.keep_adopted_answers(incarnation);
     }
 
-    /// Counts the answers that came with a history; those that do not fit become facts.
-    fn keep_adopted(&mut self, incarnation: Incarnation) {
+    /// Adds the answers of an adopted history to the byte budget. Those that do not fit are reduced
+    /// to their status.
+    fn keep_adopted_answers(&mut self, incarnation: Incarnation) {
         let Some(history) = self.adopted.get_mut(&incarnation) else { return };
         let mut answers = Vec::new();
         for (number, table) in &mut history.generations {
             for (key, entry) in &mut table.entries {
-                let State::Answered(answer) = &entry.state else { continue };
+                let EntryState::Answered(answer) = &entry.state else { continue };
                 let answer = answer.clone();
-                entry.state = State::Fact(answer.status);
-                answers.push((Place { generation: *number, incarnation, key: *key }, answer));
+                entry.state = EntryState::AnswerNotKept(answer.status);
+                answers.push((EntryId { generation: *number, incarnation, key: *key }, answer));
             }
         }
-        for (place, answer) in answers {
-            self.keep(place, answer);
+        for (id, answer) in answers {
+            self.keep_answer(id, answer);
         }
     }
 
--- a/src/ledger/limits.rs
+++ b/src/ledger/limits.rs
@@ -1,27 +1,30 @@
-//! How much a ledger holds, and for how long.
+//! Size and retention limits of a ledger.
 
 use crate::prelude::*;
 
-/// Bounds of one ledger.
+/// Size and retention limits of one ledger.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerLimits {
-    /// Entries taken over from stopped hosts, in all.
+    /// Maximum number of entries adopted from stopped hosts.
     pub adopted_entries: usize,
-    /// Bytes of kept answers, in all. Past it the oldest answers go and their facts stay.
+    /// Maximum bytes of kept answers. Beyond it, the oldest answers are dropped and only their
+    /// status is kept.
     pub answer_bytes: usize,
-    /// Own entries, in all generations. Past it new keys are refused as not run.
+    /// Maximum number of own entries in all generations. Beyond it, new keys are rejected without
+    /// running.
     pub entries: usize,
-    /// How long a generation is the current one. Callers may use a binding for longer than its
-    /// look-up's max-age; it stays answerable for `generation_age * generations`.
+    /// How long bindings are issued for a generation. Callers may use a binding beyond the max-age
+    /// of its look-up response; it can be answered for up to `generation_age * generations` after
+    /// the generation starts.
     pub generation_age: Duration,
-    /// Generations kept, the current one included; at least 2.
+    /// Number of generations kept, including the current one; values below 2 act as 2.
     pub generations: usize,
 }
 
 impl LedgerLimits {
-    /// How long a generation is kept from its start.
-    pub(super) fn lifetime(&self) -> Duration {
+    /// How long a generation is kept, from its start.
+    pub(super) fn generation_lifetime(&self) -> Duration {
         self.generation_age
             .saturating_mul(u32::try_from(self.generations.max(2)).unwrap_or(u32::MAX))
     }
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,16 +1,19 @@
-//! Runs a request that may not be repeated at most once, without asking anybody else.
+//! Ledger of non-idempotent requests: runs each at most once, without coordination between hosts.
 //!
-//! A look-up gives the caller a binding: host, random incarnation, generation. Only the ledger of
-//! that incarnation may let a request of that binding run, and it writes the entry before the
-//! request is sent. A resend finds the entry, and so never runs a second time:
+//! A look-up response gives the caller a binding: host, random incarnation and generation. Only
+//! the ledger of that incarnation may accept a request with that binding, and it records an entry
+//! before the request is sent to a target. A resend finds the entry and never runs a second time:
 //!
-//! - the host was replaced: another incarnation, so the resend is a stranger there;
-//! - the generation was dropped to bound memory: what it held is unknown, never "not run";
-//! - the host stopped as planned: the sealed ledger answers at a successor, which never lets a
-//!   new key of an adopted binding run. Two successors may hold the same sealed ledger (the first
-//!   acknowledgement was lost), and would each let the key run once.
+//! - If the host was replaced, the new process has another incarnation and rejects the binding as
+//!   unknown.
+//! - If the generation was dropped to bound memory, whether the request ran is unknown; the ledger
+//!   never reports it as not run.
+//! - If the host stopped as planned, a successor answers from the sealed ledger. It never runs a
+//!   new key of an adopted binding: two successors may hold the same sealed ledger (when the first
+//!   acknowledgement was lost), and each would run the key once.
 //!
-//! Pure: no clock, no I/O. Keys and bodies are held as digests, so that an entry has a fixed size.
+//! No clock and no I/O: callers pass in the time. Keys and requests are stored as digests, so all
+//! entries have the same size, apart from kept answers.
 
 mod answer_budget;
 mod digest;
--- a/src/ledger/outcome.rs
+++ b/src/ledger/outcome.rs
@@ -1,33 +1,35 @@
-//! What the ledger says when a request begins, and what it is told when the request ends.
+//! Results of `Ledger::begin`, and the outcomes that are reported to `Ledger::end`.
 
 use super::KeptAnswer;
 use crate::prelude::*;
 
-/// Whether a request may run. Only `Fresh` lets it.
+/// Whether a request may run. It may only on `Accepted`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BeginOutcome {
-    /// The key came with another body before: this one was not run.
+    /// The key was used before with a different request; this request was not run.
     Conflict,
-    /// The generation is gone: whether the request ran is unknown.
+    /// The generation was dropped, so whether the request ran is unknown.
     GenerationDropped,
-    /// The entry is made; the request may be sent, once, and `end` must be called once.
+    /// The entry is recorded. The request may be sent once, and `Ledger::end` must be called once.
     Accepted,
-    /// No room for another entry: not run, and never to be run under this binding.
+    /// The ledger has no room for another entry. The request was not run and never will be under
+    /// this binding.
     Full,
-    /// It ran; this is its answer.
+    /// The request ran and this is its answer.
     Kept(Arc<KeptAnswer>),
-    /// It ran and was answered with this status; the answer was not kept.
+    /// The request ran and was answered with this status, but the answer was not kept.
     AnswerNotKept { status: u16 },
-    /// Told before that it was not run, and never to be run: an earlier copy that comes late must
-    /// not make that untrue. Another try needs another key.
+    /// The caller was told that the request did not run. The key stays refused, so that a delayed
+    /// copy cannot run and make that report false. A retry needs a new key.
     Refused,
-    /// It is running: wait for it.
+    /// The request is running; wait for its end.
     Running,
-    /// This ledger takes no new keys any more, and knows all that it ever took: not run.
+    /// The ledger no longer accepts new keys and holds all keys that it accepted, so the request
+    /// was not run.
     Sealed,
-    /// The binding is not of this ledger: whether the request ran is unknown here.
+    /// The binding does not belong to this ledger, so whether the request ran is unknown here.
     UnknownBinding,
-    /// It was sent, and how it ended is not known.
+    /// The request was sent, and its outcome is unknown.
     OutcomeUnknown,
 }
 
@@ -36,8 +38,8 @@
 pub enum ExecutionOutcome {
     /// The target ran it and answered.
     Answered(Arc<KeptAnswer>),
-    /// Proven not to have run. The key is refused from then on.
+    /// The request provably did not run. The key is refused from then on.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
--- a/src/ledger/sealed.rs
+++ b/src/ledger/sealed.rs
@@ -1,15 +1,15 @@
-//! The ledger of a stopped host, as it goes to its successor.
+//! The ledger of a stopped host, in the form that is handed over to its successor.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use sha2::{Digest, Sha256};
 
-use super::{Error, KeptAnswer, RequestDigest, Result, digest::KeyDigest, generation::State};
+use super::{Error, KeptAnswer, RequestDigest, Result, digest::KeyDigest, generation::EntryState};
 use crate::prelude::*;
 
-/// Version of the sealed form. A host refuses a version that it does not know.
-const VERSION: u32 = 1;
+/// Version of the serialized form. A host rejects versions other than this one.
+const FORMAT_VERSION: u32 = 1;
 
-/// All that a stopped host knows of its requests, and of those that it had taken over itself.
+/// All entries of a stopped host: its own and those that it had adopted.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SealedLedger {
@@ -17,16 +17,18 @@
     version: u32,
 }
 
-/// One message's worth of a sealed ledger. A successor takes over only the whole.
+/// A part of a serialized sealed ledger, small enough for one message. A successor adopts a ledger
+/// only once it has all parts.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SealedPart {
-    /// Base64 of this part's bytes.
+    /// This part's bytes in base64.
     pub data: String,
-    /// SHA-256 of the whole, in hex: names the ledger that the part is of.
+    /// SHA-256 of the whole serialized ledger in hex; identifies the ledger that the part is of.
     pub digest: String,
-    /// From 0 to `of`, exclusive.
+    /// Position of the part, from 0 to `of` - 1.
     pub index: u32,
+    /// Number of parts.
     pub of: u32,
 }
 
@@ -41,7 +43,8 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct SealedGeneration {
     pub(super) entries: Vec<SealedEntry>,
-    /// Time that it is still to be kept; moments of two hosts do not compare.
+    /// Remaining time to keep the generation. A duration, since a `Moment` is only meaningful on
+    /// the host that took it.
     pub(super) left: Duration,
     pub(super) number: Generation,
 }
@@ -55,11 +58,13 @@
     pub(super) state: SealedState,
 }
 
-/// A request that still ran when the ledger was sealed is unknown to the successor.
+/// Outcome of a request. It is `Unknown` for a request that was still running when the ledger was
+/// sealed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) enum SealedState {
     Answered(Arc<KeptAnswer>),
+    /// Answered with this status; the answer was not kept.
     Fact(u16),
     NotRun,
     Unknown,
@@ -67,25 +72,24 @@
 
 impl SealedLedger {
     pub(super) fn new(histories: Vec<SealedHistory>) -> Self {
-        Self { histories, version: VERSION }
+        Self { histories, version: FORMAT_VERSION }
     }
 
-    /// Number of entries.
     pub fn entry_count(&self) -> usize {
         let tables = self.histories.iter().flat_map(|history| &history.generations);
         tables.map(|table| table.entries.len()).sum()
     }
 
-    /// Incarnations that it answers for.
+    /// Incarnations whose entries it holds.
     pub fn incarnations(&self) -> Vec<Incarnation> {
         self.histories.iter().map(|history| history.incarnation).collect()
     }
 
-    /// Cuts it into messages of at most `bytes` bytes of content each.
-    pub fn split(&self, bytes: usize) -> Vec<SealedPart> {
+    /// Splits the serialized ledger into parts of at most `max_bytes` each, before base64.
+    pub fn split(&self, max_bytes: usize) -> Vec<SealedPart> {
         let whole = serde_json::to_vec(self).unwrap_or_default();
         let digest = hex::encode(Sha256::digest(&whole));
-        let chunks: Vec<&[u8]> = whole.chunks(bytes.max(1)).collect();
+        let chunks: Vec<&[u8]> = whole.chunks(max_bytes.max(1)).collect();
         let of = u32::try_from(chunks.len()).unwrap_or(u32::MAX);
         let numbered = (0..of).zip(chunks);
         numbered
@@ -98,16 +102,16 @@
             .collect()
     }
 
-    /// Puts the parts together again; they may come in any order and more than once.
+    /// Reassembles a ledger from its parts, which may be given in any order and more than once.
     pub fn join(parts: impl IntoIterator<Item = SealedPart>) -> Result<Self> {
         let parts: BTreeMap<u32, SealedPart> =
             parts.into_iter().map(|part| (part.index, part)).collect();
         let Some(first) = parts.values().next() else {
-            return Err(Error::Damaged("no part"));
+            return Err(Error::Damaged("no parts"));
         };
         let (digest, of) = (first.digest.clone(), first.of);
         if parts.values().any(|part| part.digest != digest || part.of != of) {
-            return Err(Error::Damaged("parts of two ledgers"));
+            return Err(Error::Damaged("parts belong to different ledgers"));
         }
         if !parts.keys().copied().eq(0..of) {
             return Err(Error::Damaged("a part is missing"));
@@ -116,10 +120,10 @@
         for part in parts.values() {
             STANDARD
                 .decode_vec(&part.data, &mut whole)
-                .map_err(|_| Error::Damaged("a part is no base64"))?;
+                .map_err(|_| Error::Damaged("a part is not valid base64"))?;
         }
         if hex::encode(Sha256::digest(&whole)) != digest {
-            return Err(Error::Damaged("the digest differs"));
+            return Err(Error::Damaged("digest mismatch"));
         }
         Self::decode(&whole)
     }
@@ -130,37 +134,41 @@
             version: u32,
         }
         let header: Header =
-            serde_json::from_slice(whole).map_err(|_| Error::Damaged("it has no version"))?;
-        if header.version != VERSION {
+            serde_json::from_slice(whole).map_err(|_| Error::Damaged("no format version"))?;
+        if header.version != FORMAT_VERSION {
             return Err(Error::UnsupportedVersion(header.version));
         }
-        serde_json::from_slice(whole).map_err(|_| Error::Damaged("it does not parse"))
+        serde_json::from_slice(whole).map_err(|_| Error::Damaged("cannot be parsed"))
     }
 
-    /// Refuses a version that this host does not know.
-    pub(super) fn check(&self) -> Result<()> {
-        if self.version == VERSION { Ok(()) } else { Err(Error::UnsupportedVersion(self.version)) }
+    /// Rejects format versions other than this host's.
+    pub(super) fn check_version(&self) -> Result<()> {
+        if self.version == FORMAT_VERSION {
+            Ok(())
+        } else {
+            Err(Error::UnsupportedVersion(self.version))
+        }
     }
 }
 
-impl From<&State> for SealedState {
-    fn from(state: &State) -> Self {
+impl From<&EntryState> for SealedState {
+    fn from(state: &EntryState) -> Self {
         match state {
-            State::Answered(answer) => SealedState::Answered(answer.clone()),
-            State::Fact(status) => SealedState::Fact(*status),
-            State::NotRun => SealedState::NotRun,
-            State::Running | State::Unknown => SealedState::Unknown,
+            EntryState::Answered(answer) => SealedState::Answered(answer.clone()),
+            EntryState::AnswerNotKept(status) => SealedState::Fact(*status),
+            EntryState::NotRun => SealedState::NotRun,
+            EntryState::Running | EntryState::Unknown => SealedState::Unknown,
         }
     }
 }
 
-impl From<SealedState> for State {
+impl From<SealedState> for EntryState {
     fn from(state: SealedState) -> Self {
         match state {
-            SealedState::Answered(answer) => State::Answered(answer),
-            SealedState::Fact(status) => State::Fact(status),
-            SealedState::NotRun => State::NotRun,
-            SealedState::Unknown => State::Unknown,
+            SealedState::Answered(answer) => EntryState::Answered(answer),
+            SealedState::Fact(status) => EntryState::AnswerNotKept(status),
+            SealedState::NotRun => EntryState::NotRun,
+            SealedState::Unknown => EntryState::Unknown,
         }
     }
 }
--- a/src/lookup/block_part.rs
+++ b/src/lookup/block_part.rs
@@ -1,4 +1,4 @@
-//! One part of the client blocks, with its own trie: longest prefix wins.
+//! One part of the client blocks, with its own longest-prefix-match trie.
 
 use std::net::IpAddr;
 
@@ -7,8 +7,8 @@
 
 use crate::{manifest::ClientBlock, prelude::*};
 
-/// Client blocks that never change once built, so that tables of several manifests share them.
-/// Entries hold a region's number, not its name.
+/// An immutable set of client blocks, which the tables of several manifests can share. Entries
+/// hold the number of a region instead of its name.
 #[derive(Debug, Default)]
 pub struct BlockPart {
     first: Option<IpNet>,
@@ -19,12 +19,12 @@
 }
 
 impl BlockPart {
-    /// Builds the trie. Of two entries for one block the later wins.
+    /// Builds the trie. If a block is given twice, its last entry wins.
     pub fn build(blocks: &[ClientBlock]) -> BlockPart {
         let mut part = BlockPart::default();
         let mut numbers: BTreeMap<RegionId, u16> = BTreeMap::new();
         for block in blocks {
-            let Some(number) = part.number(&block.home, &mut numbers) else { continue };
+            let Some(number) = part.region_number(&block.home, &mut numbers) else { continue };
             let block = block.block.trunc();
             part.first = Some(part.first.map_or(block, |first| first.min(block)));
             part.last = part.last.max(Some(block));
@@ -36,20 +36,20 @@
         part
     }
 
-    /// The longest block that holds the address, and its home region.
-    pub fn find(&self, ip: IpAddr) -> Option<(IpNet, &RegionId)> {
+    /// The block with the longest prefix that contains the address, and its home region.
+    pub fn longest_match(&self, ip: IpAddr) -> Option<(IpNet, &RegionId)> {
         let (net, number) = match ip {
             IpAddr::V4(ip) => {
-                self.v4.get_lpm(&Ipv4Net::from(ip)).map(|(net, n)| (IpNet::V4(*net), n))
+                self.v4.get_lpm(&Ipv4Net::from(ip)).map(|(net, number)| (IpNet::V4(*net), number))
             }
             IpAddr::V6(ip) => {
-                self.v6.get_lpm(&Ipv6Net::from(ip)).map(|(net, n)| (IpNet::V6(*net), n))
+                self.v6.get_lpm(&Ipv6Net::from(ip)).map(|(net, number)| (IpNet::V6(*net), number))
             }
         }?;
         Some((net, self.region(*number)?))
     }
 
-    /// Whether this very block is in the part.
+    /// Whether the part has exactly this block.
     pub fn contains(&self, block: &IpNet) -> bool {
         match block {
             IpNet::V4(net) => self.v4.contains_key(net),
@@ -57,9 +57,9 @@
         }
     }
 
-    /// The blocks that hold an address, shortest prefix first.
-    pub fn covers(&self, ip: IpAddr) -> Vec<ClientBlock> {
-        let covers: Vec<(IpNet, u16)> = match ip {
+    /// The blocks that contain an address, shortest prefix first.
+    pub fn covering_blocks(&self, ip: IpAddr) -> Vec<ClientBlock> {
+        let found: Vec<(IpNet, u16)> = match ip {
             IpAddr::V4(ip) => {
                 self.v4.cover(&ip.into()).map(|(net, number)| ((*net).into(), *number)).collect()
             }
@@ -67,15 +67,15 @@
                 self.v6.cover(&ip.into()).map(|(net, number)| ((*net).into(), *number)).collect()
             }
         };
-        covers.into_iter().filter_map(|(net, number)| self.block(net, number)).collect()
+        found.into_iter().filter_map(|(net, number)| self.block(net, number)).collect()
     }
 
-    /// Its lowest block.
+    /// The lowest block.
     pub fn first(&self) -> Option<IpNet> {
         self.first
     }
 
-    /// Its highest block.
+    /// The highest block.
     pub fn last(&self) -> Option<IpNet> {
         self.last
     }
@@ -87,17 +87,16 @@
         v4.chain(v6).filter_map(|(net, number)| self.block(net, number))
     }
 
-    /// Home regions that its blocks name, each once.
+    /// Home regions of the blocks, without duplicates.
     pub fn regions(&self) -> &[RegionId] {
         &self.regions
     }
 
-    /// Blocks in the part.
+    /// Number of blocks.
     pub fn len(&self) -> usize {
         self.v4.len() + self.v6.len()
     }
 
-    /// Whether the part has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -110,8 +109,12 @@
         self.regions.get(usize::from(number))
     }
 
-    /// Number of a region; `None` past 65,536 regions.
-    fn number(&mut self, home: &RegionId, numbers: &mut BTreeMap<RegionId, u16>) -> Option<u16> {
+    /// Returns the number of a region, and assigns one if needed; `None` beyond 65,536 regions.
+    fn region_number(
+        &mut self,
+        home: &RegionId,
+        numbers: &mut BTreeMap<RegionId, u16>,
+    ) -> Option<u16> {
         if let Some(&number) = numbers.get(home) {
             return Some(number);
         }
--- a/src/lookup/block_table.rs
+++ b/src/lookup/block_table.rs
@@ -1,4 +1,4 @@
-//! Callers' home regions by address: longest prefix wins.
+//! Maps callers' addresses to home regions by longest prefix match.
 
 use std::net::IpAddr;
 
@@ -7,48 +7,52 @@
 use super::BlockPart;
 use crate::{manifest::ClientBlock, prelude::*};
 
-/// Result of putting parts together.
+/// Result of assembling a table from parts.
 pub type Result<T> = std::result::Result<T, BlockError>;
 
-/// Why parts make no table.
+/// Why parts cannot be assembled into a table.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum BlockError {
-    #[error("block {block} begins a part but is not above the part before; sign the blocks again")]
+    #[error(
+        "block {block} begins a part but is not above the previous part; sign the blocks again"
+    )]
     OutOfOrder { block: IpNet },
-    #[error("block {block} is there twice; give it once")]
+    #[error("block {block} is listed twice; list it only once")]
     Duplicate { block: IpNet },
 }
 
-/// Client blocks of a member: those that the manifest's text lists, and ascending parts that the
-/// tables of other manifests may share. A change builds the changed part alone.
+/// Client blocks of a member: those listed in the manifest itself, and parts in ascending order,
+/// which are shared with the tables of other manifests, so that a change rebuilds only the parts
+/// that it affects.
 #[derive(Clone, Debug, Default)]
 pub struct BlockTable {
     listed: Arc<BlockPart>,
-    runs: Vec<Run>,
+    parts: Vec<PartEntry>,
 }
 
-/// One part in its place.
+/// A part and what is needed to search it as one of several.
 #[derive(Clone, Debug)]
-struct Run {
-    /// Blocks of earlier parts that hold the first address of this one, shortest prefix first.
-    /// Without them a caller whose block is nested in one of an earlier part would find no home:
-    /// its address alone says in which part to look. They are enough: a block that starts before
-    /// this part and reaches into it also holds the part's first address.
-    covers: Vec<ClientBlock>,
+struct PartEntry {
+    /// Blocks of earlier parts that contain the first address of this one, shortest prefix first.
+    /// Only one part is searched for an address, so without them a caller covered only by a block
+    /// of an earlier part would have no home region. No other blocks are needed: a block that
+    /// starts before this part and extends into it contains the part's first address.
+    covering_blocks: Vec<ClientBlock>,
     first: IpNet,
     part: Arc<BlockPart>,
 }
 
 impl BlockTable {
-    /// Builds a table of one part. Of two entries for one block the later wins.
+    /// Builds a table of listed blocks only. If a block is given twice, its last entry wins.
     pub fn build(blocks: &[ClientBlock]) -> BlockTable {
-        BlockTable { listed: Arc::new(BlockPart::build(blocks)), runs: Vec::new() }
+        BlockTable { listed: Arc::new(BlockPart::build(blocks)), parts: Vec::new() }
     }
 
-    /// The listed blocks with these parts in place of the former ones. Costs a few steps a part;
-    /// order and single use of each block are checked across the parts, not within them.
+    /// Returns a table of the listed blocks with these parts instead of the current ones. Costs a
+    /// few steps per part: order and uniqueness of blocks are checked between parts, not within
+    /// them.
     pub fn with_parts(&self, parts: &[Arc<BlockPart>]) -> Result<BlockTable> {
-        let mut runs: Vec<Run> = Vec::with_capacity(parts.len());
+        let mut entries: Vec<PartEntry> = Vec::with_capacity(parts.len());
         let mut last: Option<IpNet> = None;
         for part in parts {
             let Some(first) = part.first() else { continue };
@@ -56,72 +60,76 @@
                 return Err(BlockError::OutOfOrder { block: first });
             }
             last = part.last();
-            let covers = runs.last().map_or_else(Vec::new, |before| before.covers_of(first));
-            runs.push(Run { covers, first, part: part.clone() });
+            let covering_blocks = entries
+                .last()
+                .map_or_else(Vec::new, |before| before.covering_blocks_of_next(first));
+            entries.push(PartEntry { covering_blocks, first, part: part.clone() });
         }
-        let table = BlockTable { listed: self.listed.clone(), runs };
-        let twice = table.listed.iter().find(|listed| table.is_in_runs(&listed.block));
-        if let Some(ClientBlock { block, .. }) = twice {
+        let table = BlockTable { listed: self.listed.clone(), parts: entries };
+        let duplicate = table.listed.iter().find(|listed| table.is_in_parts(&listed.block));
+        if let Some(ClientBlock { block, .. }) = duplicate {
             return Err(BlockError::Duplicate { block });
         }
         Ok(table)
     }
 
-    /// The home region of a caller, if a block holds its address.
+    /// The home region of a caller, if a block contains its address.
     pub fn home_region(&self, ip: IpAddr) -> Option<&RegionId> {
         let ip = ip.to_canonical();
-        let listed = self.listed.find(ip);
-        let found = self.find_in_runs(ip);
+        let listed = self.listed.longest_match(ip);
+        let found = self.find_in_parts(ip);
         let longest = listed.into_iter().chain(found).max_by_key(|(block, _)| block.prefix_len());
         longest.map(|(_, home)| home)
     }
 
     /// The listed blocks and the parts, in order.
     pub fn parts(&self) -> impl Iterator<Item = &Arc<BlockPart>> {
-        std::iter::once(&self.listed).chain(self.runs.iter().map(|run| &run.part))
+        std::iter::once(&self.listed).chain(self.parts.iter().map(|entry| &entry.part))
     }
 
-    /// Whether both hold the same parts, without a look at the blocks.
+    /// Whether both tables have the same parts, compared by pointer.
     pub fn shares_parts(&self, other: &BlockTable) -> bool {
-        let pairs = || self.runs.iter().zip(&other.runs);
-        self.runs.len() == other.runs.len() && pairs().all(|(a, b)| Arc::ptr_eq(&a.part, &b.part))
+        let pairs = || self.parts.iter().zip(&other.parts);
+        self.parts.len() == other.parts.len() && pairs().all(|(a, b)| Arc::ptr_eq(&a.part, &b.part))
     }
 
-    /// Blocks in the table.
+    /// Number of blocks.
     pub fn len(&self) -> usize {
         self.parts().map(|part| part.len()).sum()
     }
 
-    /// Whether the table has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn find_in_runs(&self, ip: IpAddr) -> Option<(IpNet, &RegionId)> {
-        let run = self.run_of(&IpNet::from(ip))?;
-        // Each block of the part that holds the address is longer than all those that cover it.
-        run.part.find(ip).or_else(|| {
-            let cover = run.covers.iter().rev().find(|cover| cover.block.contains(&ip))?;
-            Some((cover.block, &cover.home))
+    fn find_in_parts(&self, ip: IpAddr) -> Option<(IpNet, &RegionId)> {
+        let entry = self.entry_for(&IpNet::from(ip))?;
+        // A block of the part that contains the address has a longer prefix than the blocks of
+        // earlier parts that contain it.
+        entry.part.longest_match(ip).or_else(|| {
+            let covering =
+                entry.covering_blocks.iter().rev().find(|covering| covering.block.contains(&ip))?;
+            Some((covering.block, &covering.home))
         })
     }
 
-    fn is_in_runs(&self, block: &IpNet) -> bool {
-        self.run_of(block).is_some_and(|run| run.part.contains(block))
+    fn is_in_parts(&self, block: &IpNet) -> bool {
+        self.entry_for(block).is_some_and(|entry| entry.part.contains(block))
     }
 
-    /// The last part that begins at or before `block`.
-    fn run_of(&self, block: &IpNet) -> Option<&Run> {
-        let after = self.runs.partition_point(|run| run.first <= *block);
-        self.runs.get(after.checked_sub(1)?)
+    /// The last part that begins at or below `block`.
+    fn entry_for(&self, block: &IpNet) -> Option<&PartEntry> {
+        let after = self.parts.partition_point(|entry| entry.first <= *block);
+        self.parts.get(after.checked_sub(1)?)
     }
 }
 
-impl Run {
-    /// Blocks of this part and of those before it that hold the first address of the next one.
-    fn covers_of(&self, next: IpNet) -> Vec<ClientBlock> {
+impl PartEntry {
+    /// Blocks of this and earlier parts that contain the first address of the next part.
+    fn covering_blocks_of_next(&self, next: IpNet) -> Vec<ClientBlock> {
         let ip = next.addr();
-        let covers = self.covers.iter().filter(|cover| cover.block.contains(&ip)).cloned();
-        covers.chain(self.part.covers(ip)).collect()
+        let inherited =
+            self.covering_blocks.iter().filter(|covering| covering.block.contains(&ip)).cloned();
+        inherited.chain(self.part.covering_blocks(ip)).collect()
     }
 }
--- a/src/lookup/messages.rs
+++ b/src/lookup/messages.rs
@@ -1,31 +1,31 @@
-//! The question and the answer of a look-up.
+//! Request and response of a look-up.
 
 use std::net::IpAddr;
 
 use crate::prelude::*;
 
-/// A caller's question.
+/// Asks for the hosts of a service, ranked for a client address.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LookupRequest {
     pub client: IpAddr,
     pub service: ServiceId,
 }
 
-/// The answer: hosts in the order in which the caller should try them.
+/// Hosts in the order in which the caller should try them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LookupResponse {
-    /// For requests that must not be repeated: the binding of the first host.
+    /// The binding of the first host, for non-idempotent requests.
     pub binding: Binding,
     pub hosts: Vec<RankedHost>,
-    /// The caller's home region; `None` when no client block holds its address.
+    /// The caller's home region; `None` if no client block contains its address.
     pub home: Option<RegionId>,
-    /// How long the caller may keep this answer.
+    /// How long the caller may cache this response.
     pub max_age: Duration,
-    /// The manifest that the answer follows.
+    /// Sequence of the manifest that the response is based on.
     pub sequence: Sequence,
 }
 
-/// One host of an answer.
+/// One host of a response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RankedHost {
     pub address: SocketAddr,
--- a/src/lookup/mod.rs
+++ b/src/lookup/mod.rs
@@ -1,4 +1,4 @@
-//! Look-ups: which hosts a caller should use, best first.
+//! Look-ups: ranks the hosts that a caller should send its requests to, best first.
 
 mod block_part;
 mod block_table;
--- a/src/lookup/rank.rs
+++ b/src/lookup/rank.rs
@@ -1,4 +1,4 @@
-//! The ranked list of hosts for one caller.
+//! Ranks the hosts for a caller.
 
 use std::{
     cmp::Reverse,
@@ -15,24 +15,25 @@
     view::{HostView, View},
 };
 
-/// How long callers may keep an answer while nothing moves.
-const MAX_AGE_CALM: Duration = Duration::from_secs(10);
-/// How long callers may keep an answer while hosts leave, drains run or regions are silent.
-const MAX_AGE_MOVING: Duration = Duration::from_secs(1);
-/// Most hosts in an answer.
+/// How long callers may cache a response in normal operation.
+const MAX_AGE_STABLE: Duration = Duration::from_secs(10);
+/// How long callers may cache a response while hosts leave, drains run or regions are silent.
+const MAX_AGE_CHANGING: Duration = Duration::from_secs(1);
+/// Maximum number of hosts in a response.
 const MAX_HOSTS: usize = 8;
-/// Most hosts of the first region in an answer; the rest are a way out when that region is lost.
-const MAX_FIRST_REGION: usize = 5;
+/// Maximum number of hosts of the first region in a response. The remaining ones are fallbacks in
+/// other regions, in case the first region is lost.
+const MAX_FIRST_REGION_HOSTS: usize = 5;
 
-/// The hosts of one view, ready to be ranked for many callers.
+/// The hosts of one view, indexed so that they can be ranked for many callers.
 #[derive(Clone, Debug)]
 pub struct HostIndex {
     max_age: Duration,
-    /// Stands alone in the answer when every host leaves or is drained.
-    own: RankedHost,
+    /// The only host of a response when all hosts are leaving or drained.
+    own_host: RankedHost,
     regions: BTreeMap<RegionId, RegionEntry>,
     sequence: Sequence,
-    /// Zones that hold a target of the service.
+    /// Zones that have a target of the service.
     zones: BTreeMap<ServiceId, BTreeSet<ZoneId>>,
 }
 
@@ -49,93 +50,105 @@
     seed: u64,
 }
 
-/// Ranks the live hosts of `view` for one caller; see `HostIndex::rank`.
-pub fn rank(view: &View, table: &BlockTable, ask: &LookupRequest, _now: Moment) -> LookupResponse {
-    HostIndex::build(view).rank(table, ask)
+/// Ranks the hosts of `view` for one caller; see `HostIndex::rank`.
+pub fn rank(
+    view: &View,
+    table: &BlockTable,
+    request: &LookupRequest,
+    _now: Moment,
+) -> LookupResponse {
+    HostIndex::build(view).rank(table, request)
 }
 
 impl HostIndex {
-    /// Indexes the hosts that take new work. Leaving and drained hosts are out at once.
+    /// Indexes the hosts that accept new requests, that is, neither leaving nor drained ones.
     pub fn build(view: &View) -> HostIndex {
         let mut regions: BTreeMap<RegionId, RegionEntry> = BTreeMap::new();
-        for host in view.hosts.iter().filter(|host| is_open(view, host)) {
+        for host in view.hosts.iter().filter(|host| accepts_requests(view, host)) {
             let new_region = || RegionEntry {
                 hosts: Vec::new(),
                 name: host.region.clone(),
-                seed: seed(&host.region),
+                seed: hash_name(&host.region),
             };
             let region = regions.entry(host.region.clone()).or_insert_with(new_region);
-            region.hosts.push(HostEntry { host: ranked_host(host), seed: seed(&host.id) });
+            region.hosts.push(HostEntry { host: ranked_host(host), seed: hash_name(&host.id) });
         }
         HostIndex {
             max_age: max_age(view),
-            own: ranked_host(&view.own),
+            own_host: ranked_host(&view.own),
             regions,
             sequence: view.manifest.sequence,
             zones: view.manifest.services.iter().map(service_zones).collect(),
         }
     }
 
-    /// Ranks the hosts for a caller: its home region first, there the zones that hold a target of
-    /// the service, then by rendezvous hash of the caller's address. Every part of the order hangs
-    /// on one host or on the manifest alone, so that a lost host moves only its own callers.
-    pub fn rank(&self, table: &BlockTable, ask: &LookupRequest) -> LookupResponse {
-        let home = table.home_region(ask.client).cloned();
-        let first_region = home.as_ref().unwrap_or(&self.own.region);
-        let key = client_key(ask.client);
-        let zones = self.zones.get(&ask.service);
+    /// Ranks the hosts for a caller: its home region first (this host's region if the caller has
+    /// none), there the zones that have a target of the service, then by rendezvous hash of the
+    /// caller's address. Each criterion depends only on the host itself or on the manifest, so that
+    /// the loss of a host moves only its own callers.
+    pub fn rank(&self, table: &BlockTable, request: &LookupRequest) -> LookupResponse {
+        let home = table.home_region(request.client).cloned();
+        let first_region = home.as_ref().unwrap_or(&self.own_host.region);
+        let key = client_key(request.client);
+        let zones = self.zones.get(&request.service);
         let first = self.regions.get(first_region);
         let mut hosts: Vec<RankedHost> = first
-            .map(|region| region.best(key, zones, MAX_FIRST_REGION))
+            .map(|region| region.best_hosts(key, zones, MAX_FIRST_REGION_HOSTS))
             .unwrap_or_default()
             .into_iter()
             .cloned()
             .collect();
-        self.add_ways_out(&mut hosts, first_region, key, zones);
+        self.add_fallback_hosts(&mut hosts, first_region, key, zones);
         if hosts.is_empty() {
-            hosts.push(self.own.clone());
+            hosts.push(self.own_host.clone());
         }
         let binding = hosts[0].binding.clone();
         LookupResponse { binding, hosts, home, max_age: self.max_age, sequence: self.sequence }
     }
 
-    /// Adds hosts of the other regions: the best of each, then the second of each, and so on. The
-    /// regions come in an order of the caller's own, so that a lost region's callers spread out.
-    fn add_ways_out(
+    /// Adds hosts of the other regions: the best of each, then the second best of each, and so on.
+    /// The order of the regions depends on the caller, so that the callers of a lost region spread
+    /// over the others.
+    fn add_fallback_hosts(
         &self,
         hosts: &mut Vec<RankedHost>,
         first_region: &RegionId,
         key: u64,
         zones: Option<&BTreeSet<ZoneId>>,
     ) {
-        let room = MAX_HOSTS - hosts.len();
+        let remaining = MAX_HOSTS - hosts.len();
         let mut others: Vec<&RegionEntry> =
             self.regions.values().filter(|region| region.name != *first_region).collect();
-        others.sort_by_key(|region| Reverse(mix(key, region.seed)));
-        others.truncate(room);
-        let each = room.div_ceil(others.len().max(1));
+        others.sort_by_key(|region| Reverse(rendezvous_weight(key, region.seed)));
+        others.truncate(remaining);
+        let per_region = remaining.div_ceil(others.len().max(1));
         let best: Vec<Vec<&RankedHost>> =
-            others.iter().map(|region| region.best(key, zones, each)).collect();
-        let by_turns =
-            (0..each).flat_map(|turn| best.iter().filter_map(move |hosts| hosts.get(turn)));
-        hosts.extend(by_turns.take(room).map(|&host| host.clone()));
+            others.iter().map(|region| region.best_hosts(key, zones, per_region)).collect();
+        let interleaved = (0..per_region)
+            .flat_map(|position| best.iter().filter_map(move |hosts| hosts.get(position)));
+        hosts.extend(interleaved.take(remaining).map(|&host| host.clone()));
     }
 }
 
 impl RegionEntry {
     /// The best `count` hosts for a caller, best first.
-    fn best(&self, key: u64, zones: Option<&BTreeSet<ZoneId>>, count: usize) -> Vec<&RankedHost> {
-        let order = |entry: &HostEntry| {
-            let away = zones.is_some_and(|zones| !zones.contains(&entry.host.zone));
-            (away, Reverse(mix(key, entry.seed)))
+    fn best_hosts(
+        &self,
+        key: u64,
+        zones: Option<&BTreeSet<ZoneId>>,
+        count: usize,
+    ) -> Vec<&RankedHost> {
+        let sort_key = |entry: &HostEntry| {
+            let has_no_target = zones.is_some_and(|zones| !zones.contains(&entry.host.zone));
+            (has_no_target, Reverse(rendezvous_weight(key, entry.seed)))
         };
         let mut hosts: Vec<((bool, Reverse<u64>), &RankedHost)> =
-            self.hosts.iter().map(|entry| (order(entry), &entry.host)).collect();
+            self.hosts.iter().map(|entry| (sort_key(entry), &entry.host)).collect();
         if count < hosts.len() {
-            hosts.select_nth_unstable_by_key(count, |(order, _)| *order);
+            hosts.select_nth_unstable_by_key(count, |(sort_key, _)| *sort_key);
             hosts.truncate(count);
         }
-        hosts.sort_unstable_by_key(|(order, _)| *order);
+        hosts.sort_unstable_by_key(|(sort_key, _)| *sort_key);
         hosts.into_iter().map(|(_, host)| host).collect()
     }
 }
@@ -145,21 +158,21 @@
     (service.name.clone(), zones)
 }
 
-fn is_open(view: &View, host: &HostView) -> bool {
-    let drained = |scope: &DrainScope| match scope {
+fn accepts_requests(view: &View, host: &HostView) -> bool {
+    let is_drained = |scope: &DrainScope| match scope {
         DrainScope::Host(id) => *id == host.id,
         DrainScope::Region(region) => *region == host.region,
         DrainScope::Target(_) => false,
         DrainScope::Zone(zone) => *zone == host.zone,
     };
-    !host.leaving && !view.drains.iter().chain(&view.manifest.drains).any(drained)
+    !host.leaving && !view.drains.iter().chain(&view.manifest.drains).any(is_drained)
 }
 
 fn max_age(view: &View) -> Duration {
-    let moving = view.hosts.iter().any(|host| host.leaving)
+    let is_changing = view.hosts.iter().any(|host| host.leaving)
         || !view.drains.is_empty()
         || !view.silent_regions.is_empty();
-    if moving { MAX_AGE_MOVING } else { MAX_AGE_CALM }
+    if is_changing { MAX_AGE_CHANGING } else { MAX_AGE_STABLE }
 }
 
 fn client_key(ip: IpAddr) -> u64 {
@@ -169,13 +182,13 @@
     }
 }
 
-fn seed(name: &str) -> u64 {
+fn hash_name(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Weight of a name's seed for a key: the SplitMix64 finalizer, far cheaper than hashing the name
-/// again for every caller.
-fn mix(key: u64, seed: u64) -> u64 {
+/// Weight of a host or region for a caller's key; `seed` is the hash of its name. Uses the
+/// SplitMix64 finalizer, which is far cheaper than hashing the name again for each caller.
+fn rendezvous_weight(key: u64, seed: u64) -> u64 {
     let mut x = key ^ seed.rotate_left(32);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/lookup/tests.rs
+++ b/src/lookup/tests.rs
@@ -61,13 +61,13 @@
     ])
 }
 
-fn first(view: &View, client: u32) -> LookupResponse {
+fn look_up(view: &View, client: u32) -> LookupResponse {
     let client = IpAddr::from((0x0a00_0000 + client).to_be_bytes());
     rank(view, &table(), &LookupRequest { client, service: "status".into() }, Moment::ZERO)
 }
 
 #[test]
-fn longest_prefix_is_home() {
+fn longest_prefix_determines_home_region() {
     let home = |ip: &str| table().home_region(ip.parse().unwrap()).cloned();
     assert_eq!(home("10.2.0.1").as_deref(), Some("zagreb"));
     assert_eq!(home("10.1.0.1").as_deref(), Some("split"));
@@ -83,7 +83,7 @@
     after.hosts.retain(|host| &*host.id != "zagreb-b");
     let mut moved = 0;
     for client in 0..400 {
-        let (old, new) = (first(&before, client), first(&after, client));
+        let (old, new) = (look_up(&before, client), look_up(&after, client));
         assert_eq!(&*new.hosts[0].region, "zagreb");
         if &*old.hosts[0].host == "zagreb-b" {
             moved += 1;
@@ -95,19 +95,19 @@
 }
 
 #[test]
-fn leaving_and_drained_hosts_are_out_at_once() {
+fn leaving_and_drained_hosts_are_excluded() {
     let mut view = view();
     view.hosts.iter_mut().for_each(|host| host.leaving = &*host.id == "zagreb-a");
     view.drains.insert(DrainScope::Host("zagreb-b".into()));
     for client in 0..50 {
-        let lookup = first(&view, client);
+        let lookup = look_up(&view, client);
         assert!(lookup.hosts.iter().all(|host| !["zagreb-a", "zagreb-b"].contains(&&*host.host)));
         assert_eq!(lookup.max_age, Duration::from_secs(1));
     }
 }
 
 #[test]
-fn zones_with_a_target_come_first_and_ways_out_differ() {
+fn zones_with_a_target_come_first_and_fallbacks_differ_by_caller() {
     let mut view = view();
     view.hosts.iter_mut().for_each(|host| {
         let zone = if host.id.ends_with(['a', 'b']) { 1 } else { 2 };
@@ -129,22 +129,22 @@
         timeout_ms: 1,
     };
     Arc::make_mut(&mut view.manifest).services.push(service);
-    let mut ways_out = BTreeSet::new();
+    let mut fallbacks = BTreeSet::new();
     for client in 0..50 {
-        let hosts = first(&view, client).hosts;
+        let hosts = look_up(&view, client).hosts;
         assert_eq!(hosts.len(), 8);
         assert!(hosts[..2].iter().all(|host| &*host.zone == "zagreb-2"));
         assert!(hosts[4..].iter().all(|host| &*host.region == "split"));
-        ways_out.insert(hosts[4].host.clone());
+        fallbacks.insert(hosts[4].host.clone());
     }
-    assert_eq!(ways_out.len(), 4, "a lost region's callers spread over all hosts");
+    assert_eq!(fallbacks.len(), 4, "callers of a lost region must spread over all hosts");
 }
 
 #[test]
-fn everything_drained_leaves_this_host() {
+fn own_host_is_returned_when_all_regions_are_drained() {
     let mut view = view();
     view.drains = ["split", "zagreb"].map(|region| DrainScope::Region(region.into())).into();
-    let lookup = first(&view, 1);
+    let lookup = look_up(&view, 1);
     assert_eq!(lookup.hosts.len(), 1);
     assert_eq!(lookup.hosts[0].host, view.own.id);
 }
@@ -152,12 +152,12 @@
 #[test]
 fn lost_owner_moves_only_its_own_targets() {
     let owners: Vec<HostId> = ["a", "b", "c"].map(Into::into).into();
-    let rest = [owners[0].clone(), owners[2].clone()];
+    let remaining = [owners[0].clone(), owners[2].clone()];
     for number in 0..100 {
         let target: TargetId = format!("t{number}").into();
         let before = owner_of(&target, &owners).unwrap();
         if &**before != "b" {
-            assert_eq!(owner_of(&target, &rest), Some(before));
+            assert_eq!(owner_of(&target, &remaining), Some(before));
         }
     }
     assert_eq!(owner_of(&"t".into(), &[]), None);
--- a/src/manifest/tests/parts.rs
+++ b/src/manifest/tests/parts.rs
@@ -46,7 +46,7 @@
         (&["10.3.0.0/16 bagmati\n10.2.0.0/16 bagmati\n"], "10.2.0.0/16 is there twice or out of"),
         (&["10.3.0.0/16 bagmati\n", "10.2.0.0/16 bagmati\n"], "10.2.0.0/16 begins a part but"),
         (&["10.2.0.0/16 bagmati\n10.2.0.0/16 bagmati\n"], "10.2.0.0/16 is there twice"),
-        (&["10.1.0.0/16 bagmati\n"], "block 10.1.0.0/16 is there twice; give it once"),
+        (&["10.1.0.0/16 bagmati\n"], "block 10.1.0.0/16 is listed twice; list it only once"),
         (&["10.2.0.1/16 bagmati\n"], "10.2.0.1/16 has bits set past its prefix; write 10.2.0.0/16"),
         (&["10.2.0.0/16 east\n"], "client_blocks: there is no region east"),
     ];
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -1,14 +1,14 @@
-//! What makes two requests the same, whoever sends them and with whatever key.
+//! Fingerprints identify equal requests, regardless of the caller and the idempotency key.
 
 use sha2::{Digest, Sha256};
 
 use crate::prelude::*;
 
-/// Hash of a request's member, service, method, path and body.
+/// First 16 bytes of the SHA-256 of a request's member, service, method, path and body.
 pub type Fingerprint = u128;
 
-/// The fingerprint of a request. Collision-resistant: a caller can't make another caller's request
-/// look like its own and have it refused.
+/// Returns the fingerprint of a request. The hash is collision-resistant, so that a caller cannot
+/// craft a request with the fingerprint of another caller's and have that one refused.
 pub fn fingerprint(
     member: &MemberId,
     service: &ServiceId,
--- a/src/quarantine/mark.rs
+++ b/src/quarantine/mark.rs
@@ -1,19 +1,20 @@
-//! What hosts tell each other about a fingerprint.
+//! Quarantine marks, which hosts exchange.
 
 use super::Fingerprint;
 use crate::prelude::*;
 
-/// How far the suspicion goes.
+/// Whether a request is suspected or proven to crash targets.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum QuarantineVerdict {
-    /// In flight at a crash: runs alone.
+    /// Was in flight on a target that crashed; only runs alone.
     Suspect,
-    /// Crashed a target while it ran alone: refused.
+    /// Crashed a target while it ran alone; is refused.
     Refused,
 }
 
-/// A fingerprint and how long it still stands; clocks of hosts don't compare, time left does.
+/// A fingerprint's verdict and the time for which it remains valid, as a duration since the clocks
+/// of hosts are not comparable.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuarantineMark {
     #[serde(with = "fingerprint_hex")]
@@ -22,7 +23,7 @@
     pub verdict: QuarantineVerdict,
 }
 
-/// JSON numbers lose digits beyond 64 bits in many readers, so the hash travels as text.
+/// Serializes a fingerprint as hex text: many JSON readers lose digits of numbers beyond 64 bits.
 pub(crate) mod fingerprint_hex {
     use std::borrow::Cow;
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,8 +1,9 @@
-//! Requests that crash the targets that run them.
+//! Quarantine for requests that crash the targets that run them.
 //!
-//! Such a request takes down target after target as its caller sends it again. Whatever was in
-//! flight on a crashed target is a suspect; a suspect runs alone, so that a second crash proves it
-//! guilty and a whole answer clears it. Hosts spread what they know with the remaining time.
+//! Such a request can take down target after target as its caller resends it. Each request that is
+//! in flight on a target when it crashes becomes a suspect. A suspect runs alone on its target, so
+//! that a second crash proves that it is the cause, and a complete answer clears it. Hosts share
+//! their suspicions and refusals as marks, with the time that remains.
 
 mod fingerprint;
 mod mark;
