--- a/src/daemon/control/actor.rs
+++ b/src/daemon/control/actor.rs
@@ -15,7 +15,7 @@
     membership::{Baselines, Membership, MembershipEvent},
     prelude::*,
     store::Platform,
-    tenure::TenureKeeper,
+    tenure::TenureManager,
     timeline::{EventKind, EventSink, Recorder},
     view::View,
 };
@@ -55,14 +55,14 @@
     /// Whether a write of the drains to the platform is under way.
     pub(super) settling: bool,
     pub(super) shown: Option<Arc<View>>,
-    pub(super) tenure: TenureKeeper,
+    pub(super) tenure: TenureManager,
 }
 
 impl Control {
     /// Starts the actor on the current runtime.
     pub fn spawn(mut parts: ControlParts) -> Address<Self> {
         // Also for later: after a long cut these addresses may be all that is left.
-        parts.membership.seed(parts.seeds.iter().copied());
+        parts.membership.add_seeds(parts.seeds.iter().copied());
         let own = parts.membership.own().clone();
         let control = Self {
             baselines: Baselines::default(),
@@ -76,7 +76,7 @@
             pulling: None,
             settling: false,
             shown: None,
-            tenure: TenureKeeper::new(own.id, own.incarnation, own.zone),
+            tenure: TenureManager::new(own.id, own.incarnation, own.zone),
         };
         let traffic = control.parts.traffic.clone();
         let address = xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX));
--- a/src/daemon/control/exchange.rs
+++ b/src/daemon/control/exchange.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     manifest::DrainScope,
-    membership::{Digest, Notes},
+    membership::{Digest, Payload},
     prelude::*,
     routing::Event,
     tenure,
@@ -20,7 +20,7 @@
     /// Begins this second's exchanges. A host that knows nobody asks the addresses of its settings.
     pub(super) fn exchange(&mut self, me: WeakAddress<Self>) {
         let now = self.now();
-        let partners = self.parts.membership.partners(now, &mut self.parts.rng);
+        let partners = self.parts.membership.choose_partners(now, &mut self.parts.rng);
         if partners.is_empty() || self.parts.membership.hosts(now).len() == 1 {
             let digest = self.parts.membership.digest(now);
             for seed in self.parts.seeds.clone() {
@@ -52,29 +52,29 @@
         let hosts = self.parts.membership.hosts(self.now());
         let own = self.parts.membership.own().clone();
         let unsteady = self.is_region_unsteady(&own);
-        self.baselines.author(&own, &hosts, rates, unsteady, at);
+        self.baselines.update_own(&own, &hosts, rates, unsteady, at);
         let membership = &mut self.parts.membership;
         if membership.own().generation != binding.generation {
             membership.set_generation(binding.generation);
         }
         membership.set_adopted(adopted);
-        membership.set_notes(Notes {
-            baselines: self.baselines.notes(),
+        membership.set_payload(Payload {
+            baselines: self.baselines.entries(),
             drains: self.drains.records(),
             marks,
             sequence: self.parts.store.sequence().unwrap_or_default(),
-            tenure: self.tenure.list().clone(),
+            tenure: self.tenure.holder_list().clone(),
         });
     }
 
     /// Gives what came along with exchanges to those it is for.
     pub(super) fn take_heard(&mut self, me: WeakAddress<Self>) {
-        let heard = self.parts.membership.take_heard();
+        let heard = self.parts.membership.take_received();
         for note in heard.baselines {
-            self.baselines.learn(note, wall_millis());
+            self.baselines.apply(note, wall_millis());
         }
         if let Some(list) = heard.tenure {
-            self.tenure_on(tenure::Event::Heard(list), &me);
+            self.tenure_on(tenure::Event::ListReceived(list), &me);
             // Answers until the next tick would still ask for the list that has just come.
             self.tell_notes();
         }
@@ -87,7 +87,7 @@
             let known = self.parts.membership.marks_hash();
             self.parts.traffic.feed(Event::Marked { marks: heard.marks });
             self.tell_notes();
-            if heard.from_afar && known != self.parts.membership.marks_hash() {
+            if heard.marks_from_other_zone && known != self.parts.membership.marks_hash() {
                 self.spread_in_zone(&me);
             }
         }
@@ -137,7 +137,7 @@
         let from = digest.from.view.clone();
         let fence = digest.tenure_fence;
         self.hear_peer(&digest, &cx.mailbox().address());
-        let events = self.parts.membership.merge(digest, now);
+        let events = self.parts.membership.apply_response(digest, now);
         self.note_members(events);
         if from.zone == self.parts.membership.own().zone {
             let host = from.id.clone();
@@ -147,7 +147,7 @@
         // A peer whose answer goes on asking, since it can't take what it is given, would otherwise
         // be asked again as fast as it answers: some thousand exchanges a second between two hosts.
         // One follow-up saves the wait for the next tick; whatever is left waits for that.
-        if merged.turn == Turn::First && self.parts.membership.owes(&from.id) {
+        if merged.turn == Turn::First && self.parts.membership.has_request_from(&from.id) {
             let digest = self.parts.membership.digest_for(&from, now);
             self.ask(cx.mailbox().address(), from.rpc, digest, Turn::FollowUp);
         }
@@ -209,7 +209,7 @@
     fn tell(&mut self, me: &WeakAddress<Self>, host: &HostView) {
         if host.id != self.parts.membership.own().id {
             let now = self.now();
-            let digest = self.parts.membership.news_for(host, now);
+            let digest = self.parts.membership.push_digest_for(host, now);
             self.ask(me.clone(), host.rpc, digest, Turn::First);
         }
     }
--- a/src/daemon/control/operator.rs
+++ b/src/daemon/control/operator.rs
@@ -56,7 +56,7 @@
             services: services.collect(),
             silent_zones: silent_zones.collect(),
             tenure: tenure.map(|tenure| TenureStatus {
-                fence: self.tenure.list().fence,
+                fence: self.tenure.holder_list().fence,
                 owners: tenure.owners.clone(),
                 provisional: tenure.provisional.iter().cloned().collect(),
                 valid_ms: millis(tenure.valid_until.saturating_sub(now)),
--- a/src/daemon/control/tenure.rs
+++ b/src/daemon/control/tenure.rs
@@ -20,22 +20,22 @@
             incarnation: host.incarnation,
             leaving: host.leaving,
         });
-        self.tenure_on(Event::Hosts(near.collect()), me);
+        self.tenure_on(Event::LiveHosts(near.collect()), me);
         self.tenure_on(Event::Tick, me);
-        self.parts.membership.prefer(self.tenure.witnesses());
+        self.parts.membership.set_preferred(self.tenure.witnesses());
     }
 
     /// Gives the keeper an event and carries out what it asks for.
     pub(super) fn tenure_on(&mut self, event: Event, me: &WeakAddress<Self>) {
         let now = self.now();
-        for action in self.tenure.on(event, now) {
+        for action in self.tenure.handle(event, now) {
             if let Action::Note(kind) = action {
                 self.note(kind);
                 continue;
             }
             let (platform, clock) = (self.parts.platform.clone(), self.parts.clock.clone());
             let own = self.parts.membership.own();
-            let key = ZoneTenure::key(&self.parts.member, &own.zone);
+            let key = ZoneTenure::object_key(&self.parts.member, &own.zone);
             Self::beside(me.clone(), async move {
                 perform(action, &*platform, &key, &*clock).await.map(TenureHeard)
             });
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -129,7 +129,7 @@
 fn membership(own: &HostView) -> Membership {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let millis = u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or_default();
-    Membership::new(own.clone(), MembershipLimits::default()).started_at(millis)
+    Membership::new(own.clone(), MembershipLimits::default()).with_start_time(millis)
 }
 
 pub(super) fn subscribe(
--- a/src/measure/capacity/exchange.rs
+++ b/src/measure/capacity/exchange.rs
@@ -7,7 +7,7 @@
     rpc, target,
 };
 use crate::{
-    membership::{Digest, Fleet, Notes},
+    membership::{Digest, Payload, SimulatedFleet},
     prelude::*,
 };
 
@@ -91,8 +91,8 @@
 }
 
 fn watch(zones: usize, per_zone: usize) -> Seen {
-    let mut fleet = Fleet::new(zones, per_zone, 7);
-    fleet.count = Some(packed_len);
+    let mut fleet = SimulatedFleet::new(zones, per_zone, 7);
+    fleet.message_size = Some(packed_len);
     fleet.run(SETTLE);
     for node in &mut fleet.nodes {
         (node.bytes, node.messages) = (0, 0);
@@ -105,8 +105,9 @@
     let messages: u64 = fleet.nodes.iter().map(|node| node.messages).sum();
     let digest = fleet.nodes[0].membership.digest(fleet.now);
     let sequence = 1;
-    fleet.publish(0, Notes { sequence, ..Notes::default() });
-    let known = |fleet: &Fleet| fleet.nodes.iter().all(|node| node.notes.sequence == sequence);
+    fleet.publish(0, Payload { sequence, ..Payload::default() });
+    let known =
+        |fleet: &SimulatedFleet| fleet.nodes.iter().all(|node| node.payload.sequence == sequence);
     let spread = fleet.run_until(PATIENCE, known).unwrap_or(PATIENCE);
     Seen {
         bytes: bytes as f64 / share,
--- a/src/measure/capacity/failures.rs
+++ b/src/measure/capacity/failures.rs
@@ -8,7 +8,7 @@
     target,
 };
 use crate::{
-    membership::{Fleet, MembershipLimits},
+    membership::{MembershipLimits, SimulatedFleet},
     prelude::*,
     tenure,
 };
@@ -103,14 +103,14 @@
     let left = fleet.nodes.len() - gone.len();
     let start = fleet.now;
     let after = bytes_in(&mut fleet, AFTER);
-    let agreed = if fleet.agrees_on(left) {
+    let agreed = if fleet.agrees_on_host_count(left) {
         // It came about within the counted time: run it again to see when.
         let mut again = settled(zones, per_zone);
         bytes_in(&mut again, AFTER);
         gone.iter().for_each(|&at| again.nodes[at].paused = true);
-        again.run_until(PATIENCE, |fleet| fleet.agrees_on(left))
+        again.run_until(PATIENCE, |fleet| fleet.agrees_on_host_count(left))
     } else {
-        let more = fleet.run_until(PATIENCE, |fleet| fleet.agrees_on(left));
+        let more = fleet.run_until(PATIENCE, |fleet| fleet.agrees_on_host_count(left));
         more.map(|_| fleet.now - start)
     };
     let per_host = |bytes: f64, hosts: usize| bytes / AFTER.as_secs_f64() / hosts as f64;
@@ -124,13 +124,13 @@
     let all = fleet.nodes.len();
     // Zones 0 and 1 are one region, 2 and 3 another.
     for (a, b) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
-        fleet.cut(a, b);
-        fleet.cut(b, a);
+        fleet.partition(a, b);
+        fleet.partition(b, a);
     }
     fleet.run(Duration::from_secs(60));
-    let together = fleet.agrees_on(all);
+    let together = fleet.agrees_on_host_count(all);
     fleet.heal();
-    let healed = fleet.run_until(PATIENCE, |fleet| fleet.agrees_on(all));
+    let healed = fleet.run_until(PATIENCE, |fleet| fleet.agrees_on_host_count(all));
     let held = if together { "all hosts still know all" } else { "some hosts miss others" };
     format!(
         "{held} at its end, by way of other regions; after it {}; each home goes on under half \
@@ -139,15 +139,16 @@
     )
 }
 
-fn settled(zones: usize, per_zone: usize) -> Fleet {
-    let mut fleet = Fleet::new(zones, per_zone, 7);
-    fleet.count = Some(packed_len);
+fn settled(zones: usize, per_zone: usize) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(zones, per_zone, 7);
+    fleet.message_size = Some(packed_len);
     fleet.run(SETTLE + MembershipLimits::default().slack(per_zone));
     fleet
 }
 
-fn bytes_in(fleet: &mut Fleet, time: Duration) -> f64 {
-    let sum = |fleet: &Fleet| fleet.nodes.iter().map(|node| node.bytes as f64).sum::<f64>();
+fn bytes_in(fleet: &mut SimulatedFleet, time: Duration) -> f64 {
+    let sum =
+        |fleet: &SimulatedFleet| fleet.nodes.iter().map(|node| node.bytes as f64).sum::<f64>();
     let before = sum(fleet);
     fleet.run(time);
     sum(fleet) - before
--- a/src/measure/capacity/memory.rs
+++ b/src/measure/capacity/memory.rs
@@ -16,7 +16,7 @@
     ledger::LedgerLimits,
     lookup::BlockPart,
     manifest::{Part, split},
-    membership::Fleet,
+    membership::SimulatedFleet,
     prelude::*,
     timeline::DEFAULT_CAPACITY,
 };
@@ -95,8 +95,8 @@
 }
 
 /// A fleet whose hosts all know each other.
-fn settled(hosts: usize) -> Fleet {
-    let mut fleet = Fleet::new(target::ZONES, hosts / target::ZONES, 7);
+fn settled(hosts: usize) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(target::ZONES, hosts / target::ZONES, 7);
     fleet.run(SETTLE);
     fleet
 }
--- a/src/measure/capacity/ownership.rs
+++ b/src/measure/capacity/ownership.rs
@@ -26,7 +26,7 @@
         cost_ns(|| path.show())
     });
     let tick = MembershipLimits::default().tick.as_secs_f64();
-    let reads = target::DAEMONS as f64 / tenure::READ_WHEN_CONFIRMED.as_secs_f64();
+    let reads = target::DAEMONS as f64 / tenure::CONFIRMED_READ_INTERVAL.as_secs_f64();
     let loads = vec![
         Load::measured(
             Resource::ControlCpu,
@@ -38,7 +38,7 @@
             reads,
             format!(
                 "each daemon reads its zone's list every {:?} while its peers answer",
-                tenure::READ_WHEN_CONFIRMED,
+                tenure::CONFIRMED_READ_INTERVAL,
             ),
         ),
     ];
--- a/src/measure/capacity/platform.rs
+++ b/src/measure/capacity/platform.rs
@@ -20,7 +20,7 @@
     let daemons = target::DAEMONS as f64;
     let watches = zones * RELAYS;
     let moves = 2.0 * (target::RESTARTS_PER_DAY + target::HOST_FAILURES_PER_DAY);
-    let lapsing = target::hosts_per_zone() as f64 / tenure::READ_WHEN_LAPSING.as_secs_f64();
+    let lapsing = target::hosts_per_zone() as f64 / tenure::UNCONFIRMED_READ_INTERVAL.as_secs_f64();
     let loads = vec![
         Load::worked_out(
             Resource::PlatformReads,
--- a/src/measure/membership/mod.rs
+++ b/src/measure/membership/mod.rs
@@ -16,7 +16,7 @@
 use crate::{
     drain::DrainRecord,
     manifest::DrainScope,
-    membership::{Digest, Fleet, Notes},
+    membership::{Digest, Payload, SimulatedFleet},
     peer::Envelope,
     prelude::*,
     timeline::HybridTime,
@@ -59,7 +59,7 @@
 /// Measures one size.
 pub fn measure(size: Size, rpc: &RpcCost, seed: u64) -> Row {
     let mut fleet = settled(size, seed);
-    fleet.count = Some(on_the_wire);
+    fleet.message_size = Some(on_the_wire);
     for node in &mut fleet.nodes {
         node.events.clear();
     }
@@ -90,15 +90,15 @@
     }
 }
 
-fn settled(size: Size, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(size.zones, size.per_zone, seed);
-    fleet.run_until(LIMIT, |fleet| fleet.agrees_on(size.hosts()));
+fn settled(size: Size, seed: u64) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(size.zones, size.per_zone, seed);
+    fleet.run_until(LIMIT, |fleet| fleet.agrees_on_host_count(size.hosts()));
     fleet.run(Duration::from_secs(10));
     fleet
 }
 
 /// Median and longest time over the trials; a trial that ended in the limit counts as the limit.
-fn spread(size: Size, seed: u64, trial: fn(&mut Fleet) -> Option<Duration>) -> (f64, f64) {
+fn spread(size: Size, seed: u64, trial: fn(&mut SimulatedFleet) -> Option<Duration>) -> (f64, f64) {
     let mut fleet = settled(size, seed + 1);
     let mut times = Vec::new();
     for _ in 0..TRIALS {
@@ -108,25 +108,25 @@
     (times[times.len() / 2], times[times.len() - 1])
 }
 
-fn sequence_known(fleet: &mut Fleet) -> Option<Duration> {
-    let mut notes = fleet.nodes[0].notes.clone();
-    notes.sequence += 1;
-    let sequence = notes.sequence;
-    fleet.publish(0, notes);
-    let known = |notes: &Notes| notes.sequence == sequence;
-    fleet.run_until(LIMIT, |fleet| fleet.nodes.iter().all(|node| known(&node.notes)))
+fn sequence_known(fleet: &mut SimulatedFleet) -> Option<Duration> {
+    let mut payload = fleet.nodes[0].payload.clone();
+    payload.sequence += 1;
+    let sequence = payload.sequence;
+    fleet.publish(0, payload);
+    let known = |payload: &Payload| payload.sequence == sequence;
+    fleet.run_until(LIMIT, |fleet| fleet.nodes.iter().all(|node| known(&node.payload)))
 }
 
-fn drain_known(fleet: &mut Fleet) -> Option<Duration> {
-    let mut notes = fleet.nodes[0].notes.clone();
+fn drain_known(fleet: &mut SimulatedFleet) -> Option<Duration> {
+    let mut payload = fleet.nodes[0].payload.clone();
     // The last one only, so that the set stays as small as it is in use.
-    notes.drains.clear();
+    payload.drains.clear();
     for node in &mut fleet.nodes {
-        node.notes.drains.clear();
-        node.membership.set_notes(node.notes.clone());
+        node.payload.drains.clear();
+        node.membership.set_payload(node.payload.clone());
     }
     let id: Arc<str> = format!("drain-{:?}", fleet.now).into();
-    notes.drains.push(DrainRecord {
+    payload.drains.push(DrainRecord {
         at: HybridTime { millis: 1, count: 0 },
         by: "operator".into(),
         id: id.clone(),
@@ -137,18 +137,18 @@
         under: 1,
         undone: None,
     });
-    fleet.publish(0, notes);
-    let known = |notes: &Notes| notes.drains.iter().any(|drain| drain.id == id);
-    fleet.run_until(LIMIT, |fleet| fleet.nodes.iter().all(|node| known(&node.notes)))
+    fleet.publish(0, payload);
+    let known = |payload: &Payload| payload.drains.iter().any(|drain| drain.id == id);
+    fleet.run_until(LIMIT, |fleet| fleet.nodes.iter().all(|node| known(&node.payload)))
 }
 
 /// A host stops answering; ends when no other host counts it as live. It is then let go on.
-fn loss_known(fleet: &mut Fleet) -> Option<Duration> {
+fn loss_known(fleet: &mut SimulatedFleet) -> Option<Duration> {
     let all = fleet.nodes.len();
     fleet.nodes[1].paused = true;
-    let took = fleet.run_until(LIMIT, |fleet| fleet.agrees_on(all - 1));
+    let took = fleet.run_until(LIMIT, |fleet| fleet.agrees_on_host_count(all - 1));
     fleet.nodes[1].paused = false;
-    fleet.run_until(LIMIT, |fleet| fleet.agrees_on(all));
+    fleet.run_until(LIMIT, |fleet| fleet.agrees_on_host_count(all));
     fleet.run(Duration::from_secs(5));
     took
 }
--- a/src/measure/membership/rpc.rs
+++ b/src/measure/membership/rpc.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::{
-    membership::{Digest, Fleet},
+    membership::{Digest, SimulatedFleet},
     peer::{Envelope, PeerClient, PeerHandler, PeerKeys, PeerServer, Result},
     prelude::*,
     settings::Secret,
@@ -34,7 +34,7 @@
     let keys = PeerKeys { member: member.clone(), operator: Secret::new("o"), peer: key.clone() };
     let server = PeerServer::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo), keys).await?;
     let client = PeerClient::open(key, member.clone());
-    let fleet = Fleet::new(5, 2, 1);
+    let fleet = SimulatedFleet::new(5, 2, 1);
     let digest = fleet.nodes[0].membership.digest(fleet.now);
     let around = bytes_around(&client, server.local_addr(), &member, &digest).await?;
     let start = processor_time();
--- a/src/membership/hints.rs
+++ b/src/membership/contacts.rs
@@ -5,30 +5,30 @@
 use crate::{prelude::*, view::HostView};
 
 /// A named host is asked this often and then dropped: the list it came from may be old.
-const MAX_TRIES: u32 = 20;
+const MAX_ATTEMPTS: u32 = 20;
 
 /// Most named hosts held.
-const MAX_NAMED: usize = 1024;
+const MAX_UNCONFIRMED: usize = 1024;
 
 /// Hosts to ask that are not known to live.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Hints {
-    named: BTreeMap<HostId, (HostView, u32)>,
+pub(super) struct Contacts {
+    unconfirmed: BTreeMap<HostId, (HostView, u32)>,
     /// Addresses from the settings, under their own text as name. These stay for good: after a long
     /// cut they may be all that is left.
     seeds: Vec<HostView>,
 }
 
-impl Hints {
-    pub fn name(&mut self, hosts: impl IntoIterator<Item = HostView>) {
+impl Contacts {
+    pub fn add(&mut self, hosts: impl IntoIterator<Item = HostView>) {
         for host in hosts {
-            if self.named.len() < MAX_NAMED {
-                self.named.entry(host.id.clone()).or_insert((host, 0));
+            if self.unconfirmed.len() < MAX_UNCONFIRMED {
+                self.unconfirmed.entry(host.id.clone()).or_insert((host, 0));
             }
         }
     }
 
-    pub fn seed(&mut self, own: &HostView, addresses: impl Iterator<Item = SocketAddr>) {
+    pub fn add_seeds(&mut self, own: &HostView, addresses: impl Iterator<Item = SocketAddr>) {
         self.seeds.extend(addresses.map(|rpc| HostView {
             address: rpc,
             id: rpc.to_string().into(),
@@ -43,22 +43,22 @@
     }
 
     /// A named host to ask now, of the own zone first.
-    pub fn next(&mut self, zone: &ZoneId, rng: &mut impl Rng) -> Option<HostView> {
+    pub fn next_unconfirmed(&mut self, zone: &ZoneId, rng: &mut impl Rng) -> Option<HostView> {
         let near = |(host, _): &&mut (HostView, u32)| host.zone == *zone;
-        let (host, tries) = match self.named.values_mut().filter(near).choose(rng) {
-            Some(hint) => hint,
-            None => self.named.values_mut().choose(rng)?,
+        let (host, attempts) = match self.unconfirmed.values_mut().filter(near).choose(rng) {
+            Some(contact) => contact,
+            None => self.unconfirmed.values_mut().choose(rng)?,
         };
-        *tries += 1;
-        let (host, tries) = (host.clone(), *tries);
-        if MAX_TRIES <= tries {
-            self.named.remove(&host.id);
+        *attempts += 1;
+        let (host, attempts) = (host.clone(), *attempts);
+        if MAX_ATTEMPTS <= attempts {
+            self.unconfirmed.remove(&host.id);
         }
         Some(host)
     }
 
     /// Drops a host that was heard.
-    pub fn forget(&mut self, host: &HostView) {
-        self.named.remove(&host.id);
+    pub fn remove(&mut self, host: &HostView) {
+        self.unconfirmed.remove(&host.id);
     }
 }
--- a/src/membership/digest.rs
+++ b/src/membership/digest.rs
@@ -1,6 +1,6 @@
 //! What two hosts tell each other in one exchange.
 
-use super::notes::BaselineNote;
+use super::payload::BaselineEntry;
 use crate::{drain::DrainRecord, prelude::*, quarantine::Mark, tenure::ZoneTenure, view::HostView};
 
 /// What one host tells another. Each list holds only what the other may lack; fields that an older
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Digest {
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub baselines: Vec<BaselineNote>,
+    pub baselines: Vec<BaselineEntry>,
     /// Newest baselines that the sender holds, in milliseconds of wall-clock time.
     #[serde(default)]
     pub baselines_at: u64,
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -3,14 +3,14 @@
 use super::{
     digest::{Digest, HostEntry},
     event::MembershipEvent,
-    machine::{Membership, Owed},
+    machine::{Membership, PeerRequest},
 };
 use crate::{prelude::*, view::HostView};
 
 impl Membership {
     /// What this host tells any peer.
     pub fn digest(&self, now: Moment) -> Digest {
-        let mut digest = self.head(now);
+        let mut digest = self.digest_header(now);
         digest.beats = self.roster.beats(&self.own);
         digest.zones = self.zones.summaries().collect();
         digest.zones.push(self.zone_summary());
@@ -18,96 +18,97 @@
     }
 
     /// What this host tells that peer: leaves out what the peer has no use for, and adds what it
-    /// asked for in its last answer.
+    /// asked for in its last response.
     pub fn digest_for(&mut self, to: &HostView, now: Moment) -> Digest {
         let mut digest = self.digest(now);
         if to.zone != self.own.view.zone {
             digest.beats.clear();
         }
-        let owed = self.owed.remove(&to.id).unwrap_or_default();
-        self.give(&owed, &mut digest, now);
+        let request = self.peer_requests.remove(&to.id).unwrap_or_default();
+        self.add_requested(&request, &mut digest, now);
         digest
     }
 
     /// The same with drains and marks, without waiting for the peer to ask for them.
-    pub fn news_for(&mut self, to: &HostView, now: Moment) -> Digest {
-        let owed = self.owed.entry(to.id.clone()).or_default();
-        owed.drains = true;
-        owed.marks = true;
+    pub fn push_digest_for(&mut self, to: &HostView, now: Moment) -> Digest {
+        let request = self.peer_requests.entry(to.id.clone()).or_default();
+        request.drains = true;
+        request.marks = true;
         self.digest_for(to, now)
     }
 
     /// Hash of the marks that this host holds.
     pub fn marks_hash(&self) -> u64 {
-        self.notes_hashes.marks
+        self.payload_hashes.marks
     }
 
-    /// Whether that peer asked for more in its answer; a second exchange at once then saves it the
+    /// Whether that peer asked for more in its response; a second exchange at once then saves it the
     /// wait for the next tick.
-    pub fn owes(&self, peer: &HostId) -> bool {
-        self.owed.contains_key(peer)
+    pub fn has_request_from(&self, peer: &HostId) -> bool {
+        self.peer_requests.contains_key(peer)
     }
 
     /// Takes over what a peer tells, and answers with what the peer lacks.
     pub fn receive(&mut self, digest: &Digest, now: Moment) -> Digest {
-        self.take(digest, now);
-        let mut answer = self.head(now);
-        let near = self.is_near(digest);
-        if near && digest.roster == answer.roster {
-            answer.beats = self.roster.beats(&self.own);
+        self.apply(digest, now);
+        let mut response = self.digest_header(now);
+        let near = self.is_from_own_zone(digest);
+        if near && digest.roster == response.roster {
+            response.beats = self.roster.beats(&self.own);
         } else if near {
-            answer.hosts = self.roster.entries(now).collect();
-            answer.wants_hosts = digest.hosts.is_empty();
+            response.hosts = self.roster.entries(now).collect();
+            response.wants_hosts = digest.hosts.is_empty();
         }
-        self.answer_zones(digest, &mut answer);
-        let owed = Owed {
-            drains: digest.drains_hash != answer.drains_hash,
+        self.add_zones(digest, &mut response);
+        let request = PeerRequest {
+            drains: digest.drains_hash != response.drains_hash,
             hosts: digest.wants_hosts && near,
-            marks: digest.marks_hash != answer.marks_hash,
-            tenure: near && digest.tenure_fence < answer.tenure_fence,
+            marks: digest.marks_hash != response.marks_hash,
+            tenure: near && digest.tenure_fence < response.tenure_fence,
             zones: digest.wants.clone(),
         };
-        self.give(&owed, &mut answer, now);
-        if digest.baselines_at < answer.baselines_at {
-            let newer = self.notes.baselines.iter().filter(|note| digest.baselines_at < note.at);
-            answer.baselines = newer.cloned().collect();
+        self.add_requested(&request, &mut response, now);
+        if digest.baselines_at < response.baselines_at {
+            let newer = self.payload.baselines.iter().filter(|note| digest.baselines_at < note.at);
+            response.baselines = newer.cloned().collect();
         }
-        answer
+        response
     }
 
-    /// Takes over a peer's answer.
-    pub fn merge(&mut self, delta: Digest, now: Moment) -> Vec<MembershipEvent> {
+    /// Takes over a peer's response.
+    pub fn apply_response(&mut self, response: Digest, now: Moment) -> Vec<MembershipEvent> {
         let epoch = self.own.epoch;
-        self.take(&delta, now);
-        self.settled |= epoch == self.own.epoch;
-        let owed = Owed {
-            drains: delta.drains_hash != self.notes_hashes.drains,
-            hosts: delta.wants_hosts,
-            marks: delta.marks_hash != self.notes_hashes.marks,
-            tenure: self.is_near(&delta) && delta.tenure_fence < self.notes.tenure.fence,
-            zones: delta.wants,
+        self.apply(&response, now);
+        self.accepted |= epoch == self.own.epoch;
+        let request = PeerRequest {
+            drains: response.drains_hash != self.payload_hashes.drains,
+            hosts: response.wants_hosts,
+            marks: response.marks_hash != self.payload_hashes.marks,
+            tenure: self.is_from_own_zone(&response)
+                && response.tenure_fence < self.payload.tenure.fence,
+            zones: response.wants,
         };
-        if owed.is_something() {
-            self.owed.insert(delta.from.view.id.clone(), owed);
+        if request.asks_for_anything() {
+            self.peer_requests.insert(response.from.view.id.clone(), request);
         }
         std::mem::take(&mut self.events)
     }
 
-    fn head(&self, _now: Moment) -> Digest {
+    fn digest_header(&self, _now: Moment) -> Digest {
         Digest {
             baselines: Vec::new(),
-            baselines_at: self.notes.baselines_at(),
+            baselines_at: self.payload.baselines_at(),
             beats: Vec::new(),
             drains: Vec::new(),
-            drains_hash: self.notes_hashes.drains,
+            drains_hash: self.payload_hashes.drains,
             from: self.own.clone(),
             hosts: Vec::new(),
             marks: Vec::new(),
-            marks_hash: self.notes_hashes.marks,
+            marks_hash: self.payload_hashes.marks,
             roster: self.roster_hash,
-            sequence: self.notes.sequence,
+            sequence: self.payload.sequence,
             tenure: None,
-            tenure_fence: self.notes.tenure.fence,
+            tenure_fence: self.payload.tenure.fence,
             wants: Vec::new(),
             wants_hosts: false,
             zone_hosts: Vec::new(),
@@ -115,24 +116,24 @@
         }
     }
 
-    fn is_near(&self, digest: &Digest) -> bool {
+    fn is_from_own_zone(&self, digest: &Digest) -> bool {
         digest.from.view.zone == self.own.view.zone
     }
 
-    fn give(&self, owed: &Owed, digest: &mut Digest, now: Moment) {
-        if owed.drains {
-            digest.drains = self.notes.drains.clone();
+    fn add_requested(&self, request: &PeerRequest, digest: &mut Digest, now: Moment) {
+        if request.drains {
+            digest.drains = self.payload.drains.clone();
         }
-        if owed.marks {
-            digest.marks = self.notes.marks.clone();
+        if request.marks {
+            digest.marks = self.payload.marks.clone();
         }
-        if owed.tenure {
-            digest.tenure = Some(self.notes.tenure.clone());
+        if request.tenure {
+            digest.tenure = Some(self.payload.tenure.clone());
         }
-        if owed.hosts && digest.hosts.is_empty() {
+        if request.hosts && digest.hosts.is_empty() {
             digest.hosts = self.roster.entries(now).collect();
         }
-        for zone in &owed.zones {
+        for zone in &request.zones {
             let entry = if *zone == self.own.view.zone {
                 Some(self.zone_entry())
             } else {
@@ -143,43 +144,43 @@
         }
     }
 
-    fn answer_zones(&self, digest: &Digest, answer: &mut Digest) {
-        self.zones.answer(&digest.from.view.zone, &digest.zones, answer);
+    fn add_zones(&self, digest: &Digest, response: &mut Digest) {
+        self.zones.add_missing(&digest.from.view.zone, &digest.zones, response);
         let own = self.zone_summary();
         match digest.zones.iter().find(|zone| zone.zone == own.zone) {
-            _ if self.is_near(digest) => answer.zones.push(own),
-            Some(theirs) if theirs.hash == own.hash => answer.zones.push(own),
-            _ => answer.zone_hosts.push(self.zone_entry()),
+            _ if self.is_from_own_zone(digest) => response.zones.push(own),
+            Some(theirs) if theirs.hash == own.hash => response.zones.push(own),
+            _ => response.zone_hosts.push(self.zone_entry()),
         }
         let lacked = digest.zones.iter().filter(|zone| zone.zone != self.own.view.zone);
         let lacked = lacked.filter(|zone| self.zones.lacks(zone));
-        answer.wants = lacked.map(|zone| zone.zone.clone()).collect();
+        response.wants = lacked.map(|zone| zone.zone.clone()).collect();
     }
 
-    fn take(&mut self, digest: &Digest, now: Moment) {
+    fn apply(&mut self, digest: &Digest, now: Moment) {
         if !digest.is_plausible() {
             return;
         }
-        if self.is_near(digest) {
-            self.take_hosts(digest, now);
+        if self.is_from_own_zone(digest) {
+            self.apply_hosts(digest, now);
         }
-        self.hints.forget(&digest.from.view);
-        self.take_zones(digest, now);
-        self.take_notes(digest);
+        self.contacts.remove(&digest.from.view);
+        self.apply_zones(digest, now);
+        self.collect_payload(digest);
     }
 
-    fn take_hosts(&mut self, digest: &Digest, now: Moment) {
+    fn apply_hosts(&mut self, digest: &Digest, now: Moment) {
         let hosts = digest.hosts.iter().take(self.limits.max_entries);
         for entry in std::iter::once(&digest.from).chain(hosts) {
             if entry.view.id == self.own.view.id {
-                self.meet_namesake(entry);
+                self.resolve_name_conflict(entry);
             } else if entry.view.zone == self.own.view.zone {
                 self.roster.merge(entry.clone(), now, &self.limits, &mut self.events);
             }
         }
         self.rehash_if_changed();
         if digest.roster == self.roster_hash {
-            self.roster.hear(&self.own.view.id, &digest.beats, now, &mut self.events);
+            self.roster.apply_beats(&self.own.view.id, &digest.beats, now, &mut self.events);
             self.rehash_if_changed();
         }
     }
@@ -187,11 +188,11 @@
     /// Another process under this host's name: either this host's predecessor, of which peers still
     /// tell, or its successor. A host that its peers have accepted before can only be the older of
     /// the two if the other has the higher epoch.
-    fn meet_namesake(&mut self, entry: &HostEntry) {
+    fn resolve_name_conflict(&mut self, entry: &HostEntry) {
         if entry.view.incarnation == self.own.view.incarnation || entry.epoch < self.own.epoch {
             return;
         }
-        if self.settled && self.own.epoch < entry.epoch {
+        if self.accepted && self.own.epoch < entry.epoch {
             if !std::mem::replace(&mut self.superseded, true) {
                 self.events.push(MembershipEvent::Superseded);
             }
@@ -201,41 +202,43 @@
         self.rehash();
     }
 
-    fn take_zones(&mut self, digest: &Digest, now: Moment) {
+    fn apply_zones(&mut self, digest: &Digest, now: Moment) {
         let own_zone = self.own.view.zone.clone();
         for entry in digest.zone_hosts.iter().take(self.limits.max_entries) {
             let zone = &entry.summary.zone;
             if *zone == own_zone {
                 self.zone_beat = self.zone_beat.max(entry.summary.beat);
-                self.hint(entry.hosts.iter().cloned());
+                self.add_contacts(entry.hosts.iter().cloned());
             } else if entry.hosts.iter().all(|host| host.zone == *zone) {
-                self.zones.adopt(entry.clone(), now, &mut self.events);
+                self.zones.apply_entry(entry.clone(), now, &mut self.events);
             }
         }
         for summary in digest.zones.iter().take(self.limits.max_entries) {
             if summary.zone == own_zone {
                 self.zone_beat = self.zone_beat.max(summary.beat);
             } else {
-                self.zones.hear(summary, now, &mut self.events);
+                self.zones.apply_summary(summary, now, &mut self.events);
             }
         }
     }
 
-    fn take_notes(&mut self, digest: &Digest) {
-        let known = self.heard.manifest.as_ref().map_or(0, |(sequence, _)| *sequence);
-        if self.notes.sequence.max(known) < digest.sequence {
-            self.heard.manifest = Some((digest.sequence, digest.from.view.rpc));
+    fn collect_payload(&mut self, digest: &Digest) {
+        let known = self.received.manifest.as_ref().map_or(0, |(sequence, _)| *sequence);
+        if self.payload.sequence.max(known) < digest.sequence {
+            self.received.manifest = Some((digest.sequence, digest.from.view.rpc));
         }
-        if let Some(tenure) = digest.tenure.as_ref().filter(|_| self.is_near(digest)) {
-            let known = self.heard.tenure.as_ref().map_or(self.notes.tenure.fence, |t| t.fence);
+        if let Some(tenure) = digest.tenure.as_ref().filter(|_| self.is_from_own_zone(digest)) {
+            let known =
+                self.received.tenure.as_ref().map_or(self.payload.tenure.fence, |t| t.fence);
             if known < tenure.fence {
-                self.heard.tenure = Some(tenure.clone());
+                self.received.tenure = Some(tenure.clone());
             }
         }
         let bound = self.limits.max_entries;
-        self.heard.drains.extend(digest.drains.iter().take(bound).cloned());
-        self.heard.from_afar |= !self.is_near(digest) && !digest.marks.is_empty();
-        self.heard.marks.extend(digest.marks.iter().take(bound).cloned());
-        self.heard.baselines.extend(digest.baselines.iter().take(bound).cloned());
+        self.received.drains.extend(digest.drains.iter().take(bound).cloned());
+        self.received.marks_from_other_zone |=
+            !self.is_from_own_zone(digest) && !digest.marks.is_empty();
+        self.received.marks.extend(digest.marks.iter().take(bound).cloned());
+        self.received.baselines.extend(digest.baselines.iter().take(bound).cloned());
     }
 }
--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -5,11 +5,11 @@
 use rand::{Rng, seq::IndexedRandom, seq::SliceRandom};
 
 use super::{
+    contacts::Contacts,
     digest::{HostEntry, ZoneEntry, ZoneSummary},
     event::MembershipEvent,
-    hints::Hints,
     limits::MembershipLimits,
-    notes::{Heard, Notes, NotesHashes, hash_of},
+    payload::{Payload, PayloadHashes, ReceivedPayload, hash_of},
     roster::Roster,
     zones::Zones,
 };
@@ -29,19 +29,19 @@
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(super) events: Vec<MembershipEvent>,
-    pub(super) heard: Heard,
-    pub(super) hints: Hints,
+    pub(super) received: ReceivedPayload,
+    pub(super) contacts: Contacts,
     pub(super) limits: MembershipLimits,
-    pub(super) notes: Notes,
-    pub(super) notes_hashes: NotesHashes,
+    pub(super) payload: Payload,
+    pub(super) payload_hashes: PayloadHashes,
     pub(super) own: HostEntry,
     /// What a peer asked for in its last answer; goes into the next digest for it.
-    pub(super) owed: BTreeMap<HostId, Owed>,
+    pub(super) peer_requests: BTreeMap<HostId, PeerRequest>,
     pub(super) roster: Roster,
     /// Hash of the roster, kept since most exchanges change heartbeats only.
     pub(super) roster_hash: u64,
     /// Whether a peer has accepted this incarnation.
-    pub(super) settled: bool,
+    pub(super) accepted: bool,
     pub(super) superseded: bool,
     pub(super) zone_beat: u64,
     /// Hash of the live hosts of the own zone.
@@ -58,7 +58,7 @@
 
 /// What a peer asked for.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Owed {
+pub(super) struct PeerRequest {
     pub drains: bool,
     pub hosts: bool,
     pub marks: bool,
@@ -66,8 +66,8 @@
     pub zones: Vec<ZoneId>,
 }
 
-impl Owed {
-    pub fn is_something(&self) -> bool {
+impl PeerRequest {
+    pub fn asks_for_anything(&self) -> bool {
         self.drains || self.hosts || self.marks || self.tenure || !self.zones.is_empty()
     }
 }
@@ -78,20 +78,20 @@
         let own = HostEntry { age_ms: 0, beat: 1, epoch: 0, revision: 0, view: own };
         let mut membership = Self {
             events: Vec::new(),
-            heard: Heard::default(),
-            hints: Hints::default(),
+            received: ReceivedPayload::default(),
+            contacts: Contacts::default(),
             last_tick: None,
             limits,
-            notes: Notes::default(),
-            notes_hashes: NotesHashes::default(),
-            owed: BTreeMap::new(),
+            payload: Payload::default(),
+            payload_hashes: PayloadHashes::default(),
+            peer_requests: BTreeMap::new(),
             own,
             preferred: Vec::new(),
             preferred_next: 0,
             roster: Roster::default(),
             roster_hash: 0,
             round: Vec::new(),
-            settled: false,
+            accepted: false,
             superseded: false,
             zone_beat: 1,
             zone_hash: 0,
@@ -103,7 +103,7 @@
 
     /// Sets the wall-clock milliseconds of this start: of two processes under one host name, the
     /// one that started later stays. With the clocks wrong the new one learns it from its peers.
-    pub fn started_at(mut self, wall_millis: u64) -> Self {
+    pub fn with_start_time(mut self, wall_millis: u64) -> Self {
         self.own.epoch = wall_millis;
         self.rehash();
         self
@@ -111,20 +111,20 @@
 
     /// Names hosts that may live, from the settings or from the platform's list. They are asked,
     /// but not counted as live before they answer.
-    pub fn hint(&mut self, hosts: impl IntoIterator<Item = HostView>) {
-        let unknown = hosts.into_iter().filter(|host| !self.knows(host)).collect::<Vec<_>>();
-        self.hints.name(unknown);
+    pub fn add_contacts(&mut self, hosts: impl IntoIterator<Item = HostView>) {
+        let unknown = hosts.into_iter().filter(|host| !self.is_live(host)).collect::<Vec<_>>();
+        self.contacts.add(unknown);
     }
 
     /// Names RPC addresses to start from, and to go back to when nobody else answers.
-    pub fn seed(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_seeds(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let own = self.own.view.rpc;
-        self.hints.seed(&self.own.view, addresses.into_iter().filter(|rpc| *rpc != own));
+        self.contacts.add_seeds(&self.own.view, addresses.into_iter().filter(|rpc| *rpc != own));
     }
 
     /// Names hosts of the zone that this one has to hear from often: one of them, by turns, is among
     /// the partners of each tick. The rest of the partners stay random, so that news still spreads.
-    pub fn prefer(&mut self, hosts: Vec<HostId>) {
+    pub fn set_preferred(&mut self, hosts: Vec<HostId>) {
         self.preferred = hosts;
     }
 
@@ -139,20 +139,20 @@
     }
 
     /// Sets what this host holds for the others to know.
-    pub fn set_notes(&mut self, notes: Notes) {
-        self.notes = notes;
-        self.notes_hashes = NotesHashes::of(&self.notes);
+    pub fn set_payload(&mut self, payload: Payload) {
+        self.payload = payload;
+        self.payload_hashes = PayloadHashes::of(&self.payload);
     }
 
     /// Takes what came along in exchanges for other slices.
-    pub fn take_heard(&mut self) -> Heard {
-        std::mem::take(&mut self.heard)
+    pub fn take_received(&mut self) -> ReceivedPayload {
+        std::mem::take(&mut self.received)
     }
 
     /// Tells the peers that new bindings name another ledger generation.
     pub fn set_generation(&mut self, generation: Generation) {
         self.own.view.generation = generation;
-        self.revise();
+        self.bump_revision();
     }
 
     /// Tells the peers that this host answers for a stopped incarnation whose ledger it took over.
@@ -161,7 +161,7 @@
             self.own.view.adopted.push(stopped);
             let past = self.own.view.adopted.len().saturating_sub(MAX_ADOPTED);
             self.own.view.adopted.drain(..past);
-            self.revise();
+            self.bump_revision();
         }
     }
 
@@ -178,17 +178,17 @@
     /// Tells the peers that this host is stopping.
     pub fn leave(&mut self) {
         self.own.view.leaving = true;
-        self.revise();
+        self.bump_revision();
     }
 
     /// Whom to exchange with at this tick.
-    pub fn partners(&mut self, _now: Moment, rng: &mut impl Rng) -> Vec<HostView> {
+    pub fn choose_partners(&mut self, _now: Moment, rng: &mut impl Rng) -> Vec<HostView> {
         if self.superseded {
             return Vec::new();
         }
         let mut partners = self.zone_partners(rng);
-        partners.extend(self.far_partner(rng));
-        let named = self.hints.next(&self.own.view.zone, rng);
+        partners.extend(self.other_zone_partner(rng));
+        let named = self.contacts.next_unconfirmed(&self.own.view.zone, rng);
         let idle = partners.is_empty() && named.is_none();
         partners.extend(named);
         if idle || rng.random_ratio(1, PROBE_ONE_IN) {
@@ -199,7 +199,7 @@
 
     /// Moves this host's heartbeat on, and suspects and forgets by silence. Once a second.
     pub fn tick(&mut self, now: Moment) -> Vec<MembershipEvent> {
-        self.skip_own_pause(now);
+        self.discount_own_pause(now);
         self.own.beat += 1;
         self.zone_beat += 1;
         self.roster.tick(now, &self.limits, &mut self.events);
@@ -267,26 +267,26 @@
         self.zone_hash = hash_of(&self.zone_hosts());
     }
 
-    fn revise(&mut self) {
+    fn bump_revision(&mut self) {
         self.own.revision += 1;
         self.rehash();
     }
 
     /// A host that was paused has heard nobody, which says nothing of the others: without this it
     /// would suspect all peers when it resumes, and take over their targets.
-    fn skip_own_pause(&mut self, now: Moment) {
+    fn discount_own_pause(&mut self, now: Moment) {
         let since = now.saturating_sub(self.last_tick.unwrap_or(now));
         self.last_tick = Some(now);
         if self.limits.tick * PAUSE_TICKS <= since {
             let pause = since.saturating_sub(self.limits.tick);
-            self.roster.skip(pause);
-            self.zones.skip(pause);
+            self.roster.shift_last_heard(pause);
+            self.zones.shift_last_heard(pause);
         }
     }
 
     fn zone_partners(&mut self, rng: &mut impl Rng) -> Vec<HostView> {
         let mut partners: Vec<HostView> = self.preferred_partner().into_iter().collect();
-        let wanted = self.limits.peers_in_zone.min(self.roster.live().count());
+        let wanted = self.limits.partners_in_zone.min(self.roster.live().count());
         let mut refilled = false;
         while partners.len() < wanted {
             let Some(id) = self.round.pop() else {
@@ -314,7 +314,7 @@
         Some(record.view.clone())
     }
 
-    fn far_partner(&self, rng: &mut impl Rng) -> Option<HostView> {
+    fn other_zone_partner(&self, rng: &mut impl Rng) -> Option<HostView> {
         let zones = self.zones.hosts_where(false);
         zones.choose(rng)?.choose(rng).cloned()
     }
@@ -324,11 +324,11 @@
         let mut silent: Vec<&HostView> = self.roster.suspected().collect();
         silent.extend(self.roster.forgotten());
         silent.extend(self.zones.hosts_where(true).into_iter().flatten());
-        silent.extend(self.hints.seeds().filter(|seed| !self.knows(seed)));
+        silent.extend(self.contacts.seeds().filter(|seed| !self.is_live(seed)));
         silent.choose(rng).copied().cloned()
     }
 
-    fn knows(&self, host: &HostView) -> bool {
+    fn is_live(&self, host: &HostView) -> bool {
         let live = |other: &HostView| other.id == host.id || other.rpc == host.rpc;
         live(&self.own.view) || self.roster.live().any(live) || self.zones.live().any(live)
     }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -7,19 +7,19 @@
 //!
 //! The shell calls `tick` and then exchanges with each of `partners`, once a second: it sends
 //! `digest_for(partner)`, hands the answer to `merge`; the asked host answers with `receive`.
-//! What came along for other slices is fetched with `take_heard`.
+//! What came along for other slices is fetched with `take_received`.
 
 mod baselines;
+mod contacts;
 mod digest;
 mod event;
 mod exchange;
-mod fleet;
-mod hints;
 mod limits;
 mod machine;
-mod notes;
+mod payload;
 mod record;
 mod roster;
+mod simulation;
 #[cfg(test)]
 mod tests;
 mod zones;
@@ -28,8 +28,8 @@
     baselines::Baselines,
     digest::{Digest, HostEntry, ZoneEntry, ZoneSummary},
     event::MembershipEvent,
-    fleet::{Fleet, Node, zone_id},
     limits::MembershipLimits,
     machine::Membership,
-    notes::{BaselineNote, Heard, Notes},
+    payload::{BaselineEntry, Payload, ReceivedPayload},
+    simulation::{Node, SimulatedFleet, zone_id},
 };
--- a/src/membership/notes.rs
+++ b/src/membership/payload.rs
@@ -6,8 +6,8 @@
 
 /// What this host holds and wants known at every other host.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Notes {
-    pub baselines: Vec<BaselineNote>,
+pub struct Payload {
+    pub baselines: Vec<BaselineEntry>,
     pub drains: Vec<DrainRecord>,
     pub marks: Vec<Mark>,
     /// Sequence of the manifest in force; 0 without one.
@@ -16,7 +16,7 @@
     pub tenure: ZoneTenure,
 }
 
-impl Notes {
+impl Payload {
     /// Hash of the drains; equal sets have equal hashes, since the drain slice keeps them sorted.
     pub fn drains_hash(&self) -> u64 {
         hash_of(&self.drains)
@@ -35,30 +35,30 @@
 
     /// Newest baseline, in milliseconds of wall-clock time; 0 without one.
     pub fn baselines_at(&self) -> u64 {
-        self.baselines.iter().map(|note| note.at).max().unwrap_or_default()
+        self.baselines.iter().map(|entry| entry.at).max().unwrap_or_default()
     }
 }
 
 /// Hashes of the notes, kept since they change far less often than they are told.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct NotesHashes {
+pub(super) struct PayloadHashes {
     pub drains: u64,
     pub marks: u64,
 }
 
-impl NotesHashes {
-    pub fn of(notes: &Notes) -> Self {
-        Self { drains: notes.drains_hash(), marks: notes.marks_hash() }
+impl PayloadHashes {
+    pub fn of(payload: &Payload) -> Self {
+        Self { drains: payload.drains_hash(), marks: payload.marks_hash() }
     }
 }
 
-/// What came along in exchanges since the last `take_heard`; each owner merges its part.
+/// What came along in exchanges since the last `take_received`; each owner merges its part.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
-    pub baselines: Vec<BaselineNote>,
+pub struct ReceivedPayload {
+    pub baselines: Vec<BaselineEntry>,
     pub drains: Vec<DrainRecord>,
     /// Whether some of the marks came from another zone.
-    pub from_afar: bool,
+    pub marks_from_other_zone: bool,
     /// The highest manifest sequence above the own one, and where its holder answers RPC.
     pub manifest: Option<(Sequence, SocketAddr)>,
     pub marks: Vec<Mark>,
@@ -66,7 +66,7 @@
     pub tenure: Option<ZoneTenure>,
 }
 
-impl Heard {
+impl ReceivedPayload {
     /// Whether nothing came along.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -75,7 +75,7 @@
 
 /// A baseline and when its home region set it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct BaselineNote {
+pub struct BaselineEntry {
     /// Wall-clock milliseconds of the host of the home region that set it.
     pub at: u64,
     pub baseline: Baseline,
--- a/src/membership/record.rs
+++ b/src/membership/record.rs
@@ -5,25 +5,25 @@
 
 /// What this host knows of one host of its own zone.
 #[derive(Clone, Debug)]
-pub(super) struct Record {
+pub(super) struct HostRecord {
     pub beat: u64,
     pub epoch: u64,
     /// When `beat` was last seen to rise, less its age at the host that told.
-    pub heard: Moment,
+    pub last_heard: Moment,
     pub revision: u32,
     pub suspected: bool,
     pub view: HostView,
 }
 
-impl Record {
+impl HostRecord {
     pub fn new(entry: HostEntry, now: Moment) -> Self {
-        let heard = now.saturating_sub(Duration::from_millis(entry.age_ms));
+        let last_heard = now.saturating_sub(Duration::from_millis(entry.age_ms));
         let HostEntry { beat, epoch, revision, view, .. } = entry;
-        Self { beat, epoch, heard, revision, suspected: false, view }
+        Self { beat, epoch, last_heard, revision, suspected: false, view }
     }
 
     pub fn entry(&self, now: Moment) -> HostEntry {
-        let age = now.saturating_sub(self.heard);
+        let age = now.saturating_sub(self.last_heard);
         HostEntry {
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
             beat: self.beat,
@@ -34,12 +34,12 @@
     }
 
     /// Takes over a heartbeat; says whether it is newer than the known one.
-    pub fn hear(&mut self, beat: u64, heard: Moment) -> bool {
+    pub fn advance_beat(&mut self, beat: u64, heard: Moment) -> bool {
         if beat <= self.beat {
             return false;
         }
         self.beat = beat;
-        self.heard = self.heard.max(heard);
+        self.last_heard = self.last_heard.max(heard);
         true
     }
 }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -1,8 +1,8 @@
 //! The hosts of the own zone, this one aside.
 
 use super::{
-    digest::HostEntry, event::MembershipEvent, limits::MembershipLimits, notes::hash_of,
-    record::Record,
+    digest::HostEntry, event::MembershipEvent, limits::MembershipLimits, payload::hash_of,
+    record::HostRecord,
 };
 use crate::{prelude::*, view::HostView};
 
@@ -12,7 +12,7 @@
 /// A host that was forgotten. Without it, a peer that has not forgotten it yet would bring it back.
 #[derive(Clone, Debug)]
 struct Tombstone {
-    at: Moment,
+    forgotten_at: Moment,
     last: HostEntry,
 }
 
@@ -21,7 +21,7 @@
 pub(super) struct Roster {
     /// Whether anything but heartbeats has changed since the last `take_changed`.
     changed: bool,
-    records: BTreeMap<HostId, Record>,
+    records: BTreeMap<HostId, HostRecord>,
     tombstones: BTreeMap<HostId, Tombstone>,
 }
 
@@ -30,7 +30,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    pub fn get(&self, host: &str) -> Option<&Record> {
+    pub fn get(&self, host: &str) -> Option<&HostRecord> {
         self.records.get(host)
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Takes over heartbeats as `beats` lists them.
-    pub fn hear(
+    pub fn apply_beats(
         &mut self,
         own: &HostId,
         beats: &[u64],
@@ -85,7 +85,7 @@
         let before_own = self.records.range::<HostId, _>(..own).count();
         let beats = beats.iter().enumerate().filter(|(at, _)| *at != before_own);
         for (record, (_, &beat)) in self.records.values_mut().zip(beats) {
-            if record.hear(beat, now) && std::mem::take(&mut record.suspected) {
+            if record.advance_beat(beat, now) && std::mem::take(&mut record.suspected) {
                 self.changed = true;
                 events.push(MembershipEvent::Returned(record.view.id.clone()));
             }
@@ -104,7 +104,7 @@
     ) {
         let id = entry.view.id.clone();
         let Some(known) = self.records.get_mut(&id) else {
-            return self.join(entry, now, limits, events);
+            return self.insert_new(entry, now, limits, events);
         };
         let same = known.view.incarnation == entry.view.incarnation;
         if !same {
@@ -112,7 +112,7 @@
                 || (known.epoch == entry.epoch && known.suspected && entry.age_ms == 0);
             if newer {
                 self.changed = true;
-                let old = std::mem::replace(known, Record::new(entry, now));
+                let old = std::mem::replace(known, HostRecord::new(entry, now));
                 if !old.view.leaving {
                     events.push(MembershipEvent::Left(old.view));
                 }
@@ -130,7 +130,7 @@
             }
         }
         let heard = now.saturating_sub(Duration::from_millis(entry.age_ms));
-        if known.hear(entry.beat, heard) && std::mem::take(&mut known.suspected) {
+        if known.advance_beat(entry.beat, heard) && std::mem::take(&mut known.suspected) {
             self.changed = true;
             events.push(MembershipEvent::Returned(id));
         }
@@ -144,14 +144,15 @@
         events: &mut Vec<MembershipEvent>,
     ) {
         let slack = limits.slack(self.records.len() + 1);
-        let (suspect, gone) = (limits.suspect_after + slack, limits.gone_after + slack);
+        let (suspect_after, forget_after) =
+            (limits.suspect_after + slack, limits.forget_after + slack);
         let mut forgotten = Vec::new();
         for (id, record) in &mut self.records {
-            let silence = now.saturating_sub(record.heard);
-            let patience = if record.view.leaving { suspect } else { gone };
-            if patience <= silence {
+            let silence = now.saturating_sub(record.last_heard);
+            let remove_after = if record.view.leaving { suspect_after } else { forget_after };
+            if remove_after <= silence {
                 forgotten.push(id.clone());
-            } else if suspect <= silence && !record.suspected {
+            } else if suspect_after <= silence && !record.suspected {
                 record.suspected = true;
                 self.changed = true;
                 events.push(MembershipEvent::Suspected(id.clone()));
@@ -160,20 +161,21 @@
         for id in forgotten {
             let Some(record) = self.records.remove(&id) else { continue };
             self.changed = true;
-            self.tombstones.insert(id, Tombstone { at: now, last: record.entry(now) });
+            self.tombstones.insert(id, Tombstone { forgotten_at: now, last: record.entry(now) });
             if !record.view.leaving {
                 events.push(MembershipEvent::Left(record.view));
             }
         }
-        self.tombstones.retain(|_, tombstone| now < tombstone.at + gone * TOMBSTONE_FACTOR);
+        self.tombstones
+            .retain(|_, tombstone| now < tombstone.forgotten_at + forget_after * TOMBSTONE_FACTOR);
     }
 
     /// Moves the times of hearing on by a pause of this host.
-    pub fn skip(&mut self, pause: Duration) {
-        self.records.values_mut().for_each(|record| record.heard += pause);
+    pub fn shift_last_heard(&mut self, pause: Duration) {
+        self.records.values_mut().for_each(|record| record.last_heard += pause);
     }
 
-    fn join(
+    fn insert_new(
         &mut self,
         entry: HostEntry,
         now: Moment,
@@ -186,13 +188,13 @@
                 return;
             }
         }
-        let gone = limits.gone_after + limits.slack(self.records.len() + 1);
-        if gone <= Duration::from_millis(entry.age_ms) {
+        let forget_after = limits.forget_after + limits.slack(self.records.len() + 1);
+        if forget_after <= Duration::from_millis(entry.age_ms) {
             return;
         }
         self.tombstones.remove(&entry.view.id);
         self.changed = true;
-        let record = Record::new(entry, now);
+        let record = HostRecord::new(entry, now);
         events.push(MembershipEvent::Joined(record.view.clone()));
         self.records.insert(record.view.id.clone(), record);
     }
--- a/src/membership/fleet.rs
+++ b/src/membership/simulation.rs
@@ -8,28 +8,28 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{Digest, Membership, MembershipEvent, MembershipLimits, Notes};
+use super::{Digest, Membership, MembershipEvent, MembershipLimits, Payload};
 use crate::{prelude::*, view::HostView};
 
 /// Delay between learning news and telling it on; a little over the way between two regions.
-const TELL_ON_AFTER: Duration = Duration::from_millis(60);
+const FORWARD_DELAY: Duration = Duration::from_millis(60);
 
 /// Time between two looks at whether a run is done.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Many hosts and the network between them.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct SimulatedFleet {
     /// Called for each message, to count its size on the wire.
-    pub count: Option<fn(&Digest) -> usize>,
+    pub message_size: Option<fn(&Digest) -> usize>,
     pub nodes: Vec<Node>,
     pub now: Moment,
     by_address: BTreeMap<SocketAddr, Vec<usize>>,
-    cuts: BTreeSet<(ZoneId, ZoneId)>,
+    partitions: BTreeSet<(ZoneId, ZoneId)>,
     due: BinaryHeap<Reverse<(Moment, usize, Round)>>,
     limits: MembershipLimits,
     rng: ChaCha8Rng,
-    started: u64,
+    last_start_ms: u64,
 }
 
 /// One host of the fleet.
@@ -39,7 +39,7 @@
     pub events: Vec<(Moment, MembershipEvent)>,
     pub membership: Membership,
     pub messages: u64,
-    pub notes: Notes,
+    pub payload: Payload,
     /// Neither ticks nor answers.
     pub paused: bool,
     /// Takes messages, but each of its answers is late.
@@ -49,23 +49,23 @@
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Round {
-    News,
+    Push,
     Tick,
 }
 
-impl Fleet {
+impl SimulatedFleet {
     /// `per_zone` hosts in each of `zones`, two zones a region, that were told of one host each.
     pub fn new(zones: usize, per_zone: usize, seed: u64) -> Self {
         let mut fleet = Self {
             by_address: BTreeMap::new(),
-            count: None,
-            cuts: BTreeSet::new(),
+            message_size: None,
+            partitions: BTreeSet::new(),
             due: BinaryHeap::new(),
             limits: MembershipLimits::default(),
             nodes: Vec::new(),
             now: Duration::from_secs(1),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            started: 1_000_000,
+            last_start_ms: 1_000_000,
         };
         for at in 0..zones * per_zone {
             let zone = at % zones;
@@ -76,12 +76,12 @@
 
     /// Starts a host, and says its index.
     pub fn start(&mut self, id: &str, zone: usize, port: usize) -> usize {
-        self.started += 1000;
+        self.last_start_ms += 1000;
         let view = view(id, zone, port, self.rng.random());
         let mut membership =
-            Membership::new(view.clone(), self.limits.clone()).started_at(self.started);
+            Membership::new(view.clone(), self.limits.clone()).with_start_time(self.last_start_ms);
         if let Some(first) = self.nodes.first() {
-            membership.seed([first.membership.own().rpc]);
+            membership.add_seeds([first.membership.own().rpc]);
         }
         self.by_address.entry(view.rpc).or_default().push(self.nodes.len());
         let phase = Duration::from_micros(self.rng.random_range(0..1_000_000));
@@ -91,7 +91,7 @@
             events: Vec::new(),
             membership,
             messages: 0,
-            notes: Notes::default(),
+            payload: Payload::default(),
             paused: false,
             phase,
             slow: false,
@@ -100,20 +100,20 @@
     }
 
     /// Cuts messages from one zone to another, one way.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((zone_id(from), zone_id(to)));
+    pub fn partition(&mut self, from: usize, to: usize) {
+        self.partitions.insert((zone_id(from), zone_id(to)));
     }
 
     /// Lets all messages through again.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
     }
 
     /// Gives a host news, which it tells on.
-    pub fn publish(&mut self, node: usize, notes: Notes) {
-        self.nodes[node].notes = notes.clone();
-        self.nodes[node].membership.set_notes(notes);
-        self.due.push(Reverse((self.now, node, Round::News)));
+    pub fn publish(&mut self, node: usize, payload: Payload) {
+        self.nodes[node].payload = payload.clone();
+        self.nodes[node].membership.set_payload(payload);
+        self.due.push(Reverse((self.now, node, Round::Push)));
     }
 
     /// Runs for that long.
@@ -129,16 +129,16 @@
     pub fn run_until(
         &mut self,
         limit: Duration,
-        done: impl Fn(&Fleet) -> bool,
+        done: impl Fn(&SimulatedFleet) -> bool,
     ) -> Option<Duration> {
         let start = self.now;
-        let mut look_at = start;
+        let mut next_check = start;
         while self.now < start + limit {
-            if look_at <= self.now {
+            if next_check <= self.now {
                 if done(self) {
                     return Some(self.now - start);
                 }
-                look_at = self.now + LOOK_EVERY;
+                next_check = self.now + CHECK_INTERVAL;
             }
             self.step();
         }
@@ -146,13 +146,13 @@
     }
 
     /// Names of the hosts that a host counts as live.
-    pub fn hosts(&self, node: usize) -> Vec<HostId> {
+    pub fn live_hosts(&self, node: usize) -> Vec<HostId> {
         let hosts = self.nodes[node].membership.hosts(self.now);
         hosts.into_iter().map(|host| host.id).collect()
     }
 
     /// Whether each host that is not paused counts `count` hosts as live.
-    pub fn agrees_on(&self, count: usize) -> bool {
+    pub fn agrees_on_host_count(&self, count: usize) -> bool {
         let running = self.nodes.iter().filter(|node| !node.paused);
         running.into_iter().all(|node| node.membership.host_count() == count)
     }
@@ -172,9 +172,9 @@
         }
         if round == Round::Tick {
             let events = self.nodes[at].membership.tick(self.now);
-            self.note(at, events);
+            self.record_events(at, events);
         }
-        let partners = self.nodes[at].membership.partners(self.now, &mut self.rng);
+        let partners = self.nodes[at].membership.choose_partners(self.now, &mut self.rng);
         for partner in partners {
             self.exchange(at, &partner);
         }
@@ -185,62 +185,62 @@
         let Some(at) = at_address.copied().find(|at| !self.nodes[*at].paused) else { return };
         for _ in 0..2 {
             let digest = self.nodes[from].membership.digest_for(to, self.now);
-            self.sent(from, at, &digest);
-            if self.is_cut(from, at) {
+            self.count_message(from, at, &digest);
+            if self.is_partitioned(from, at) {
                 return;
             }
-            let answer = self.nodes[at].membership.receive(&digest, self.now);
-            self.apply_heard(at);
-            self.sent(at, from, &answer);
-            if self.is_cut(at, from) || self.nodes[at].slow {
+            let response = self.nodes[at].membership.receive(&digest, self.now);
+            self.apply_received(at);
+            self.count_message(at, from, &response);
+            if self.is_partitioned(at, from) || self.nodes[at].slow {
                 return;
             }
-            let answerer = answer.from.view.id.clone();
-            let events = self.nodes[from].membership.merge(answer, self.now);
-            self.note(from, events);
-            self.apply_heard(from);
-            if !self.nodes[from].membership.owes(&answerer) {
+            let responder = response.from.view.id.clone();
+            let events = self.nodes[from].membership.apply_response(response, self.now);
+            self.record_events(from, events);
+            self.apply_received(from);
+            if !self.nodes[from].membership.has_request_from(&responder) {
                 return;
             }
         }
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let zone = |at: usize| self.nodes[at].membership.own().zone.clone();
-        self.cuts.contains(&(zone(from), zone(to)))
+        self.partitions.contains(&(zone(from), zone(to)))
     }
 
-    fn sent(&mut self, from: usize, to: usize, digest: &Digest) {
-        let Some(count) = self.count else { return };
-        let size = count(digest) as u64;
+    fn count_message(&mut self, from: usize, to: usize, digest: &Digest) {
+        let Some(message_size) = self.message_size else { return };
+        let size = message_size(digest) as u64;
         for at in [from, to] {
             self.nodes[at].bytes += size;
             self.nodes[at].messages += 1;
         }
     }
 
-    fn note(&mut self, at: usize, events: Vec<MembershipEvent>) {
+    fn record_events(&mut self, at: usize, events: Vec<MembershipEvent>) {
         let now = self.now;
         self.nodes[at].events.extend(events.into_iter().map(|event| (now, event)));
     }
 
-    fn apply_heard(&mut self, at: usize) {
+    fn apply_received(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        let heard = node.membership.take_heard();
-        let mut notes = node.notes.clone();
-        if let Some((sequence, _)) = heard.manifest {
-            notes.sequence = notes.sequence.max(sequence);
+        let received = node.membership.take_received();
+        let mut payload = node.payload.clone();
+        if let Some((sequence, _)) = received.manifest {
+            payload.sequence = payload.sequence.max(sequence);
         }
-        for drain in heard.drains {
-            if notes.drains.iter().all(|known| known.id != drain.id) {
-                notes.drains.push(drain);
-                notes.drains.sort_by(|a, b| a.id.cmp(&b.id));
+        for drain in received.drains {
+            if payload.drains.iter().all(|known| known.id != drain.id) {
+                payload.drains.push(drain);
+                payload.drains.sort_by(|a, b| a.id.cmp(&b.id));
             }
         }
-        if notes != node.notes {
-            node.notes = notes.clone();
-            node.membership.set_notes(notes);
-            self.due.push(Reverse((self.now + TELL_ON_AFTER, at, Round::News)));
+        if payload != node.payload {
+            node.payload = payload.clone();
+            node.membership.set_payload(payload);
+            self.due.push(Reverse((self.now + FORWARD_DELAY, at, Round::Push)));
         }
     }
 }
--- a/src/membership/zones.rs
+++ b/src/membership/zones.rs
@@ -10,7 +10,7 @@
 /// One other zone.
 #[derive(Clone, Debug)]
 struct Zone {
-    heard: Moment,
+    last_heard: Moment,
     hosts: Vec<HostView>,
     region: RegionId,
     silent: bool,
@@ -41,7 +41,7 @@
 
     /// Zones that are silent, and since when.
     pub fn silent(&self) -> impl Iterator<Item = (&ZoneId, Moment)> {
-        self.zones.iter().filter(|(_, zone)| zone.silent).map(|(id, zone)| (id, zone.heard))
+        self.zones.iter().filter(|(_, zone)| zone.silent).map(|(id, zone)| (id, zone.last_heard))
     }
 
     /// Regions of which all known zones are silent.
@@ -65,20 +65,30 @@
     }
 
     /// Takes over a newer beat of a zone whose hosts are as known.
-    pub fn hear(&mut self, theirs: &ZoneSummary, now: Moment, events: &mut Vec<MembershipEvent>) {
+    pub fn apply_summary(
+        &mut self,
+        theirs: &ZoneSummary,
+        now: Moment,
+        events: &mut Vec<MembershipEvent>,
+    ) {
         let Some(zone) = self.zones.get_mut(&theirs.zone) else { return };
         if theirs.beat <= zone.summary.beat || theirs.hash != zone.summary.hash {
             return;
         }
         zone.summary.beat = theirs.beat;
-        zone.heard = now;
+        zone.last_heard = now;
         if std::mem::take(&mut zone.silent) {
             events.extend(zone.hosts.iter().map(|host| MembershipEvent::Returned(host.id.clone())));
         }
     }
 
     /// Takes over a zone with its hosts, if it is newer than the known one.
-    pub fn adopt(&mut self, entry: ZoneEntry, now: Moment, events: &mut Vec<MembershipEvent>) {
+    pub fn apply_entry(
+        &mut self,
+        entry: ZoneEntry,
+        now: Moment,
+        events: &mut Vec<MembershipEvent>,
+    ) {
         let ZoneEntry { hosts, summary } = entry;
         let Some(region) = hosts.first().map(|host| host.region.clone()) else { return };
         let old = self.zones.get(&summary.zone);
@@ -86,22 +96,22 @@
             return;
         }
         let old = old.map(|zone| zone.hosts.clone()).unwrap_or_default();
-        compare(&old, &hosts, events);
-        let zone = Zone { heard: now, hosts, region, silent: false, summary };
+        push_host_changes(&old, &hosts, events);
+        let zone = Zone { last_heard: now, hosts, region, silent: false, summary };
         self.zones.insert(zone.summary.zone.clone(), zone);
     }
 
-    /// Notes the zones that have become silent, and forgets those silent for very long.
+    /// Payload the zones that have become silent, and forgets those silent for very long.
     pub fn tick(
         &mut self,
         now: Moment,
         limits: &MembershipLimits,
         events: &mut Vec<MembershipEvent>,
     ) {
-        let fleet = self.zones.values().map(|zone| zone.hosts.len()).sum();
-        let silent_after = limits.zone_silent_after + limits.slack(fleet);
+        let host_count = self.zones.values().map(|zone| zone.hosts.len()).sum();
+        let suspect_after = limits.suspect_zone_after + limits.slack(host_count);
         for zone in self.zones.values_mut() {
-            if zone.silent || now.saturating_sub(zone.heard) < silent_after {
+            if zone.silent || now.saturating_sub(zone.last_heard) < suspect_after {
                 continue;
             }
             zone.silent = true;
@@ -109,7 +119,7 @@
             events.extend(hosts);
         }
         self.zones.retain(|_, zone| {
-            let keep = now.saturating_sub(zone.heard) < limits.zone_forgotten_after;
+            let keep = now.saturating_sub(zone.last_heard) < limits.forget_zone_after;
             if !keep {
                 events.extend(zone.hosts.drain(..).map(MembershipEvent::Left));
             }
@@ -118,8 +128,8 @@
     }
 
     /// Moves the times of hearing on by a pause of this host.
-    pub fn skip(&mut self, pause: Duration) {
-        self.zones.values_mut().for_each(|zone| zone.heard += pause);
+    pub fn shift_last_heard(&mut self, pause: Duration) {
+        self.zones.values_mut().for_each(|zone| zone.last_heard += pause);
     }
 
     /// Adds to `answer` what the sender of `theirs` lacks of these zones.
@@ -127,24 +137,24 @@
     /// Two hosts of one zone that do not know each other yet describe it differently, each as
     /// newer than the other. The sender is told of any other description of its own zone, so that
     /// the two find each other.
-    pub fn answer(&self, from: &ZoneId, theirs: &[ZoneSummary], answer: &mut Digest) {
+    pub fn add_missing(&self, from: &ZoneId, theirs: &[ZoneSummary], response: &mut Digest) {
         let theirs: BTreeMap<_, _> = theirs.iter().map(|zone| (&zone.zone, zone)).collect();
         for (id, own) in &self.zones {
             match theirs.get(id) {
                 Some(theirs) if own.summary.hash != theirs.hash && id == from => {
-                    answer.zone_hosts.extend(self.entry(id));
+                    response.zone_hosts.extend(self.entry(id));
                 }
                 Some(theirs) if own.summary.beat <= theirs.beat => {}
                 Some(theirs) if own.summary.hash == theirs.hash => {
-                    answer.zones.push(own.summary.clone());
+                    response.zones.push(own.summary.clone());
                 }
-                _ => answer.zone_hosts.extend(self.entry(id)),
+                _ => response.zone_hosts.extend(self.entry(id)),
             }
         }
     }
 }
 
-fn compare(old: &[HostView], new: &[HostView], events: &mut Vec<MembershipEvent>) {
+fn push_host_changes(old: &[HostView], new: &[HostView], events: &mut Vec<MembershipEvent>) {
     let same = |a: &HostView, b: &HostView| a.id == b.id && a.incarnation == b.incarnation;
     let left = |view: &&HostView| match new.iter().find(|other| same(other, view)) {
         Some(other) => other.leaving && !view.leaving,
--- a/src/soak/control.rs
+++ b/src/soak/control.rs
@@ -61,16 +61,16 @@
             running.membership.set_generation(generation);
         }
         let notes = running.notes(now);
-        running.membership.set_notes(notes);
+        running.membership.set_payload(notes);
         running.membership.tick(local);
-        let partners = running.membership.partners(local, &mut running.rng);
+        let partners = running.membership.choose_partners(local, &mut running.rng);
         let mut digests = Vec::new();
         for partner in partners {
             digests.push((partner.rpc, running.membership.digest_for(&partner, local)));
         }
         let hosts = running.zone_hosts(local);
-        let mut actions = running.keeper.on(tenure::Event::Hosts(hosts), local);
-        actions.extend(running.keeper.on(tenure::Event::Tick, local));
+        let mut actions = running.keeper.handle(tenure::Event::LiveHosts(hosts), local);
+        actions.extend(running.keeper.handle(tenure::Event::Tick, local));
         for (rpc, digest) in digests {
             let to = host_of_rpc(rpc);
             let item = Item::Exchange { digest: Box::new(digest), from: process, sent: local, to };
@@ -131,8 +131,8 @@
 
     fn platform_tells(&mut self, to: Process, event: tenure::Event) {
         let (is_read, sent) = match &event {
-            tenure::Event::Read { sent, .. } => (true, *sent),
-            tenure::Event::Written { sent, .. } => (false, *sent),
+            tenure::Event::ReadDone { sent, .. } => (true, *sent),
+            tenure::Event::WriteDone { sent, .. } => (false, *sent),
             _ => return,
         };
         let lost = self.is_active(FaultKind::PlatformLosesAnswers) && self.rng.random_bool(0.5);
@@ -148,7 +148,7 @@
         let found = self.platform.tenures.get(&zone_of_host(by.host)).cloned();
         let result =
             found.map_or(ReadResult::Absent, |(list, version)| ReadResult::Found(list, version));
-        self.platform_tells(by, tenure::Event::Read { result, sent });
+        self.platform_tells(by, tenure::Event::ReadDone { result, sent });
         let signed = self.platform.manifest.clone();
         let item = Item::Manifest { signed, to: by };
         self.send_to(Place::Platform, Place::Host(by.host), item);
@@ -172,13 +172,13 @@
         } else {
             WriteResult::Conflict
         };
-        self.platform_tells(by, tenure::Event::Written { result, sent });
+        self.platform_tells(by, tenure::Event::WriteDone { result, sent });
     }
 
     pub(super) fn tenure(&mut self, event: tenure::Event, to: Process) {
         let now = self.now;
         let Some(running) = self.running(to) else { return };
-        let actions = running.keeper.on(event, running.local(now));
+        let actions = running.keeper.handle(event, running.local(now));
         self.keep(to, actions);
         self.show(to.host);
     }
@@ -197,13 +197,14 @@
         let Some(running) = self.running(to) else { return };
         let local = running.local(now);
         let (fence, host) = (digest.tenure_fence, digest.from.view.id.clone());
-        running.membership.merge(digest, local);
+        running.membership.apply_response(digest, local);
         self.take_heard(to.host);
         if zone_of_host(from) != zone_of_host(to.host) {
             return;
         }
         let Some(running) = self.running(to) else { return };
-        let actions = running.keeper.on(tenure::Event::Acknowledged { fence, host, sent }, local);
+        let actions =
+            running.keeper.handle(tenure::Event::Acknowledged { fence, host, sent }, local);
         self.keep(to, actions);
         self.show(to.host);
     }
@@ -213,7 +214,7 @@
         let now = self.now;
         let Some(running) = self.hosts[host].running.as_mut() else { return };
         let (id, local) = (running.id, running.local(now));
-        let heard = running.membership.take_heard();
+        let heard = running.membership.take_received();
         for note in heard.baselines {
             let key = (note.baseline.home.clone(), note.baseline.service.clone());
             let known = running.baselines.get(&key).map_or(0, |known| known.at);
@@ -221,7 +222,9 @@
                 running.baselines.insert(key, note);
             }
         }
-        let actions = heard.tenure.map(|list| running.keeper.on(tenure::Event::Heard(list), local));
+        let actions = heard
+            .tenure
+            .map(|list| running.keeper.handle(tenure::Event::ListReceived(list), local));
         if let Some(actions) = actions {
             self.keep(id, actions);
             self.show(host);
@@ -295,7 +298,7 @@
 
 fn failed(is_read: bool, sent: Moment) -> tenure::Event {
     if is_read {
-        return tenure::Event::Read { result: ReadResult::Failed, sent };
+        return tenure::Event::ReadDone { result: ReadResult::Failed, sent };
     }
-    tenure::Event::Written { result: WriteResult::Failed, sent }
+    tenure::Event::WriteDone { result: WriteResult::Failed, sent }
 }
--- a/src/soak/host.rs
+++ b/src/soak/host.rs
@@ -12,10 +12,10 @@
 use crate::{
     ledger::SealedLedger,
     manifest::Store,
-    membership::{BaselineNote, Membership, MembershipLimits, Notes},
+    membership::{BaselineEntry, Membership, MembershipLimits, Payload},
     prelude::*,
     routing::{AttemptId, CallId, Router},
-    tenure::{TenureKeeper, ZoneHost},
+    tenure::{TenureManager, ZoneHost},
     view::View,
 };
 
@@ -49,14 +49,14 @@
 pub(super) struct Running {
     /// Where its own clock is zero.
     pub(super) base: Moment,
-    pub(super) baselines: BTreeMap<(RegionId, ServiceId), BaselineNote>,
+    pub(super) baselines: BTreeMap<(RegionId, ServiceId), BaselineEntry>,
     pub(super) calls: BTreeMap<CallId, CallInfo>,
     /// Takes no connection any more.
     pub(super) closed: bool,
     /// Attempts under way; to which host, if not to a target.
     pub(super) flights: BTreeMap<AttemptId, Option<usize>>,
     pub(super) id: Process,
-    pub(super) keeper: TenureKeeper,
+    pub(super) keeper: TenureManager,
     pub(super) membership: Membership,
     pub(super) next_call: CallId,
     /// Whose answer the attempt brought that has just ended.
@@ -73,8 +73,9 @@
         let view = host_view(host, incarnation);
         let zone: ZoneId = view.zone.clone();
         let wall = now.as_millis() as u64;
-        let mut membership = Membership::new(view, MembershipLimits::default()).started_at(wall);
-        membership.seed((0..HOSTS).map(|host| host_view(host, 0).rpc));
+        let mut membership =
+            Membership::new(view, MembershipLimits::default()).with_start_time(wall);
+        membership.add_seeds((0..HOSTS).map(|host| host_view(host, 0).rpc));
         Self {
             base: now - Duration::from_secs(rng.random_range(0..5_000)),
             baselines: BTreeMap::new(),
@@ -82,7 +83,7 @@
             closed: false,
             flights: BTreeMap::new(),
             id: Process { host, incarnation },
-            keeper: TenureKeeper::new(host_id(host), incarnation, zone),
+            keeper: TenureManager::new(host_id(host), incarnation, zone),
             membership,
             next_call: 0,
             passing: None,
@@ -113,19 +114,19 @@
     }
 
     /// What this host holds for the others to know.
-    pub(super) fn notes(&mut self, now: Moment) -> Notes {
+    pub(super) fn notes(&mut self, now: Moment) -> Payload {
         let local = self.local(now);
         let own = self.membership.own().region.clone();
         for baseline in self.steer.baselines(local).into_iter().filter(|base| base.home == own) {
             let id = (baseline.home.clone(), baseline.service.clone());
-            self.baselines.insert(id, BaselineNote { at: now.as_millis() as u64, baseline });
+            self.baselines.insert(id, BaselineEntry { at: now.as_millis() as u64, baseline });
         }
-        Notes {
+        Payload {
             baselines: self.baselines.values().cloned().collect(),
             drains: Vec::new(),
             marks: self.steer.marks(local),
             sequence: self.store.sequence().unwrap_or_default(),
-            tenure: self.keeper.list().clone(),
+            tenure: self.keeper.holder_list().clone(),
         }
     }
 
--- a/src/soak/stop.rs
+++ b/src/soak/stop.rs
@@ -28,7 +28,7 @@
             Some(Stop { acknowledged: false, asked: Vec::new(), sealed: None, since: now });
         running.membership.leave();
         let local = running.local(now);
-        let actions = running.keeper.on(tenure::Event::Leave, local);
+        let actions = running.keeper.handle(tenure::Event::Leave, local);
         self.trouble(host, MOST);
         self.keep(process, actions);
         // A view from before would let queued requests go to targets that were given up.
--- a/src/tenure/action.rs
+++ b/src/tenure/action.rs
@@ -1,4 +1,4 @@
-//! What the keeper asks for.
+//! What the manager asks for.
 
 use super::object::ZoneTenure;
 use crate::{store::Expect, timeline::EventKind};
--- a/src/tenure/event.rs
+++ b/src/tenure/event.rs
@@ -1,4 +1,4 @@
-//! What the keeper is told.
+//! What the manager is told.
 
 use super::object::ZoneTenure;
 use crate::{prelude::*, store::Version};
@@ -14,19 +14,19 @@
         sent: Moment,
     },
     /// A peer told of the zone's list.
-    Heard(ZoneTenure),
+    ListReceived(ZoneTenure),
     /// The live hosts of the zone as the membership sees them, this one included. At each tick.
-    Hosts(Vec<ZoneHost>),
+    LiveHosts(Vec<ZoneHost>),
     /// This host is stopping.
     Leave,
     /// A `Read` that was sent at `sent` has ended.
-    Read {
+    ReadDone {
         result: ReadResult,
         sent: Moment,
     },
     Tick,
     /// A `Write` that was sent at `sent` has ended.
-    Written {
+    WriteDone {
         result: WriteResult,
         sent: Moment,
     },
--- a/src/tenure/mod.rs
+++ b/src/tenure/mod.rs
@@ -16,10 +16,10 @@
 
 mod action;
 mod event;
-mod keeper;
+mod lease;
+mod machine;
 mod object;
-mod right;
-mod shell;
+mod platform_calls;
 #[cfg(test)]
 mod tests;
 
@@ -28,9 +28,9 @@
 pub use self::{
     action::Action,
     event::{Event, ReadResult, WriteResult, ZoneHost},
-    keeper::TenureKeeper,
+    machine::TenureManager,
     object::{Holder, ZoneTenure},
-    shell::perform,
+    platform_calls::perform,
 };
 
 /// How long a confirmed right holds.
@@ -38,25 +38,25 @@
 
 /// A gap between two ticks from which a host counts as having been paused. After a shorter one its
 /// right has not run out: what confirmed it is hardly older than the gap.
-pub const PAUSE: Duration = Duration::from_secs(2);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
 /// Hosts that watch each host.
-pub const WITNESSES: usize = 2;
+pub const WITNESS_COUNT: usize = 2;
 
 /// A host that is silent for this long may be removed by any host: its witnesses may have died with
 /// it.
-pub const UNWATCHED_AFTER: Duration = Duration::from_secs(30);
+pub const FALLBACK_REMOVAL_AFTER: Duration = Duration::from_secs(30);
 
 /// Time between two reads of the object while peers confirm the right: finds a host that wrote
 /// itself into the list and is cut off from its peers.
-pub const READ_WHEN_CONFIRMED: Duration = Duration::from_secs(15);
+pub const CONFIRMED_READ_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Time between two reads while nobody confirms it.
-pub const READ_WHEN_LAPSING: Duration = Duration::from_secs(1);
+pub const UNCONFIRMED_READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A call without result for this long is given up.
-pub const CALL_LOST_AFTER: Duration = Duration::from_secs(10);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A listed host that was never heard counts as silent after this long: a host that has just
 /// started knows nobody yet, and must not remove those it is about to meet.
-pub const UNHEARD_GRACE: Duration = Duration::from_secs(10);
+pub const FIRST_CONTACT_GRACE: Duration = Duration::from_secs(10);
--- a/src/tenure/object.rs
+++ b/src/tenure/object.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{LEASE, WITNESSES};
+use super::{LEASE, WITNESS_COUNT};
 use crate::prelude::*;
 
 /// The hosts that share the targets of one zone.
@@ -25,7 +25,7 @@
 
 impl ZoneTenure {
     /// Key of the object.
-    pub fn key(member: &MemberId, zone: &ZoneId) -> String {
+    pub fn object_key(member: &MemberId, zone: &ZoneId) -> String {
         format!("tenure/{member}/{zone}")
     }
 
@@ -38,7 +38,7 @@
         let others = self.hosts.iter().map(|holder| &holder.host);
         let mut others: Vec<&HostId> = others.filter(|other| &***other != host).collect();
         others.sort_by_key(|other| (Reverse(weight(other)), *other));
-        others.into_iter().take(WITNESSES).cloned().collect()
+        others.into_iter().take(WITNESS_COUNT).cloned().collect()
     }
 
     /// How long a host that was removed, or that does not know of a new one, may still act.
@@ -46,12 +46,12 @@
     /// With all others as witnesses nobody confirms an older list once a newer one is written, so
     /// one lease is enough. In a larger zone the witnesses themselves may hear of the newer list
     /// only with the next exchanges; another lease covers that.
-    pub fn settling(&self) -> Duration {
-        if self.hosts.len() <= WITNESSES + 1 { LEASE } else { LEASE * 2 }
+    pub fn takeover_delay(&self) -> Duration {
+        if self.hosts.len() <= WITNESS_COUNT + 1 { LEASE } else { LEASE * 2 }
     }
 
     /// Whether that incarnation is listed.
-    pub fn lists(&self, holder: &Holder) -> bool {
+    pub fn contains(&self, holder: &Holder) -> bool {
         self.hosts.contains(holder)
     }
 
--- a/src/tenure/shell.rs
+++ b/src/tenure/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Carries out what the keeper asks of the platform.
+//! Carries out what the manager asks of the platform.
 
 use bytes::Bytes;
 
@@ -12,7 +12,7 @@
     store::{Platform, Settled, new_operation, put_settled},
 };
 
-/// Carries out a read or write and gives the event that tells the keeper of its end. The time is
+/// Carries out a read or write and gives the event that tells the manager of its end. The time is
 /// taken before the call is sent: an answer may be late by any time, and a right counted from its
 /// arrival would outlive what the platform knows.
 pub async fn perform(
@@ -24,7 +24,7 @@
     let sent = clock.now();
     match action {
         Action::Note(_) => None,
-        Action::Read => Some(Event::Read { result: read(platform, key).await, sent }),
+        Action::Read => Some(Event::ReadDone { result: read(platform, key).await, sent }),
         Action::Write { expect, object } => {
             let value = Bytes::from(serde_json::to_vec(&object).ok()?);
             let settled = put_settled(platform, key, expect, value, new_operation()).await;
@@ -33,7 +33,7 @@
                 Ok(Settled::Written(version)) => WriteResult::Written(version),
                 Err(_) => WriteResult::Failed,
             };
-            Some(Event::Written { result, sent })
+            Some(Event::WriteDone { result, sent })
         }
     }
 }
--- a/src/tenure/tests.rs
+++ b/src/tenure/tests.rs
@@ -5,32 +5,32 @@
     standin::platform::{Faults, PlatformStandin},
 };
 
-mod world;
+mod simulation;
 
-use world::World;
+use simulation::ZoneSimulation;
 
 fn secs(secs: u64) -> Duration {
     Duration::from_secs(secs)
 }
 
 /// Two hosts that share the 40 targets of a zone in full.
-fn shared() -> World {
-    let mut world = World::new();
-    world.start("a");
-    world.start("b");
-    world.run(secs(10));
-    let (full_a, full_b) = (world.uses(0).0, world.uses(1).0);
+fn shared() -> ZoneSimulation {
+    let mut zone = ZoneSimulation::new();
+    zone.start("a");
+    zone.start("b");
+    zone.run(secs(10));
+    let (full_a, full_b) = (zone.usable_targets(0).0, zone.usable_targets(1).0);
     assert_eq!(full_a + full_b, 40);
     assert!(0 < full_a && 0 < full_b);
-    world
+    zone
 }
 
 #[test]
 fn two_hosts_share_the_targets_with_two_writes() {
-    let mut world = shared();
-    world.run(secs(300));
-    assert_eq!(world.uses(0).0 + world.uses(1).0, 40);
-    assert_eq!(world.writes, 2);
+    let mut zone = shared();
+    zone.run(secs(300));
+    assert_eq!(zone.usable_targets(0).0 + zone.usable_targets(1).0, 40);
+    assert_eq!(zone.writes, 2);
     assert_eq!(invariant::take(), []);
 }
 
@@ -40,24 +40,24 @@
 // refused by the object's version; it learns that it was removed, and joins anew.
 #[test]
 fn a_paused_holder_finds_out_before_it_acts() {
-    let mut world = shared();
-    world.hosts[0].paused = true;
-    let expect = world.expect_now();
+    let mut zone = shared();
+    zone.hosts[0].paused = true;
+    let expect = zone.current_expect();
     let object = ZoneTenure { fence: 99, hosts: Vec::new() };
-    world.hosts[0].on_its_way = Some((Action::Write { expect, object }, world.now));
-    world.run(secs(4));
-    let (full, reduced) = world.uses(1);
+    zone.hosts[0].delayed_call = Some((Action::Write { expect, object }, zone.now));
+    zone.run(secs(4));
+    let (full, reduced) = zone.usable_targets(1);
     assert!(full < 40 && full + reduced == 40, "stands in first: {full} {reduced}");
-    world.run(secs(6));
-    assert_eq!(world.uses(1), (40, 0));
-    assert_eq!(world.uses(0), (0, 0), "its own clock ended the right");
-    world.run(secs(50));
-    world.resume(0);
-    assert_eq!(world.uses(0).0, 0);
-    assert_eq!(world.listed(), ["b".into()], "the late write is refused");
-    world.run(secs(10));
-    assert_eq!(world.uses(0).0 + world.uses(1).0, 40);
-    assert!(0 < world.uses(0).0);
+    zone.run(secs(6));
+    assert_eq!(zone.usable_targets(1), (40, 0));
+    assert_eq!(zone.usable_targets(0), (0, 0), "its own clock ended the right");
+    zone.run(secs(50));
+    zone.resume(0);
+    assert_eq!(zone.usable_targets(0).0, 0);
+    assert_eq!(zone.listed(), ["b".into()], "the late write is refused");
+    zone.run(secs(10));
+    assert_eq!(zone.usable_targets(0).0 + zone.usable_targets(1).0, 40);
+    assert!(0 < zone.usable_targets(0).0);
 }
 
 // A host is paused for a minute and removed. When it wakes, its own list still names it, and its
@@ -67,18 +67,18 @@
 #[test]
 fn a_woken_holder_has_no_right_before_it_has_heard() {
     for platform_up in [true, false] {
-        let mut world = shared();
-        world.platform_up = platform_up;
-        world.hosts[0].paused = true;
-        world.run(secs(60));
-        world.hosts[0].paused = false;
-        let now = world.now;
-        let keeper = &mut world.hosts[0].keeper;
-        keeper.on(Event::Tick, now);
-        assert_eq!(keeper.tenure(now).valid_until, Moment::ZERO);
-        world.run(secs(20));
-        assert_eq!(world.uses(0).0 + world.uses(1).0, 40);
-        assert!(0 < world.uses(0).0);
+        let mut zone = shared();
+        zone.platform_up = platform_up;
+        zone.hosts[0].paused = true;
+        zone.run(secs(60));
+        zone.hosts[0].paused = false;
+        let now = zone.now;
+        let manager = &mut zone.hosts[0].manager;
+        manager.handle(Event::Tick, now);
+        assert_eq!(manager.tenure(now).valid_until, Moment::ZERO);
+        zone.run(secs(20));
+        assert_eq!(zone.usable_targets(0).0 + zone.usable_targets(1).0, 40);
+        assert!(0 < zone.usable_targets(0).0);
     }
 }
 
@@ -87,28 +87,28 @@
 // without the pause.
 #[test]
 fn a_woken_holder_that_is_alone_goes_on() {
-    let mut world = shared();
-    let own = world.uses(0).0;
-    world.platform_up = false;
-    world.hosts[0].paused = true;
-    world.run(secs(30));
-    world.hosts[1].down = true;
-    world.resume(0);
-    world.run(secs(30));
-    assert_eq!(world.uses(0), (own, 40 - own));
+    let mut zone = shared();
+    let own = zone.usable_targets(0).0;
+    zone.platform_up = false;
+    zone.hosts[0].paused = true;
+    zone.run(secs(30));
+    zone.hosts[1].down = true;
+    zone.resume(0);
+    zone.run(secs(30));
+    assert_eq!(zone.usable_targets(0), (own, 40 - own));
 }
 
 // Paused for less than the suspicion time: nobody removes it, and after one exchange it uses its
 // targets as before, without a write.
 #[test]
 fn a_short_pause_costs_one_exchange() {
-    let mut world = shared();
-    world.hosts[0].paused = true;
-    world.run(Duration::from_millis(2500));
-    world.resume(0);
-    world.run(secs(2));
-    assert_eq!(world.uses(0).0 + world.uses(1).0, 40);
-    assert_eq!(world.writes, 2);
+    let mut zone = shared();
+    zone.hosts[0].paused = true;
+    zone.run(Duration::from_millis(2500));
+    zone.resume(0);
+    zone.run(secs(2));
+    assert_eq!(zone.usable_targets(0).0 + zone.usable_targets(1).0, 40);
+    assert_eq!(zone.writes, 2);
 }
 
 // The platform is down and a peer dies. The other goes on with its own targets in full and stands
@@ -116,103 +116,103 @@
 // is back it removes the dead one and owns all.
 #[test]
 fn an_outage_and_a_dead_peer_leave_the_own_targets_in_full() {
-    let mut world = shared();
-    let own = world.uses(1).0;
-    world.platform_up = false;
-    world.run(secs(30));
-    assert_eq!(world.uses(1), (own, 0), "peers confirm each other");
-    world.hosts[0].down = true;
+    let mut zone = shared();
+    let own = zone.usable_targets(1).0;
+    zone.platform_up = false;
+    zone.run(secs(30));
+    assert_eq!(zone.usable_targets(1), (own, 0), "peers confirm each other");
+    zone.hosts[0].down = true;
     for _ in 0..6 {
-        world.run(secs(10));
-        assert_eq!(world.uses(1), (own, 40 - own));
+        zone.run(secs(10));
+        assert_eq!(zone.usable_targets(1), (own, 40 - own));
     }
-    world.platform_up = true;
-    world.run(secs(10));
-    assert_eq!(world.uses(1), (40, 0));
-    assert_eq!(world.listed(), ["b".into()]);
+    zone.platform_up = true;
+    zone.run(secs(10));
+    assert_eq!(zone.usable_targets(1), (40, 0));
+    assert_eq!(zone.listed(), ["b".into()]);
 }
 
 // Platform down, zone cut off, both listed hosts gone and one new one started: nobody can list it,
 // so it stands in for all at reduced concurrency. While a listed host lives, it owns nothing.
 #[test]
 fn a_replacement_in_a_cut_zone_stands_in_for_all() {
-    let mut world = shared();
-    world.platform_up = false;
-    world.hosts[0].down = true;
-    let new = world.start("c");
-    world.run(secs(30));
-    assert_eq!(world.uses(new), (0, 0));
-    world.hosts[1].down = true;
-    world.run(secs(30));
-    assert_eq!(world.uses(new), (0, 40));
-    world.platform_up = true;
-    world.run(secs(20));
-    assert_eq!(world.uses(new), (40, 0));
+    let mut zone = shared();
+    zone.platform_up = false;
+    zone.hosts[0].down = true;
+    let new = zone.start("c");
+    zone.run(secs(30));
+    assert_eq!(zone.usable_targets(new), (0, 0));
+    zone.hosts[1].down = true;
+    zone.run(secs(30));
+    assert_eq!(zone.usable_targets(new), (0, 40));
+    zone.platform_up = true;
+    zone.run(secs(20));
+    assert_eq!(zone.usable_targets(new), (40, 0));
 }
 
 // A host dies and is started again under its name before it was suspected. Its former incarnation
 // may only be paused: the new one takes its place in the list and waits for one lease.
 #[test]
 fn a_restarted_host_waits_for_its_former_self() {
-    let mut world = shared();
-    let own = world.uses(0).0;
-    world.hosts[0].paused = true;
-    let new = world.start("a");
-    world.run(secs(2));
-    assert_eq!(world.uses(new).0, 0);
-    world.run(secs(8));
-    assert_eq!(world.uses(new), (own, 0));
-    assert_eq!(world.listed(), ["a".into(), "b".into()]);
-    world.resume(0);
-    assert_eq!(world.uses(0).0, 0);
+    let mut zone = shared();
+    let own = zone.usable_targets(0).0;
+    zone.hosts[0].paused = true;
+    let new = zone.start("a");
+    zone.run(secs(2));
+    assert_eq!(zone.usable_targets(new).0, 0);
+    zone.run(secs(8));
+    assert_eq!(zone.usable_targets(new), (own, 0));
+    assert_eq!(zone.listed(), ["a".into(), "b".into()]);
+    zone.resume(0);
+    assert_eq!(zone.usable_targets(0).0, 0);
 }
 
 // The answers to writes are lost after they took effect. The host reads, finds itself listed, and
 // writes no second time.
 #[test]
 fn a_lost_answer_is_settled_by_reading() {
-    let mut world = World::new();
-    world.lose_answers = true;
-    world.start("a");
-    world.run(secs(20));
-    assert_eq!(world.uses(0), (40, 0));
-    assert_eq!(world.writes, 1);
+    let mut zone = ZoneSimulation::new();
+    zone.lose_write_responses = true;
+    zone.start("a");
+    zone.run(secs(20));
+    assert_eq!(zone.usable_targets(0), (40, 0));
+    assert_eq!(zone.writes, 1);
 }
 
 // Five hosts of a zone start at once and write against each other. Each conditional update has one
 // winner; the others read and go on, so that all end up listed.
 #[test]
 fn racing_hosts_all_get_listed() {
-    let mut world = World::new();
+    let mut zone = ZoneSimulation::new();
     for id in ["a", "b", "c", "d", "e"] {
-        world.start(id);
+        zone.start(id);
     }
-    world.run(secs(20));
-    assert_eq!(world.listed().len(), 5);
-    assert_eq!((0..5).map(|at| world.uses(at).0).sum::<usize>(), 40);
-    assert_eq!(world.writes, 5);
+    zone.run(secs(20));
+    assert_eq!(zone.listed().len(), 5);
+    assert_eq!((0..5).map(|at| zone.usable_targets(at).0).sum::<usize>(), 40);
+    assert_eq!(zone.writes, 5);
 }
 
 // A host that leaves hands its targets on without the wait: it sends nothing new by itself.
 #[test]
 fn a_leaving_host_gives_its_right_up() {
-    let mut world = shared();
-    let now = world.now;
-    let actions = world.hosts[0].keeper.on(Event::Leave, now);
+    let mut zone = shared();
+    let now = zone.now;
+    let actions = zone.hosts[0].manager.handle(Event::Leave, now);
     let written = matches!(&actions[..], [.., Action::Note(_)] | [Action::Write { .. }, ..]);
     assert!(written, "{actions:?}");
-    assert_eq!(world.hosts[0].keeper.tenure(now).valid_until, Moment::ZERO);
+    assert_eq!(zone.hosts[0].manager.tenure(now).valid_until, Moment::ZERO);
 }
 
 // A list with an older fence, out of a late message, changes nothing.
 #[test]
 fn an_older_list_is_not_taken() {
-    let mut world = shared();
-    let list = world.hosts[0].keeper.list().clone();
+    let mut zone = shared();
+    let list = zone.hosts[0].manager.holder_list().clone();
     let older = ZoneTenure { fence: list.fence - 1, hosts: Vec::new() };
-    let now = world.now;
-    world.hosts[0].keeper.on(Event::Heard(older), now);
-    assert_eq!(*world.hosts[0].keeper.list(), list);
+    let now = zone.now;
+    zone.hosts[0].manager.handle(Event::ListReceived(older), now);
+    assert_eq!(*zone.hosts[0].manager.holder_list(), list);
 }
 
 // The shell's part: the answer to the write of the list is lost after it took effect, then the
@@ -223,23 +223,23 @@
     let platform = PlatformStandin::in_memory();
     platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let clock = ManualClock::default();
-    let key = ZoneTenure::key(&"agency".into(), &"z".into());
-    let mut keeper = TenureKeeper::new("a".into(), 1, "z".into());
+    let key = ZoneTenure::object_key(&"agency".into(), &"z".into());
+    let mut manager = TenureManager::new("a".into(), 1, "z".into());
     let mut sent = Moment::ZERO;
     for _ in 0..4 {
         clock.advance(secs(1));
-        let mut actions = keeper.on(Event::Tick, clock.now());
+        let mut actions = manager.handle(Event::Tick, clock.now());
         while let Some(action) = actions.pop() {
             let before = clock.now();
             if let Some(event) = perform(action, platform.door(), &key, &clock).await {
                 sent = before;
                 clock.advance(secs(1));
-                actions.extend(keeper.on(event, clock.now()));
+                actions.extend(manager.handle(event, clock.now()));
             }
         }
     }
-    assert_eq!(keeper.list().fence, 1, "written once");
-    let valid_until = keeper.tenure(clock.now()).valid_until;
+    assert_eq!(manager.holder_list().fence, 1, "written once");
+    let valid_until = manager.tenure(clock.now()).valid_until;
     assert!(valid_until <= sent + LEASE, "{valid_until:?} after {sent:?}");
     assert!(clock.now() < valid_until);
 }
@@ -249,21 +249,21 @@
 // the other or, where nobody is left to watch, after a longer silence, and own all targets.
 #[test]
 fn a_large_zone_needs_few_platform_calls() {
-    let mut world = World::new();
+    let mut zone = ZoneSimulation::new();
     for at in 0..30 {
-        world.start(&format!("h{at:02}"));
+        zone.start(&format!("h{at:02}"));
     }
-    world.run(secs(60));
-    let full = |world: &World| (0..30).map(|at| world.uses(at).0).sum::<usize>();
-    assert_eq!((world.listed().len(), full(&world)), (30, 40));
-    world.reads = 0;
-    world.run(secs(60));
-    assert!(world.reads <= 30 * 5, "one in 15 s a host: {}", world.reads);
-    let dead = world.hosts[7].keeper.witnesses();
-    for host in world.hosts.iter_mut() {
+    zone.run(secs(60));
+    let full = |zone: &ZoneSimulation| (0..30).map(|at| zone.usable_targets(at).0).sum::<usize>();
+    assert_eq!((zone.listed().len(), full(&zone)), (30, 40));
+    zone.reads = 0;
+    zone.run(secs(60));
+    assert!(zone.reads <= 30 * 5, "one in 15 s a host: {}", zone.reads);
+    let dead = zone.hosts[7].manager.witnesses();
+    for host in zone.hosts.iter_mut() {
         host.down = host.is_named("h07") || dead.iter().any(|id| host.is_named(id));
     }
-    world.run(secs(60));
-    assert_eq!((world.listed().len(), full(&world)), (27, 40));
+    zone.run(secs(60));
+    assert_eq!((zone.listed().len(), full(&zone)), (27, 40));
     assert_eq!(invariant::take(), []);
 }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -13,7 +13,7 @@
 use lavenderplank::{
     daemon::PeerLink,
     manifest::SignedManifest,
-    membership::{Digest, Membership, MembershipLimits, Notes},
+    membership::{Digest, Membership, MembershipLimits, Payload},
     peer::{HandoverAck, HandoverChunk, ManifestReply, PartReply, PartRequest, PeerError, Result},
     standin::{
         fleet::{Fleet, FleetPlan},
@@ -48,7 +48,7 @@
         rpc,
         zone: place.zone.clone(),
     };
-    Mutex::new(Membership::new(own, MembershipLimits::default()).started_at(1))
+    Mutex::new(Membership::new(own, MembershipLimits::default()).with_start_time(1))
 }
 
 /// A peer that answers every exchange and never takes over a list of the zone's owners.
@@ -140,7 +140,7 @@
     let place = &fleet.places[0];
     let in_force = fleet.signed(&fleet.manifest(2)).unwrap();
     let (empty, full) = (peer(place, FIRST), peer(place, SECOND));
-    full.lock().unwrap().set_notes(Notes { sequence: 2, ..Notes::default() });
+    full.lock().unwrap().set_payload(Payload { sequence: 2, ..Payload::default() });
     let link = Arc::new(Unequal { empty, full, in_force });
     let host = fleet.start_over(link, "a-1", place, vec![FIRST, SECOND]).await.unwrap();
     until(|| async { host.sequence() == Some(2) }).await;
--- a/tests/fuzz_messages.rs
+++ b/tests/fuzz_messages.rs
@@ -9,7 +9,7 @@
     base::{Binding, Moment},
     drain::DrainRecord,
     ledger::{Ledger, LedgerLimits, SealedLedger, SealedPart},
-    membership::{Digest, Fleet},
+    membership::{Digest, SimulatedFleet},
     operator::{Explanation, HostStatus},
     peer::{
         DrainOrder, Envelope, ExplainRequest, HandoverAck, HandoverChunk, ManifestReply, PartReply,
@@ -201,7 +201,7 @@
 // nonsense: counters at their end, times of any size. The host must live on and know itself.
 #[test]
 fn damaged_digests_do_not_bring_a_host_down() {
-    let mut fleet = Fleet::new(3, 3, 7);
+    let mut fleet = SimulatedFleet::new(3, 3, 7);
     fleet.run(Moment::from_secs(20));
     let now = fleet.now;
     let host = &fleet.nodes[0].membership;
@@ -219,7 +219,7 @@
         let Ok(digest) = serde_json::from_slice::<Digest>(&bytes) else { return Ok(()) };
         let mut host = host.clone();
         let answer = host.receive(&digest, now);
-        host.merge(digest, now);
+        host.apply_response(digest, now);
         for secs in 1..30 {
             host.tick(now + Moment::from_secs(secs));
         }
