--- a/src/membership/baselines.rs
+++ b/src/membership/baselines.rs
@@ -1,4 +1,4 @@
-//! What traffic each home region last had, for the regions that may have to stand in for it.
+//! Last known traffic of each home region, for the regions that may have to serve its callers.
 
 use super::payload::BaselineEntry;
 use crate::{
@@ -6,20 +6,20 @@
     view::{Baseline, HostView},
 };
 
-/// Time between two notes of one baseline. Each note goes to every host of the fleet: one a second
-/// would cost more than all else that the exchanges carry.
+/// Time between two updates of one baseline. Each update spreads to every host of the fleet; one a
+/// second would cost more than everything else that the exchanges carry.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Most that a baseline falls from one note to the next. Callers leave a region that is failing
-/// before its last host is silent; without the bound the region would be remembered as idle, and
-/// those who stand in for it would refuse its callers.
+/// Lowest ratio of a baseline to its predecessor. Callers leave a failing region before its last
+/// host is silent; without the bound the region would be recorded as idle, and the regions that
+/// take over would refuse its callers.
 const MIN_RENEWAL_RATIO: f64 = 0.9;
 
-/// A note from a clock that is further ahead than this is not taken: it could not be replaced until
-/// that time has come.
+/// Entries with a timestamp this far in the future or further are rejected: no entry from a correct
+/// clock could replace them until that time has passed.
 const MAX_CLOCK_LEAD: Duration = Duration::from_secs(60);
 
-/// Baselines of all home regions, the newest note of each.
+/// Newest known baselines of all home regions.
 #[derive(Clone, Debug, Default)]
 pub struct Baselines {
     entries: BTreeMap<BaselineKey, BaselineEntry>,
@@ -35,10 +35,10 @@
 impl Baselines {
     /// Updates the own region's baselines from the rates that this host measured.
     ///
-    /// The first host of the region speaks for all: look-ups spread a region's callers evenly over
-    /// its hosts, so its own rate times their number is the region's. What it sees of callers from
-    /// other regions is no baseline of theirs. While the region is `unsteady` (something of it is
-    /// drained or leaving) the last notes stay.
+    /// Only the first host of the region by name does this. Look-ups spread a region's callers
+    /// evenly over its hosts, so its own rate times their number is the rate of the region. Rates
+    /// of callers from other regions are ignored. While the region is `unsteady` (part of it is
+    /// drained or leaving), the last baselines stay.
     pub fn update_own(
         &mut self,
         own: &HostView,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes over a note if it is newer than the known one.
+    /// Stores an entry if it is newer than the known one.
     pub fn apply(&mut self, entry: BaselineEntry, wall_millis: u64) {
         if wall_millis + MAX_CLOCK_LEAD.as_millis() as u64 <= entry.at {
             return;
@@ -79,12 +79,12 @@
         }
     }
 
-    /// All notes, for the exchanges.
+    /// Returns all entries, for the exchanges.
     pub fn entries(&self) -> Vec<BaselineEntry> {
         self.entries.values().cloned().collect()
     }
 
-    /// All baselines.
+    /// Returns all baselines.
     pub fn baselines(&self) -> Vec<Baseline> {
         self.entries.values().map(|entry| entry.baseline.clone()).collect()
     }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -1,21 +1,23 @@
-//! Hosts that may live: named by someone, but not heard yet.
+//! Hosts to contact that are not known to be live.
 
 use rand::{Rng, seq::IteratorRandom};
 
 use crate::{prelude::*, view::HostView};
 
-/// A named host is asked this often and then dropped: the list it came from may be old.
+/// Number of attempts after which an unconfirmed host is dropped: the list it came from may be out
+/// of date.
 const MAX_ATTEMPTS: u32 = 20;
 
-/// Most named hosts held.
+/// Maximum number of unconfirmed hosts held.
 const MAX_UNCONFIRMED: usize = 1024;
 
-/// Hosts to ask that are not known to live.
+/// Hosts to contact that are not known to be live.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Contacts {
+    /// Hosts that were listed but not heard yet, with the number of attempts made.
     unconfirmed: BTreeMap<HostId, (HostView, u32)>,
-    /// Addresses from the settings, under their own text as name. These stay for good: after a long
-    /// cut they may be all that is left.
+    /// Addresses from the settings, with the address as the host name. They are never dropped:
+    /// after a long network partition no other contact may be left.
     seeds: Vec<HostView>,
 }
 
@@ -42,7 +44,7 @@
         self.seeds.iter()
     }
 
-    /// A named host to ask now, of the own zone first.
+    /// Picks an unconfirmed host to contact now, preferably one of `zone`, and counts the attempt.
     pub fn next_unconfirmed(&mut self, zone: &ZoneId, rng: &mut impl Rng) -> Option<HostView> {
         let near = |(host, _): &&mut (HostView, u32)| host.zone == *zone;
         let (host, attempts) = match self.unconfirmed.values_mut().filter(near).choose(rng) {
@@ -57,7 +59,7 @@
         Some(host)
     }
 
-    /// Drops a host that was heard.
+    /// Drops a host that has been heard.
     pub fn remove(&mut self, host: &HostView) {
         self.unconfirmed.remove(&host.id);
     }
--- a/src/membership/event.rs
+++ b/src/membership/event.rs
@@ -1,18 +1,19 @@
-//! What changed among the hosts.
+//! Changes in the membership.
 
 use crate::{prelude::*, view::HostView};
 
-/// One change among the hosts.
+/// A change in the state of a host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipEvent {
-    /// First heard of, or came back as a new incarnation.
+    /// A host was seen for the first time, or came back as a new incarnation.
     Joined(HostView),
-    /// Silent for too long, replaced by a new incarnation, or said that it leaves.
+    /// A host was silent for too long, was replaced by a new incarnation, or announced that it
+    /// leaves.
     Left(HostView),
     /// A suspected host was heard again.
     Returned(HostId),
-    /// Another process runs under this host's name and started later: this one must stop.
+    /// A process that started later runs under this host's name, so this one must stop.
     Superseded,
-    /// Not heard for the suspicion time.
+    /// A host was not heard within the suspicion time.
     Suspected(HostId),
 }
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange: what a host tells, answers and takes over.
+//! Exchanges: builds requests and responses, and applies those received.
 
 use super::{
     digest::{Digest, HostEntry},
@@ -8,7 +8,7 @@
 use crate::{prelude::*, view::HostView};
 
 impl Membership {
-    /// What this host tells any peer.
+    /// Returns the digest that suits any peer.
     pub fn digest(&self, now: Moment) -> Digest {
         let mut digest = self.digest_header(now);
         digest.beats = self.roster.beats(&self.own);
@@ -17,8 +17,8 @@
         digest
     }
 
-    /// What this host tells that peer: leaves out what the peer has no use for, and adds what it
-    /// asked for in its last response.
+    /// Returns the digest for a peer: without heartbeats for a peer of another zone, and with what
+    /// the peer requested in its last response.
     pub fn digest_for(&mut self, to: &HostView, now: Moment) -> Digest {
         let mut digest = self.digest(now);
         if to.zone != self.own.view.zone {
@@ -29,7 +29,7 @@
         digest
     }
 
-    /// The same with drains and marks, without waiting for the peer to ask for them.
+    /// Returns the digest for a peer with drains and marks, which the peer need not have requested.
     pub fn push_digest_for(&mut self, to: &HostView, now: Moment) -> Digest {
         let request = self.peer_requests.entry(to.id.clone()).or_default();
         request.drains = true;
@@ -37,18 +37,18 @@
         self.digest_for(to, now)
     }
 
-    /// Hash of the marks that this host holds.
+    /// Returns the hash of this host's marks.
     pub fn marks_hash(&self) -> u64 {
         self.payload_hashes.marks
     }
 
-    /// Whether that peer asked for more in its response; a second exchange at once then saves it the
-    /// wait for the next tick.
+    /// Whether that peer requested more in its last response. A second exchange at once then saves
+    /// it the wait until the next tick.
     pub fn has_request_from(&self, peer: &HostId) -> bool {
         self.peer_requests.contains_key(peer)
     }
 
-    /// Takes over what a peer tells, and answers with what the peer lacks.
+    /// Applies a peer's request, and returns a response with what the peer lacks.
     pub fn receive(&mut self, digest: &Digest, now: Moment) -> Digest {
         self.apply(digest, now);
         let mut response = self.digest_header(now);
@@ -69,13 +69,15 @@
         };
         self.add_requested(&request, &mut response, now);
         if digest.baselines_at < response.baselines_at {
-            let newer = self.payload.baselines.iter().filter(|note| digest.baselines_at < note.at);
+            let newer =
+                self.payload.baselines.iter().filter(|entry| digest.baselines_at < entry.at);
             response.baselines = newer.cloned().collect();
         }
         response
     }
 
-    /// Takes over a peer's response.
+    /// Applies a peer's response, and returns the membership events since the last call of this or
+    /// `tick`.
     pub fn apply_response(&mut self, response: Digest, now: Moment) -> Vec<MembershipEvent> {
         let epoch = self.own.epoch;
         self.apply(&response, now);
@@ -185,9 +187,10 @@
         }
     }
 
-    /// Another process under this host's name: either this host's predecessor, of which peers still
-    /// tell, or its successor. A host that its peers have accepted before can only be the older of
-    /// the two if the other has the higher epoch.
+    /// Handles an entry under this host's name. If it describes another process, that is either a
+    /// predecessor that peers still know or a successor. With a higher epoch it is a successor if a
+    /// peer has already accepted this process. Otherwise it is taken for a predecessor, and this
+    /// process raises its own epoch above it. Entries with a lower epoch are ignored.
     fn resolve_name_conflict(&mut self, entry: &HostEntry) {
         if entry.view.incarnation == self.own.view.incarnation || entry.epoch < self.own.epoch {
             return;
--- a/src/membership/limits.rs
+++ b/src/membership/limits.rs
@@ -1,24 +1,26 @@
-//! Times and bounds of the membership.
+//! Timeouts and bounds of the membership protocol.
 
 use crate::prelude::*;
 
-/// Times and bounds of the membership. Times hold for a zone of up to four hosts; in larger zones
-/// news takes more hops, and each doubling adds `extra_per_doubling`.
+/// Timeouts and bounds of the membership protocol. The timeouts apply to a zone of up to four
+/// hosts. In a larger zone a change takes more hops to spread, so each doubling of the number of
+/// hosts adds `extra_per_doubling`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipLimits {
     /// Silence after which a host is forgotten.
     pub forget_after: Duration,
-    /// Most entries taken from one message; more is a fault of the sender.
+    /// Maximum number of entries accepted in each list of a message; a correct sender stays below
+    /// it.
     pub max_entries: usize,
-    /// Peers of the own zone to exchange with at each tick.
+    /// Number of hosts of the own zone to exchange with at each tick.
     pub partners_in_zone: usize,
-    /// Added to the times for each doubling of a zone past four hosts.
+    /// Added to the timeouts for each doubling of the number of hosts beyond four.
     pub extra_per_doubling: Duration,
     /// Silence after which a host is suspected.
     pub suspect_after: Duration,
     /// Time between two ticks.
     pub tick: Duration,
-    /// Silence after which a zone whose hosts were never told gone is forgotten.
+    /// Silence after which another zone is forgotten, if its hosts were never reported as gone.
     pub forget_zone_after: Duration,
     /// Silence after which all hosts of another zone are suspected.
     pub suspect_zone_after: Duration,
@@ -40,7 +42,7 @@
 }
 
 impl MembershipLimits {
-    /// What a zone of `hosts` adds to the times.
+    /// Returns what `hosts` hosts add to the timeouts.
     pub fn slack(&self, hosts: usize) -> Duration {
         let doublings = (hosts.max(1).div_ceil(4) as u32).next_power_of_two().ilog2();
         self.extra_per_doubling * doublings
--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one host.
+//! Membership state machine of one host; does no I/O and takes the time as an argument.
 
 use std::collections::BTreeSet;
 
@@ -15,17 +15,19 @@
 };
 use crate::{prelude::*, view::HostView};
 
-/// One tick in this many also asks a host that does not answer, to find out when it is back.
+/// On average one tick in this many also contacts a host that is not known to be live, to detect
+/// its return.
 const PROBE_ONE_IN: u32 = 4;
 
-/// A pause longer than this many ticks is this host's own, not the silence of its peers.
+/// A gap of this many ticks between two calls of `tick` means that this host was paused, not that
+/// its peers were silent.
 const PAUSE_TICKS: u32 = 3;
 
-/// Stopped incarnations that a host answers for; the oldest go first. Callers send a binding again
-/// for minutes, and far fewer hosts of a zone stop in that time.
+/// Maximum number of stopped incarnations that a host answers for; the oldest are dropped first.
+/// Callers resend a binding for minutes, and far fewer hosts of a zone stop in that time.
 const MAX_ADOPTED: usize = 64;
 
-/// What one host knows of the others.
+/// One host's knowledge of the other hosts.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(super) events: Vec<MembershipEvent>,
@@ -35,10 +37,10 @@
     pub(super) payload: Payload,
     pub(super) payload_hashes: PayloadHashes,
     pub(super) own: HostEntry,
-    /// What a peer asked for in its last answer; goes into the next digest for it.
+    /// What each peer requested in its last response; included in the next digest sent to it.
     pub(super) peer_requests: BTreeMap<HostId, PeerRequest>,
     pub(super) roster: Roster,
-    /// Hash of the roster, kept since most exchanges change heartbeats only.
+    /// Hash of the roster, cached since most exchanges change only heartbeats.
     pub(super) roster_hash: u64,
     /// Whether a peer has accepted this incarnation.
     pub(super) accepted: bool,
@@ -48,15 +50,15 @@
     pub(super) zone_hash: u64,
     pub(super) zones: Zones,
     last_tick: Option<Moment>,
-    /// Hosts of the zone that are asked by turns, one at each tick.
+    /// Hosts of the zone that are contacted in rotation, one at each tick.
     preferred: Vec<HostId>,
     preferred_next: usize,
-    /// Peers of the zone still to be asked in this round; each is asked once in a round, so that
-    /// the time between two exchanges with one peer is bounded.
+    /// Peers of the zone still to be contacted in this round. Each is contacted once a round, which
+    /// bounds the time between two exchanges with the same peer.
     round: Vec<HostId>,
 }
 
-/// What a peer asked for.
+/// State that a peer requested.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerRequest {
     pub drains: bool,
@@ -73,7 +75,7 @@
 }
 
 impl Membership {
-    /// A host that knows only itself.
+    /// Creates the state of a host that knows only itself.
     pub fn new(own: HostView, limits: MembershipLimits) -> Self {
         let own = HostEntry { age_ms: 0, beat: 1, epoch: 0, revision: 0, view: own };
         let mut membership = Self {
@@ -101,103 +103,107 @@
         membership
     }
 
-    /// Sets the wall-clock milliseconds of this start: of two processes under one host name, the
-    /// one that started later stays. With the clocks wrong the new one learns it from its peers.
+    /// Sets the start time of this process in milliseconds of wall-clock time. Of two processes
+    /// under one host name, the one that started later stays. If the clocks are wrong, the new
+    /// process learns of the old one's start time from its peers and raises its own above it.
     pub fn with_start_time(mut self, wall_millis: u64) -> Self {
         self.own.epoch = wall_millis;
         self.rehash();
         self
     }
 
-    /// Names hosts that may live, from the settings or from the platform's list. They are asked,
-    /// but not counted as live before they answer.
+    /// Adds hosts that may be live, such as those on the platform's list. They are contacted, but
+    /// not counted as live before they respond.
     pub fn add_contacts(&mut self, hosts: impl IntoIterator<Item = HostView>) {
         let unknown = hosts.into_iter().filter(|host| !self.is_live(host)).collect::<Vec<_>>();
         self.contacts.add(unknown);
     }
 
-    /// Names RPC addresses to start from, and to go back to when nobody else answers.
+    /// Adds RPC addresses to contact at start, and again whenever no other host responds.
     pub fn add_seeds(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let own = self.own.view.rpc;
         self.contacts.add_seeds(&self.own.view, addresses.into_iter().filter(|rpc| *rpc != own));
     }
 
-    /// Names hosts of the zone that this one has to hear from often: one of them, by turns, is among
-    /// the partners of each tick. The rest of the partners stay random, so that news still spreads.
+    /// Sets the hosts of the zone that this one has to exchange with often: each tick includes one
+    /// of them, in rotation, among its partners. The other partners stay random, so that changes
+    /// still spread through the zone.
     pub fn set_preferred(&mut self, hosts: Vec<HostId>) {
         self.preferred = hosts;
     }
 
-    /// This host as its peers see it.
+    /// Returns this host as its peers see it.
     pub fn own(&self) -> &HostView {
         &self.own.view
     }
 
-    /// Whether a later process runs under this host's name; this one must stop.
+    /// Whether a process that started later runs under this host's name, so that this one must
+    /// stop.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Sets what this host holds for the others to know.
+    /// Sets the payload that this host's exchanges carry.
     pub fn set_payload(&mut self, payload: Payload) {
         self.payload = payload;
         self.payload_hashes = PayloadHashes::of(&self.payload);
     }
 
-    /// Takes what came along in exchanges for other slices.
+    /// Takes the payload received from peers since the last call.
     pub fn take_received(&mut self) -> ReceivedPayload {
         std::mem::take(&mut self.received)
     }
 
-    /// Tells the peers that new bindings name another ledger generation.
+    /// Announces the ledger generation that new bindings name.
     pub fn set_generation(&mut self, generation: Generation) {
         self.own.view.generation = generation;
         self.bump_revision();
     }
 
-    /// Tells the peers that this host answers for a stopped incarnation whose ledger it took over.
+    /// Announces that this host answers for a stopped incarnation whose ledger it took over.
     pub fn adopt(&mut self, stopped: Incarnation) {
         if !self.own.view.adopted.contains(&stopped) {
             self.own.view.adopted.push(stopped);
-            let past = self.own.view.adopted.len().saturating_sub(MAX_ADOPTED);
-            self.own.view.adopted.drain(..past);
+            let excess = self.own.view.adopted.len().saturating_sub(MAX_ADOPTED);
+            self.own.view.adopted.drain(..excess);
             self.bump_revision();
         }
     }
 
-    /// Sets the stopped incarnations that this host answers for; the newest last.
+    /// Sets the stopped incarnations that this host answers for, newest last.
     pub fn set_adopted(&mut self, mut adopted: Vec<Incarnation>) {
-        let past = adopted.len().saturating_sub(MAX_ADOPTED);
-        adopted.drain(..past);
+        let excess = adopted.len().saturating_sub(MAX_ADOPTED);
+        adopted.drain(..excess);
         if self.own.view.adopted != adopted {
             self.own.view.adopted = adopted;
             self.own.revision += 1;
         }
     }
 
-    /// Tells the peers that this host is stopping.
+    /// Announces that this host is stopping.
     pub fn leave(&mut self) {
         self.own.view.leaving = true;
         self.bump_revision();
     }
 
-    /// Whom to exchange with at this tick.
+    /// Returns the hosts to exchange with at this tick.
     pub fn choose_partners(&mut self, _now: Moment, rng: &mut impl Rng) -> Vec<HostView> {
         if self.superseded {
             return Vec::new();
         }
         let mut partners = self.zone_partners(rng);
         partners.extend(self.other_zone_partner(rng));
-        let named = self.contacts.next_unconfirmed(&self.own.view.zone, rng);
-        let idle = partners.is_empty() && named.is_none();
-        partners.extend(named);
+        let contact = self.contacts.next_unconfirmed(&self.own.view.zone, rng);
+        let idle = partners.is_empty() && contact.is_none();
+        partners.extend(contact);
         if idle || rng.random_ratio(1, PROBE_ONE_IN) {
             partners.extend(self.probe(rng));
         }
         partners
     }
 
-    /// Moves this host's heartbeat on, and suspects and forgets by silence. Once a second.
+    /// Increments this host's heartbeat, and suspects or forgets hosts that were silent for too
+    /// long. Called once a second.
     pub fn tick(&mut self, now: Moment) -> Vec<MembershipEvent> {
         self.discount_own_pause(now);
         self.own.beat += 1;
@@ -208,7 +214,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// All live hosts of the member including this one, sorted by name.
+    /// Returns all live hosts of the member including this one, sorted by name.
     pub fn hosts(&self, _now: Moment) -> Vec<HostView> {
         let mut hosts = self.zone_hosts();
         hosts.extend(self.zones.live().cloned());
@@ -216,30 +222,30 @@
         hosts
     }
 
-    /// Number of live hosts including this one.
+    /// Returns the number of live hosts including this one.
     pub fn host_count(&self) -> usize {
         self.roster.live().count() + self.zones.live().count() + 1
     }
 
-    /// Regions of which no zone was heard for the suspicion time.
+    /// Returns the regions of which no zone was heard within the suspicion time.
     pub fn silent_regions(&self, _now: Moment) -> BTreeSet<RegionId> {
         let mut regions = self.zones.silent_regions();
         regions.remove(&self.own.view.region);
         regions
     }
 
-    /// Zones that were not heard for the suspicion time, and for how long.
+    /// Returns the zones that were not heard within the suspicion time, and for how long.
     pub fn silent_zones(&self, now: Moment) -> BTreeMap<ZoneId, Duration> {
         let zones = self.zones.silent();
         zones.map(|(zone, heard)| (zone.clone(), now.saturating_sub(heard))).collect()
     }
 
-    /// Hosts of the own zone that are suspected.
+    /// Returns the suspected hosts of the own zone.
     pub fn suspected(&self) -> Vec<HostView> {
         self.roster.suspected().cloned().collect()
     }
 
-    /// Live hosts of the own zone including this one, sorted by name.
+    /// Returns the live hosts of the own zone including this one, sorted by name.
     pub(super) fn zone_hosts(&self) -> Vec<HostView> {
         let mut hosts: Vec<_> = self.roster.live().cloned().collect();
         hosts.push(self.own.view.clone());
@@ -272,13 +278,13 @@
         self.rehash();
     }
 
-    /// A host that was paused has heard nobody, which says nothing of the others: without this it
-    /// would suspect all peers when it resumes, and take over their targets.
+    /// Excludes a pause of this host from the silence of its peers. Without this, a host that
+    /// resumes after a pause would suspect all its peers and take over their targets.
     fn discount_own_pause(&mut self, now: Moment) {
-        let since = now.saturating_sub(self.last_tick.unwrap_or(now));
+        let elapsed = now.saturating_sub(self.last_tick.unwrap_or(now));
         self.last_tick = Some(now);
-        if self.limits.tick * PAUSE_TICKS <= since {
-            let pause = since.saturating_sub(self.limits.tick);
+        if self.limits.tick * PAUSE_TICKS <= elapsed {
+            let pause = elapsed.saturating_sub(self.limits.tick);
             self.roster.shift_last_heard(pause);
             self.zones.shift_last_heard(pause);
         }
@@ -319,7 +325,7 @@
         zones.choose(rng)?.choose(rng).cloned()
     }
 
-    /// A host that does not answer, or one of the addresses to start from.
+    /// Picks a host that is suspected, forgotten or in a silent zone, or a seed address.
     fn probe(&self, rng: &mut impl Rng) -> Option<HostView> {
         let mut silent: Vec<&HostView> = self.roster.suspected().collect();
         silent.extend(self.roster.forgotten());
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,13 +1,14 @@
-//! Which hosts of this member live, learnt from exchanges between the hosts themselves.
+//! Membership: which hosts of this member are live, learnt by gossip between the hosts.
 //!
-//! Inside a zone hosts tell each other every host's heartbeat. Between zones only a summary of each
-//! zone goes round (a beat that rises while any of its hosts lives, and a hash of its live hosts);
-//! the hosts of a zone are sent only to a host whose hash differs. So the cost for a host grows
-//! with the hosts of its own zone and the number of zones, not with the fleet.
+//! Within a zone, hosts exchange the heartbeat counter of every host. Between zones they exchange
+//! only a summary of each zone: a counter that increases while any of its hosts is live, and a hash
+//! of its live hosts. The list of a zone's hosts is sent only to a host whose hash differs, so the
+//! cost for a host grows with the size of its own zone and the number of zones, not with the fleet.
 //!
-//! The shell calls `tick` and then exchanges with each of `partners`, once a second: it sends
-//! `digest_for(partner)`, hands the answer to `merge`; the asked host answers with `receive`.
-//! What came along for other slices is fetched with `take_received`.
+//! Once a second, the caller runs `tick` and then an exchange with each host that `choose_partners`
+//! returns: it sends `digest_for(partner)` and passes the response to `apply_response`. The partner
+//! computes its response with `receive`. `take_received` returns what exchanges carried for other
+//! modules.
 
 mod baselines;
 mod contacts;
--- a/src/membership/payload.rs
+++ b/src/membership/payload.rs
@@ -1,4 +1,4 @@
-//! What the exchanges carry for other slices.
+//! State of other modules that exchanges carry.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -6,25 +6,25 @@
     drain::DrainRecord, prelude::*, quarantine::QuarantineMark, tenure::ZoneTenure, view::Baseline,
 };
 
-/// What this host holds and wants known at every other host.
+/// State of this host that exchanges spread to every other host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Payload {
     pub baselines: Vec<BaselineEntry>,
     pub drains: Vec<DrainRecord>,
     pub marks: Vec<QuarantineMark>,
-    /// Sequence of the manifest in force; 0 without one.
+    /// Sequence number of the manifest in force; 0 if there is none.
     pub sequence: Sequence,
-    /// Hosts that share the zone's targets; told inside the zone only.
+    /// Hosts that share the zone's targets; spread within the zone only.
     pub tenure: ZoneTenure,
 }
 
 impl Payload {
-    /// Hash of the drains; equal sets have equal hashes, since the drain slice keeps them sorted.
+    /// Hashes the drains. Equal sets have equal hashes, since `DrainSet` keeps them sorted.
     pub fn drains_hash(&self) -> u64 {
         hash_of(&self.drains)
     }
 
-    /// Hash of the marks, the time that they still stand aside: that one falls all the time.
+    /// Hashes the marks without their remaining time, which decreases continuously.
     pub fn marks_hash(&self) -> u64 {
         let mut rows: Vec<_> = self
             .marks
@@ -35,13 +35,14 @@
         hash_of(&rows)
     }
 
-    /// Newest baseline, in milliseconds of wall-clock time; 0 without one.
+    /// Returns the time of the newest baseline in milliseconds of wall-clock time; 0 if there is
+    /// none.
     pub fn baselines_at(&self) -> u64 {
         self.baselines.iter().map(|entry| entry.at).max().unwrap_or_default()
     }
 }
 
-/// Hashes of the notes, kept since they change far less often than they are told.
+/// Hashes of the payload, cached since it changes far less often than it is sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PayloadHashes {
     pub drains: u64,
@@ -54,36 +55,38 @@
     }
 }
 
-/// What came along in exchanges since the last `take_received`; each owner merges its part.
+/// Payload received in exchanges since the last `take_received`; each module merges its own part.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReceivedPayload {
     pub baselines: Vec<BaselineEntry>,
     pub drains: Vec<DrainRecord>,
-    /// Whether some of the marks came from another zone.
+    /// Whether any of the marks came from another zone.
     pub marks_from_other_zone: bool,
-    /// The highest manifest sequence above the own one, and where its holder answers RPC.
+    /// The highest manifest sequence above the own one, and the RPC address of the host that has
+    /// it.
     pub manifest: Option<(Sequence, SocketAddr)>,
     pub marks: Vec<QuarantineMark>,
-    /// A newer list of the hosts that share the zone's targets.
+    /// A list of the hosts that share the zone's targets, if it is newer than the own one.
     pub tenure: Option<ZoneTenure>,
 }
 
 impl ReceivedPayload {
-    /// Whether nothing came along.
+    /// Whether nothing was received.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// A baseline and when its home region set it.
+/// A baseline and the time at which its home region set it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BaselineEntry {
-    /// Wall-clock milliseconds of the host of the home region that set it.
+    /// Wall-clock milliseconds at the host of the home region that set it.
     pub at: u64,
     pub baseline: Baseline,
 }
 
-/// Hash of a value's JSON; 0 for an empty list, so that hosts with nothing agree with older ones.
+/// Hashes the JSON of the items; 0 for an empty list, which is also what a digest from an older
+/// release without the field decodes to.
 pub(super) fn hash_of<T: Serialize>(items: &[T]) -> u64 {
     if items.is_empty() {
         return 0;
--- a/src/membership/record.rs
+++ b/src/membership/record.rs
@@ -1,14 +1,15 @@
-//! What this host knows of one host of its own zone.
+//! State of one host of the own zone.
 
 use super::digest::HostEntry;
 use crate::{prelude::*, view::HostView};
 
-/// What this host knows of one host of its own zone.
+/// What this host knows of another host of its own zone.
 #[derive(Clone, Debug)]
 pub(super) struct HostRecord {
     pub beat: u64,
     pub epoch: u64,
-    /// When `beat` was last seen to rise, less its age at the host that told.
+    /// When `beat` last increased; for an entry received from a peer, the age that it reported is
+    /// subtracted.
     pub last_heard: Moment,
     pub revision: u32,
     pub suspected: bool,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Takes over a heartbeat; says whether it is newer than the known one.
+    /// Updates the heartbeat counter if `beat` is higher, and returns whether it was.
     pub fn advance_beat(&mut self, beat: u64, heard: Moment) -> bool {
         if beat <= self.beat {
             return false;
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -1,4 +1,4 @@
-//! The hosts of the own zone, this one aside.
+//! The other hosts of the own zone.
 
 use super::{
     digest::HostEntry, event::MembershipEvent, limits::MembershipLimits, payload::hash_of,
@@ -6,10 +6,11 @@
 };
 use crate::{prelude::*, view::HostView};
 
-/// Tombstones are kept this many times the silence after which a host is forgotten.
+/// Tombstones are kept for this multiple of the silence after which a host is forgotten.
 const TOMBSTONE_FACTOR: u32 = 6;
 
-/// A host that was forgotten. Without it, a peer that has not forgotten it yet would bring it back.
+/// Last state of a forgotten host. Without it, an entry from a peer that has not forgotten the host
+/// yet would add it again.
 #[derive(Clone, Debug)]
 struct Tombstone {
     forgotten_at: Moment,
@@ -19,7 +20,7 @@
 /// The other hosts of the own zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Roster {
-    /// Whether anything but heartbeats has changed since the last `take_changed`.
+    /// Whether anything other than heartbeats has changed since the last `take_changed`.
     changed: bool,
     records: BTreeMap<HostId, HostRecord>,
     tombstones: BTreeMap<HostId, Tombstone>,
@@ -42,7 +43,8 @@
         self.records.values().filter(|record| record.suspected).map(|record| &record.view)
     }
 
-    /// Hosts that were forgotten lately; a healed network is found out by asking them.
+    /// Returns the hosts that were forgotten recently. Contacting them detects the end of a network
+    /// partition.
     pub fn forgotten(&self) -> impl Iterator<Item = &HostView> {
         self.tombstones.values().map(|tombstone| &tombstone.last.view)
     }
@@ -51,7 +53,8 @@
         self.records.values().map(move |record| record.entry(now))
     }
 
-    /// Hash of the hosts including `own`, heartbeats aside: equal rosters list equal hosts.
+    /// Hashes the hosts including `own`, without heartbeats. Rosters of the same hosts have the
+    /// same hash.
     pub fn hash(&self, own: &HostEntry) -> u64 {
         let mut rows: Vec<_> = self
             .records
@@ -63,7 +66,7 @@
         hash_of(&rows)
     }
 
-    /// Heartbeats including the own one, sorted by host name.
+    /// Returns the heartbeat counters including the own one, sorted by host name.
     pub fn beats(&self, own: &HostEntry) -> Vec<u64> {
         let mut beats: Vec<_> = self.records.iter().map(|(id, record)| (id, record.beat)).collect();
         beats.push((&own.view.id, own.beat));
@@ -71,7 +74,7 @@
         beats.into_iter().map(|(_, beat)| beat).collect()
     }
 
-    /// Takes over heartbeats as `beats` lists them.
+    /// Applies the heartbeat counters that `beats` returned at a peer with the same roster.
     pub fn apply_beats(
         &mut self,
         own: &HostId,
@@ -92,9 +95,9 @@
         }
     }
 
-    /// Takes over one host. Of two incarnations the one with the higher epoch stays, however often
-    /// the other is heard: a process that was paused since before its replacement started, and then
-    /// resumes on the same address, cannot push the new one out.
+    /// Merges the entry of one host. Of two incarnations the one with the higher epoch stays,
+    /// however often the other is heard: a process that was paused before its replacement started,
+    /// and then resumes on the same address, cannot displace the new one.
     pub fn merge(
         &mut self,
         entry: HostEntry,
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Suspects and forgets by silence.
+    /// Suspects or forgets hosts that were silent for too long.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -170,7 +173,7 @@
             .retain(|_, tombstone| now < tombstone.forgotten_at + forget_after * TOMBSTONE_FACTOR);
     }
 
-    /// Moves the times of hearing on by a pause of this host.
+    /// Excludes a pause of this host from the silence of the others.
     pub fn shift_last_heard(&mut self, pause: Duration) {
         self.records.values_mut().for_each(|record| record.last_heard += pause);
     }
--- a/src/membership/simulation.rs
+++ b/src/membership/simulation.rs
@@ -1,4 +1,4 @@
-//! Many membership machines in one process, over a network in memory: for tests and measurements.
+//! Simulates many membership state machines over an in-memory network, for tests and measurements.
 
 use std::{
     cmp::Reverse,
@@ -11,16 +11,17 @@
 use super::{Digest, Membership, MembershipEvent, MembershipLimits, Payload};
 use crate::{prelude::*, view::HostView};
 
-/// Delay between learning news and telling it on; a little over the way between two regions.
+/// Delay between receiving a changed payload and forwarding it; slightly longer than the one-way
+/// latency between two regions.
 const FORWARD_DELAY: Duration = Duration::from_millis(60);
 
-/// Time between two looks at whether a run is done.
+/// Time between two checks of the condition that ends a run.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Many hosts and the network between them.
+/// Simulated hosts and the network between them.
 #[derive(Debug)]
 pub struct SimulatedFleet {
-    /// Called for each message, to count its size on the wire.
+    /// Computes the size of a message on the wire; without it, messages are not counted.
     pub message_size: Option<fn(&Digest) -> usize>,
     pub nodes: Vec<Node>,
     pub now: Moment,
@@ -32,7 +33,7 @@
     last_start_ms: u64,
 }
 
-/// One host of the fleet.
+/// One simulated host.
 #[derive(Debug)]
 pub struct Node {
     pub bytes: u64,
@@ -40,9 +41,9 @@
     pub membership: Membership,
     pub messages: u64,
     pub payload: Payload,
-    /// Neither ticks nor answers.
+    /// Whether the host neither ticks nor responds.
     pub paused: bool,
-    /// Takes messages, but each of its answers is late.
+    /// Whether the host receives messages, but its responses arrive too late to be used.
     pub slow: bool,
     phase: Duration,
 }
@@ -54,7 +55,8 @@
 }
 
 impl SimulatedFleet {
-    /// `per_zone` hosts in each of `zones`, two zones a region, that were told of one host each.
+    /// Creates `per_zone` hosts in each of `zones` zones, two zones per region. Each host but the
+    /// first has the first one as its seed.
     pub fn new(zones: usize, per_zone: usize, seed: u64) -> Self {
         let mut fleet = Self {
             by_address: BTreeMap::new(),
@@ -74,7 +76,7 @@
         fleet
     }
 
-    /// Starts a host, and says its index.
+    /// Starts a host and returns its index.
     pub fn start(&mut self, id: &str, zone: usize, port: usize) -> usize {
         self.last_start_ms += 1000;
         let view = view(id, zone, port, self.rng.random());
@@ -99,24 +101,24 @@
         self.nodes.len() - 1
     }
 
-    /// Cuts messages from one zone to another, one way.
+    /// Drops messages from one zone to another, in this direction only.
     pub fn partition(&mut self, from: usize, to: usize) {
         self.partitions.insert((zone_id(from), zone_id(to)));
     }
 
-    /// Lets all messages through again.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.partitions.clear();
     }
 
-    /// Gives a host news, which it tells on.
+    /// Replaces the payload of a host and starts its spread.
     pub fn publish(&mut self, node: usize, payload: Payload) {
         self.nodes[node].payload = payload.clone();
         self.nodes[node].membership.set_payload(payload);
         self.due.push(Reverse((self.now, node, Round::Push)));
     }
 
-    /// Runs for that long.
+    /// Runs the simulation for `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.next_due().is_some_and(|due| due <= end) {
@@ -125,7 +127,8 @@
         self.now = end;
     }
 
-    /// Runs until `done` or that long; says how long it took.
+    /// Runs until `done` returns true and returns how long that took, or `None` if it exceeded
+    /// `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -145,7 +148,7 @@
         None
     }
 
-    /// Names of the hosts that a host counts as live.
+    /// Returns the names of the hosts that a host counts as live.
     pub fn live_hosts(&self, node: usize) -> Vec<HostId> {
         let hosts = self.nodes[node].membership.hosts(self.now);
         hosts.into_iter().map(|host| host.id).collect()
@@ -246,12 +249,12 @@
 }
 
 impl Node {
-    /// When in each second this host ticks.
+    /// Returns the offset within each second at which this host ticks.
     pub fn phase(&self) -> Duration {
         self.phase
     }
 
-    /// Hosts that this one suspected or lost, in order.
+    /// Returns the hosts that this one suspected or reported as left, in order.
     pub fn suspicions(&self) -> Vec<HostId> {
         let events = self.events.iter().filter_map(|(_, event)| match event {
             MembershipEvent::Suspected(host) => Some(host.clone()),
@@ -262,7 +265,7 @@
     }
 }
 
-/// Name of a zone of the fleet.
+/// Returns the name of a zone.
 pub fn zone_id(zone: usize) -> ZoneId {
     format!("z{zone:02}").into()
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -9,7 +9,7 @@
     Duration::from_secs(secs)
 }
 
-/// A fleet whose hosts all know each other.
+/// Creates a fleet whose hosts all know each other.
 fn converged(zones: usize, per_zone: usize) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(zones, per_zone, 7);
     let all = zones * per_zone;
@@ -41,8 +41,9 @@
     }
 }
 
-// One host stops without a word. Its zone's peer hears no heartbeat for the suspicion time; the
-// other zones learn it from that peer's view of its zone. The platform's list plays no part.
+// A host stops without announcing it. The peers in its zone receive no heartbeat for the suspicion
+// time, and the other zones learn of the loss from the summary of that zone. The platform's list is
+// not involved.
 #[test]
 fn a_dead_host_is_suspected_then_forgotten_everywhere() {
     let mut fleet = converged(3, 3);
@@ -55,10 +56,11 @@
     assert_eq!(seen, ["h0004".into(), "h0004".into()], "suspected once, left once");
 }
 
-// A request crashes a target. The next host that it goes to has to know before: it gets the mark in the
-// very first message, without a round trip to ask for it, and knows whether to pass it on in its zone.
+// A request crashes a target. The next host that receives the request has to know its mark before,
+// so the first message carries the mark without a round trip to request it. The receiver learns
+// whether the mark came from another zone, since it then forwards it in its own zone.
 #[test]
-fn news_carries_marks_unasked_and_says_where_they_come_from() {
+fn push_digest_carries_marks_unrequested_and_tells_their_origin() {
     let mut fleet = converged(2, 2);
     let now = fleet.now;
     let mark =
@@ -78,8 +80,9 @@
     }
 }
 
-// A host announces that it stops; peers see the mark at their next exchange, well before silence
-// could tell, and still list it so that resends find the one that took over its ledger.
+// A host announces that it is stopping. Peers learn of it at their next exchange, well before
+// silence would show it, and still list the host so that resends find the one that took over its
+// ledger.
 #[test]
 fn leaving_is_announced() {
     let mut fleet = converged(3, 2);
@@ -96,11 +99,11 @@
     assert!(matches!(received, [(_, MembershipEvent::Left(host))] if &*host.id == "h0002"));
 }
 
-// A zone loses all links, both ways or one way. Each side keeps serving its own hosts; the other
-// side's are suspected; nobody inside the cut zone suspects a neighbour. After the cut heals, all
-// find each other again although nothing else tells them.
+// A zone loses all links, in both directions or in one. Each side keeps its own hosts and suspects
+// those of the other side; no host inside the partitioned zone suspects its neighbour. After the
+// partition heals, all hosts find each other again without any other source.
 #[test]
-fn a_cut_zone_keeps_its_own_hosts_and_comes_back() {
+fn a_partitioned_zone_keeps_its_own_hosts_and_rejoins() {
     for one_way in [false, true] {
         let mut fleet = converged(6, 2);
         for other in 1..6 {
@@ -109,7 +112,8 @@
                 fleet.partition(other, 0);
             }
         }
-        // One way: what the cut zone says is lost, so the others miss it; it still hears them.
+        // One direction: messages from the partitioned zone are lost, so the others suspect it,
+        // while it still hears them.
         fleet.run(secs(30));
         let inside: Vec<HostId> = vec!["h0000".into(), "h0006".into()];
         if !one_way {
@@ -125,10 +129,10 @@
     }
 }
 
-// A zone can reach only one other zone, and not the platform. A manifest that the rest learnt
-// comes to it over that one path.
+// A zone can reach only one other zone and not the platform. The sequence of a manifest that the
+// other zones have reaches it over that one path.
 #[test]
-fn news_takes_any_path_that_is_left() {
+fn a_new_sequence_spreads_over_any_remaining_path() {
     let mut fleet = converged(6, 2);
     for other in 1..5 {
         fleet.partition(0, other);
@@ -139,8 +143,8 @@
     fleet.run_until(secs(10), |fleet| (0..12).all(|node| sequence(fleet, node) == 9)).unwrap();
 }
 
-// A host dies and is replaced on the same address and under the same name. The peers take the new
-// incarnation at its first word, not only once the old one has become silent.
+// A host dies and is replaced at the same address and under the same name. The peers accept the new
+// incarnation as soon as they hear from it, not only after the old one has become silent.
 #[test]
 fn a_restarted_host_is_a_new_incarnation() {
     let mut fleet = converged(2, 2);
@@ -159,9 +163,9 @@
     assert!(hosts.iter().all(|host| host.incarnation != old.incarnation));
 }
 
-// The old process was only paused, and wakes on its address after its replacement started. It must
-// not push the new one out of any peer's view, and it learns that it has to stop. The wall clocks
-// of the two hosts may be wrong: then the new one is told of its predecessor and outbids it.
+// The old process was only paused, and resumes at its address after its replacement started. It
+// must not displace the new one in any peer's view, and it learns that it has to stop. If the wall
+// clocks are wrong, the new process learns of its predecessor and raises its own epoch above it.
 #[test]
 fn a_resumed_predecessor_does_not_displace_its_successor() {
     for wrong_clock in [false, true] {
@@ -175,7 +179,7 @@
         let incarnation = fleet.nodes[new].membership.own().incarnation;
         fleet.run(secs(8));
         fleet.nodes[2].paused = false;
-        // Only the new one answers on the address, as after a move of the address.
+        // Only the new process responds at the address, as after the address has been reassigned.
         fleet.nodes.swap(2, new);
         for _ in 0..60 {
             fleet.run(secs(1));
@@ -187,10 +191,10 @@
     }
 }
 
-// A whole host stands still for a minute. When it resumes, its peers have been silent for a minute
-// by its clock, yet it was itself that did not listen: it suspects nobody.
+// A host is paused for a minute. When it resumes, it has heard none of its peers for a minute, but
+// only because it was paused itself, so it must not suspect any of them.
 #[test]
-fn a_pause_of_its_own_is_no_silence_of_the_others() {
+fn a_host_that_was_paused_suspects_nobody() {
     let mut fleet = converged(2, 3);
     fleet.nodes[0].paused = true;
     fleet.run(secs(60));
@@ -200,8 +204,8 @@
     assert!(fleet.agrees_on_host_count(6));
 }
 
-// A peer takes messages but its answers come too late. It asks others itself, so that its
-// heartbeat gets round all the same.
+// A peer receives messages, but its responses arrive too late. Since it also starts exchanges
+// itself, its heartbeat still spreads.
 #[test]
 fn a_slow_peer_is_not_suspected() {
     let mut fleet = converged(2, 3);
@@ -212,10 +216,10 @@
     }
 }
 
-// The platform is away, a host is replaced under a new name and address, and its zone is cut off,
-// all at once. The new host finds its neighbour by the address in its settings.
+// The platform is unavailable, a host is replaced under a new name and address, and its zone is
+// partitioned, all at once. The new host finds its neighbour through the address in its settings.
 #[test]
-fn a_host_replaced_in_a_cut_zone_joins_its_neighbour() {
+fn a_host_replaced_in_a_partitioned_zone_joins_its_neighbour() {
     let mut fleet = converged(3, 2);
     for other in 1..3 {
         fleet.partition(0, other);
@@ -231,9 +235,10 @@
     fleet.run_until(secs(30), |fleet| fleet.agrees_on_host_count(6)).unwrap();
 }
 
-// A release that knows less sends a digest without the fields that came later.
+// An older release sends a digest without the fields that were added later, and a newer one sends
+// fields that this one does not know.
 #[test]
-fn a_digest_of_an_older_release_is_read() {
+fn a_digest_of_an_older_release_is_decoded() {
     let fleet = SimulatedFleet::new(1, 1, 1);
     let digest = fleet.nodes[0].membership.digest(fleet.now);
     let mut value = serde_json::to_value(&digest).unwrap();
@@ -244,9 +249,9 @@
     assert_eq!(read.from, digest.from);
 }
 
-// Only the first host of a home region speaks for it. What a host sees of another region's callers,
-// who came since their region is lost, must not replace what that region last had itself: the cap
-// of those callers would shrink with every one that it refuses.
+// Only the first host of a home region sets its baseline. The rate of callers from a lost region,
+// as seen by a host of another region, must not replace that region's own last baseline: the cap
+// for those callers would shrink with every request that it refuses.
 #[test]
 fn only_the_home_region_sets_its_baseline() {
     let rate = |home: &str, rate| Baseline { home: home.into(), rate, service: "status".into() };
--- a/src/membership/zones.rs
+++ b/src/membership/zones.rs
@@ -1,4 +1,4 @@
-//! The other zones, each as one of its own hosts last described it.
+//! The other zones, each as last described by one of its own hosts.
 
 use super::{
     digest::{Digest, ZoneEntry, ZoneSummary},
@@ -7,12 +7,13 @@
 };
 use crate::{prelude::*, view::HostView};
 
-/// One other zone.
+/// State of another zone.
 #[derive(Clone, Debug)]
 struct Zone {
     last_heard: Moment,
     hosts: Vec<HostView>,
     region: RegionId,
+    /// Whether the zone was not heard within the suspicion time.
     silent: bool,
     summary: ZoneSummary,
 }
@@ -28,23 +29,23 @@
         self.zones.values().map(|zone| zone.summary.clone())
     }
 
-    /// Hosts of the zones that are heard.
+    /// Returns the hosts of the zones that are not silent.
     pub fn live(&self) -> impl Iterator<Item = &HostView> {
         self.zones.values().filter(|zone| !zone.silent).flat_map(|zone| &zone.hosts)
     }
 
-    /// The hosts of each zone that is silent, or of each that is heard.
+    /// Returns, by zone, the hosts of the zones whose silence is as given.
     pub fn hosts_where(&self, silent: bool) -> Vec<&[HostView]> {
         let zones = self.zones.values().filter(|zone| zone.silent == silent);
         zones.map(|zone| &zone.hosts[..]).filter(|hosts| !hosts.is_empty()).collect()
     }
 
-    /// Zones that are silent, and since when.
+    /// Returns the silent zones, and when each was last heard.
     pub fn silent(&self) -> impl Iterator<Item = (&ZoneId, Moment)> {
         self.zones.iter().filter(|(_, zone)| zone.silent).map(|(id, zone)| (id, zone.last_heard))
     }
 
-    /// Regions of which all known zones are silent.
+    /// Returns the regions of which all known zones are silent.
     pub fn silent_regions(&self) -> std::collections::BTreeSet<RegionId> {
         let mut regions = BTreeMap::new();
         for zone in self.zones.values() {
@@ -58,13 +59,13 @@
         Some(ZoneEntry { hosts: zone.hosts.clone(), summary: zone.summary.clone() })
     }
 
-    /// Whether `theirs` is newer and its hosts are not known here.
+    /// Whether `theirs` is newer than the known state of the zone and lists other hosts.
     pub fn lacks(&self, theirs: &ZoneSummary) -> bool {
         let Some(own) = self.zones.get(&theirs.zone) else { return true };
         own.summary.beat < theirs.beat && own.summary.hash != theirs.hash
     }
 
-    /// Takes over a newer beat of a zone whose hosts are as known.
+    /// Applies a newer counter of a zone whose hosts have not changed.
     pub fn apply_summary(
         &mut self,
         theirs: &ZoneSummary,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Takes over a zone with its hosts, if it is newer than the known one.
+    /// Replaces the state of a zone, if `entry` is newer.
     pub fn apply_entry(
         &mut self,
         entry: ZoneEntry,
@@ -101,7 +102,8 @@
         self.zones.insert(zone.summary.zone.clone(), zone);
     }
 
-    /// Payload the zones that have become silent, and forgets those silent for very long.
+    /// Suspects the hosts of zones that have become silent, and forgets zones that were silent for
+    /// `forget_zone_after`.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -127,16 +129,16 @@
         });
     }
 
-    /// Moves the times of hearing on by a pause of this host.
+    /// Excludes a pause of this host from the silence of the zones.
     pub fn shift_last_heard(&mut self, pause: Duration) {
         self.zones.values_mut().for_each(|zone| zone.last_heard += pause);
     }
 
-    /// Adds to `answer` what the sender of `theirs` lacks of these zones.
+    /// Adds to `response` what the sender of `theirs`, a host of zone `from`, lacks of these zones.
     ///
-    /// Two hosts of one zone that do not know each other yet describe it differently, each as
-    /// newer than the other. The sender is told of any other description of its own zone, so that
-    /// the two find each other.
+    /// Two hosts of one zone that do not know each other yet publish different descriptions of it,
+    /// and either may have the higher counter. The sender therefore gets any differing description
+    /// of its own zone, so that the two hosts find each other.
     pub fn add_missing(&self, from: &ZoneId, theirs: &[ZoneSummary], response: &mut Digest) {
         let theirs: BTreeMap<_, _> = theirs.iter().map(|zone| (&zone.zone, zone)).collect();
         for (id, own) in &self.zones {
--- a/src/tenure/action.rs
+++ b/src/tenure/action.rs
@@ -1,15 +1,15 @@
-//! What the manager asks for.
+//! Outputs of the tenure state machine.
 
 use super::object::ZoneTenure;
 use crate::{store::Expect, timeline::EventKind};
 
-/// One output.
+/// What the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Put this on the time line.
+    /// Record the event on the time line.
     Note(EventKind),
     /// Read the zone's object.
     Read,
-    /// Write the zone's object if it still is as expected.
+    /// Write the zone's object if its version is still as expected.
     Write { expect: Expect, object: ZoneTenure },
 }
--- a/src/tenure/event.rs
+++ b/src/tenure/event.rs
@@ -1,35 +1,27 @@
-//! What the manager is told.
+//! Inputs of the tenure state machine.
 
 use super::object::ZoneTenure;
 use crate::{prelude::*, store::Version};
 
-/// One input.
+/// What the caller reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A host of the zone answered an exchange that was sent at `sent`. `fence` is the one that it
-    /// knows; `Heard` with its list, if it had a newer one, comes first.
-    Acknowledged {
-        fence: u64,
-        host: HostId,
-        sent: Moment,
-    },
-    /// A peer told of the zone's list.
+    /// A host of the zone responded to an exchange that was sent at `sent`. `fence` is that of the
+    /// newest list it knows; if it sent a newer list, `ListReceived` comes first.
+    Acknowledged { fence: u64, host: HostId, sent: Moment },
+    /// A peer sent the zone's list.
     ListReceived(ZoneTenure),
-    /// The live hosts of the zone as the membership sees them, this one included. At each tick.
+    /// The live hosts of the zone according to the membership, including this one. Sent before each
+    /// tick.
     LiveHosts(Vec<ZoneHost>),
     /// This host is stopping.
     Leave,
-    /// A `Read` that was sent at `sent` has ended.
-    ReadDone {
-        result: ReadResult,
-        sent: Moment,
-    },
+    /// An `Action::Read` that was sent at `sent` has ended.
+    ReadDone { result: ReadResult, sent: Moment },
+    /// One second has passed.
     Tick,
-    /// A `Write` that was sent at `sent` has ended.
-    WriteDone {
-        result: WriteResult,
-        sent: Moment,
-    },
+    /// An `Action::Write` that was sent at `sent` has ended.
+    WriteDone { result: WriteResult, sent: Moment },
 }
 
 /// A live host of the zone.
@@ -40,21 +32,21 @@
     pub leaving: bool,
 }
 
-/// What a read gave.
+/// Result of a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReadResult {
     Absent,
-    /// No answer, or one that cannot be read.
+    /// No response, or one that cannot be decoded.
     Failed,
     Found(ZoneTenure, Version),
 }
 
-/// What became of a write.
+/// Result of a write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriteResult {
-    /// Someone else wrote first.
+    /// Another host wrote first.
     Conflict,
-    /// Unknown: it may have taken effect.
+    /// The outcome is unknown: the write may have taken effect.
     Failed,
     Written(Version),
 }
--- a/src/tenure/lease.rs
+++ b/src/tenure/lease.rs
@@ -1,4 +1,4 @@
-//! What the right is at a moment.
+//! Computes the tenure from the state at a given time.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use crate::{base::invariant, prelude::*, view::Tenure};
 
 impl TenureManager {
-    /// This host's right now. It stays true without further word until `valid_until`.
+    /// Returns this host's tenure. It holds until `valid_until` without further confirmation.
     pub fn tenure(&self, now: Moment) -> Tenure {
         let silent = self.silent_hosts(now);
         let listed = self.list.contains(&self.own) && !self.leaving;
@@ -39,49 +39,53 @@
         Tenure { owners, provisional, valid_until }
     }
 
-    /// Whether nobody confirms the right for much longer.
+    /// Whether the lease was never confirmed, or more than three quarters of it have passed since.
     pub(super) fn expires_soon(&self, now: Moment) -> bool {
         self.confirmed_at().is_none_or(|at| at + LEASE * 3 / 4 < now)
     }
 
-    /// When what last confirmed the right was sent.
+    /// Returns when the exchange or read that last confirmed the lease was sent.
     pub(super) fn confirmed_at(&self) -> Option<Moment> {
         if !self.list.contains(&self.own) {
             return None;
         }
-        // A host alone in the list has nobody to ask but the platform: while it was paused, one
-        // that started meanwhile may have removed it.
+        // A host alone in the list has no witnesses, so only a platform read confirms its lease: a
+        // host that started while this one was paused may have removed it.
         let witnesses = self.list.witnesses(&self.own.host);
-        let by_witness = witnesses.iter().map(|host| self.last_acknowledged.get(host).copied());
-        by_witness.min().flatten().max(self.confirmed_by_read)
+        let by_witnesses = witnesses.iter().map(|host| self.last_acknowledged.get(host).copied());
+        by_witnesses.min().flatten().max(self.confirmed_by_read)
     }
 
-    /// Whether this host was paused and nobody has said since that it is still listed.
+    /// Whether this host was paused and its place in the list has not been confirmed since.
     ///
-    /// Without this a host that wakes takes itself for one that nobody confirms at the moment, and
-    /// sends at reduced concurrency to targets that its successor has long filled: they shed. It
-    /// waits for its witnesses or the platform, a matter of one exchange. Only with the platform
-    /// away, which also keeps others from removing it, is one witness or complete silence enough.
+    /// Without this check, a host that resumes would treat its lease as merely unconfirmed for the
+    /// moment, and send at reduced concurrency to targets that its successor already uses in full,
+    /// which would shed. The host waits for its witnesses or the platform, usually for one
+    /// exchange. While the platform is unavailable, no other host can remove it, so a response from
+    /// one witness or complete isolation is enough.
     fn is_unconfirmed_after_pause(&self, silent: &BTreeSet<HostId>, now: Moment) -> bool {
         let Some(resumed) = self.resumed_at else { return false };
         let since = |at: &Moment| resumed <= *at;
-        let platform_away = self.last_read.is_some_and(|read| read.failed && since(&read.sent_at));
+        let platform_unavailable =
+            self.last_read.is_some_and(|read| read.failed && since(&read.sent_at));
         let witnesses = self.list.witnesses(&self.own.host);
         let heard =
             witnesses.iter().any(|host| self.last_acknowledged.get(host).is_some_and(since));
-        !platform_away || !(heard || self.is_isolated(silent, now))
+        !platform_unavailable || !(heard || self.is_isolated(silent, now))
     }
 
-    /// A host that hears neither the platform nor any listed peer goes on with its own targets: a
-    /// platform outage in which a peer dies must not take the whole zone down. If a peer on the
-    /// other side of a cut took them over meanwhile, targets may shed requests, and none runs twice.
+    /// Whether this host reaches neither the platform nor any other listed host. It then continues
+    /// to use its own targets in full: a platform outage during which a peer fails must not stop
+    /// the whole zone. If a peer on the other side of a network partition has taken the targets
+    /// over, they may shed requests, but none runs twice.
     fn is_isolated(&self, silent: &BTreeSet<HostId>, now: Moment) -> bool {
         let others = self.list.hosts.iter().filter(|holder| holder.host != self.own.host);
         self.platform_failed(now) && others.into_iter().all(|holder| silent.contains(&holder.host))
     }
 
-    /// A host that is not listed owns nothing while a listed one lives. If none does and the
-    /// platform is away, so that it cannot get listed, it stands in for all, as its neighbours do.
+    /// Returns the tenure of a host that is not listed. It owns nothing while a listed host is
+    /// live. If none is, and the platform is unavailable so that this host cannot join the list, it
+    /// shares all targets provisionally with the other live hosts of the zone.
     fn unlisted_tenure(
         &self,
         owners: Vec<HostId>,
--- a/src/tenure/machine.rs
+++ b/src/tenure/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one host.
+//! Tenure state machine of one host; does no I/O and takes the time as an argument.
 
 use std::collections::BTreeSet;
 
@@ -16,46 +16,47 @@
     timeline::EventKind,
 };
 
-/// Keeps one host's right to the targets of its zone.
+/// Maintains one host's lease on its share of the targets of its zone.
 #[derive(Clone, Debug)]
 pub struct TenureManager {
-    /// When the last exchange that each host answered was sent.
+    /// For each host, when the newest exchange to which it responded was sent.
     pub(super) last_acknowledged: BTreeMap<HostId, Moment>,
-    /// When the last platform read that listed this host was sent.
+    /// When the newest platform read that listed this host was sent.
     pub(super) confirmed_by_read: Option<Moment>,
-    /// Hosts that were removed from the list, and until when their right may still hold.
+    /// Hosts that were removed from the list, and until when their lease may still be valid.
     pub(super) removed_until: BTreeMap<HostId, Moment>,
     pub(super) hosts: Vec<ZoneHost>,
-    /// Until when a former owner may not know of this host's place in the list.
+    /// Until when a former owner may not know that this host has joined the list.
     pub(super) joining_until: Moment,
     pub(super) last_tick: Moment,
     pub(super) leaving: bool,
     pub(super) own: Holder,
-    /// Since when each silent host is so.
+    /// When each silent host became silent.
     silent_since: BTreeMap<HostId, Moment>,
-    /// The newest list known.
+    /// The newest known list.
     pub(super) list: ZoneTenure,
-    /// Since when each listed host is listed and was not heard.
+    /// For each listed host that has not been heard since it was listed, when it was first listed.
     pub(super) unheard_since: BTreeMap<HostId, Moment>,
     pub(super) last_read: Option<LastRead>,
     pending: Option<Pending>,
-    /// Whether the last `tenure` gave a right.
+    /// Whether the lease was valid after the last event.
     pub(super) holds_lease: bool,
-    /// When this host's ticks last stood still, until its right is confirmed again.
+    /// When this host resumed after a pause, until its lease is confirmed again.
     pub(super) resumed_at: Option<Moment>,
     version: KnownVersion,
     zone: ZoneId,
 }
 
-/// The platform's version of the newest list known.
+/// The platform's version of the newest known list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum KnownVersion {
     Absent,
     Read(Version),
-    /// The list came from a peer, or a write had no answer.
+    /// The list came from a peer, a write did not succeed, or a call timed out.
     Unknown,
 }
 
+/// The last read that ended, or the last call that timed out.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastRead {
     pub(super) finished_at: Moment,
@@ -63,6 +64,7 @@
     pub(super) sent_at: Moment,
 }
 
+/// The platform call that is in flight.
 #[derive(Clone, Debug)]
 enum Pending {
     Read { since: Moment },
@@ -70,7 +72,7 @@
 }
 
 impl TenureManager {
-    /// A host that knows no list yet.
+    /// Creates the state of a host that knows no list yet.
     pub fn new(host: HostId, incarnation: Incarnation, zone: ZoneId) -> Self {
         Self {
             last_acknowledged: BTreeMap::new(),
@@ -93,17 +95,18 @@
         }
     }
 
-    /// The hosts of which this one needs an answer at least every other second.
+    /// Returns the hosts whose responses confirm the lease; each has to respond at least every
+    /// other second.
     pub fn witnesses(&self) -> Vec<HostId> {
         self.list.witnesses(&self.own.host)
     }
 
-    /// The newest list known, for peers that have an older one.
+    /// Returns the newest known list, for peers that have an older one.
     pub fn holder_list(&self) -> &ZoneTenure {
         &self.list
     }
 
-    /// Takes one input.
+    /// Handles an event, and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Moment) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -122,8 +125,9 @@
             }
             Event::ReadDone { result, sent } => {
                 self.apply_read(result, sent, now);
-                // At once, while what was read is still so: hosts that start together would
-                // otherwise overtake each other for as many seconds as they are.
+                // Written at once, while the version that was read is still current. Of hosts that
+                // start together only one would otherwise succeed each second, as the others would
+                // write with a version that is out of date.
                 actions.extend(self.start_write(now));
             }
             Event::Tick => {
@@ -140,7 +144,8 @@
         actions
     }
 
-    /// Ticks come once a second; a gap means that the process stood still or the machine slept.
+    /// Detects a gap in the ticks, which come once a second: the process or the machine was
+    /// suspended.
     fn detect_pause(&mut self, now: Moment) {
         let first = self.last_tick == Moment::ZERO;
         if !first && self.last_tick + PAUSE_THRESHOLD <= now {
@@ -155,8 +160,8 @@
         }
     }
 
-    /// An answer from a host that knows no newer list confirms that it had not removed this host
-    /// when it answered.
+    /// Records a response from a host. If that host knows no newer list, the response confirms that
+    /// it had not removed this host by then.
     fn record_acknowledgement(&mut self, fence: u64, host: HostId, sent: Moment) {
         if fence <= self.list.fence {
             let last = self.last_acknowledged.entry(host).or_default();
@@ -177,7 +182,7 @@
                 let fence = list.fence;
                 let lists_own = list.contains(&self.own);
                 self.apply_list(list, now);
-                // A late answer to an older read says nothing of the newest list.
+                // A late response to an older read does not describe the newest list.
                 if fence == self.list.fence {
                     self.version = KnownVersion::Read(version);
                     if lists_own {
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Takes over a newer list; says whether it was newer.
+    /// Replaces the list if `list` is newer, and returns whether it was.
     fn apply_list(&mut self, list: ZoneTenure, now: Moment) -> bool {
         if list.fence <= self.list.fence {
             return false;
@@ -230,8 +235,8 @@
                 self.last_acknowledged.remove(&holder.host);
             }
         }
-        // Hosts that still use the former list may send to what now falls to this host, for as
-        // long as their right can last. In an empty zone there is nobody to wait for.
+        // Hosts that still use the former list may send to targets that now belong to this host,
+        // until their leases expire. In an empty zone there is no host to wait for.
         let joined = new.contains(&self.own) && !old.contains(&self.own);
         let shared = new.hosts.iter().any(|holder| *holder != self.own);
         if joined && (shared || !old.hosts.is_empty()) {
@@ -261,9 +266,9 @@
         if let Some(write) = self.start_write(now) {
             return Some(write);
         }
-        let hurry = self.desired_holders(now) != self.list.hosts || self.expires_soon(now);
-        let every = if hurry { UNCONFIRMED_READ_INTERVAL } else { CONFIRMED_READ_INTERVAL };
-        if self.last_read.is_some_and(|read| now < read.finished_at + every) {
+        let read_soon = self.desired_holders(now) != self.list.hosts || self.expires_soon(now);
+        let interval = if read_soon { UNCONFIRMED_READ_INTERVAL } else { CONFIRMED_READ_INTERVAL };
+        if self.last_read.is_some_and(|read| now < read.finished_at + interval) {
             return None;
         }
         self.pending = Some(Pending::Read { since: now });
@@ -293,16 +298,16 @@
         }
     }
 
-    /// The list as it should be: silent hosts that this one watches out, this host in or, if it is leaving, out. A host
-    /// only ever adds itself.
+    /// Returns the list as this host would write it: without the silent hosts that it may remove,
+    /// and with itself unless it is leaving. A host adds no other host.
     fn desired_holders(&self, now: Moment) -> Vec<Holder> {
-        let removes = |host: &HostId| {
-            let long =
+        let may_remove = |host: &HostId| {
+            let silent_long =
                 self.silent_since.get(host).is_some_and(|at| *at + FALLBACK_REMOVAL_AFTER <= now);
-            long || self.list.witnesses(host).contains(&self.own.host)
+            silent_long || self.list.witnesses(host).contains(&self.own.host)
         };
         let mut silent = self.silent_hosts(now);
-        silent.retain(removes);
+        silent.retain(may_remove);
         let mut desired: Vec<Holder> = self
             .list
             .hosts
@@ -317,7 +322,7 @@
         desired
     }
 
-    /// Listed hosts that the membership does not hear.
+    /// Returns the other listed hosts that the membership does not count as live.
     pub(super) fn silent_hosts(&self, now: Moment) -> BTreeSet<HostId> {
         let listed = self.list.hosts.iter().map(|holder| &holder.host);
         let others = listed.filter(|host| **host != self.own.host);
@@ -332,7 +337,8 @@
         silent.cloned().collect()
     }
 
-    /// Whether the platform failed the last call, and that lately.
+    /// Whether the last platform read failed, or the last call timed out, less than twice
+    /// `CALL_TIMEOUT` ago.
     pub(super) fn platform_failed(&self, now: Moment) -> bool {
         self.last_read.is_some_and(|read| read.failed && now < read.finished_at + CALL_TIMEOUT * 2)
     }
--- a/src/tenure/mod.rs
+++ b/src/tenure/mod.rs
@@ -1,18 +1,20 @@
-//! The right of a host to the targets of its zone.
+//! Tenure: the lease that entitles a host to send to its share of the targets of its zone.
 //!
-//! One object on the platform lists the hosts that share a zone's targets. It is written only when
-//! a host comes or goes, by conditional update, and each write raises its fence. A listed host's
-//! right holds for `LEASE` by its own clock, counted from before it sent what confirmed it: an
-//! exchange that each of its witnesses answered, or a platform read that still lists it. The
-//! witnesses of a host are two of the listed ones, by hash; they alone remove it.
+//! One object on the platform lists the hosts that share a zone's targets. It is written by
+//! conditional update, only when a host joins or leaves, and each write increments its fence. The
+//! lease of a listed host is valid for `LEASE` by its own clock. It counts from before the host
+//! sent what confirmed it: an exchange to which each of its witnesses responded, or a platform read
+//! that still listed the host. The witnesses of a host are `WITNESS_COUNT` of the other listed
+//! hosts, chosen by hash. Only they remove it, unless it has been silent for
+//! `FALLBACK_REMOVAL_AFTER`.
 //!
-//! Who removes a silent host holds its targets only provisionally for another `LEASE` (two in zones
-//! of more than three hosts): by then the removed one's right has run out, however long it was
-//! paused. With the platform away nobody can
-//! be removed, and a silent host's targets stay provisional.
+//! After a silent host is removed, its targets are provisional for one `LEASE` (two in zones of
+//! more than three hosts): the new owners use them at reduced concurrency. By the end of that time
+//! the lease of the removed host has expired, however long it was paused. While the platform is
+//! unavailable no host can be removed, and the targets of a silent host stay provisional.
 //!
-//! Two hosts that both believe to own a target can cost a shed request, never a doubled one: the
-//! ledger does not rest on this.
+//! If two hosts both consider themselves the owner of a target, requests may be shed, but none runs
+//! twice: the ledger does not depend on tenure.
 
 mod action;
 mod event;
@@ -33,30 +35,30 @@
     platform_calls::perform,
 };
 
-/// How long a confirmed right holds.
+/// Validity of a confirmed lease.
 pub const LEASE: Duration = Duration::from_secs(4);
 
-/// A gap between two ticks from which a host counts as having been paused. After a shorter one its
-/// right has not run out: what confirmed it is hardly older than the gap.
+/// Gap between two ticks from which a host counts as having been paused. After a shorter gap its
+/// lease has not expired, since what confirmed it is hardly older than the gap.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// Hosts that watch each host.
+/// Number of witnesses of each host.
 pub const WITNESS_COUNT: usize = 2;
 
-/// A host that is silent for this long may be removed by any host: its witnesses may have died with
-/// it.
+/// Silence after which any host of the zone may remove a host, since its witnesses may have failed
+/// with it.
 pub const FALLBACK_REMOVAL_AFTER: Duration = Duration::from_secs(30);
 
-/// Time between two reads of the object while peers confirm the right: finds a host that wrote
-/// itself into the list and is cut off from its peers.
+/// Time between two reads of the object while peers confirm the lease. The reads find a host that
+/// wrote itself into the list and is partitioned from its peers.
 pub const CONFIRMED_READ_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Time between two reads while nobody confirms it.
+/// Time between two reads while the lease is about to expire or the list has to change.
 pub const UNCONFIRMED_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A call without result for this long is given up.
+/// Timeout of a platform call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A listed host that was never heard counts as silent after this long: a host that has just
-/// started knows nobody yet, and must not remove those it is about to meet.
+/// Time after which a listed host that was never heard counts as silent. A host that has just
+/// started knows no other host yet, and must not remove those that it has not heard so far.
 pub const FIRST_CONTACT_GRACE: Duration = Duration::from_secs(10);
--- a/src/tenure/object.rs
+++ b/src/tenure/object.rs
@@ -1,4 +1,4 @@
-//! The object on the platform.
+//! The object on the platform that lists the hosts of a zone.
 
 use std::cmp::Reverse;
 
@@ -10,7 +10,7 @@
 /// The hosts that share the targets of one zone.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ZoneTenure {
-    /// Rises by one with each write.
+    /// Increases by one with each write.
     pub fence: u64,
     /// Sorted by name.
     pub hosts: Vec<Holder>,
@@ -24,14 +24,15 @@
 }
 
 impl ZoneTenure {
-    /// Key of the object.
+    /// Returns the key of the object.
     pub fn object_key(member: &MemberId, zone: &ZoneId) -> String {
         format!("tenure/{member}/{zone}")
     }
 
-    /// The listed hosts that watch `host`: its right needs their answers, and only they remove it.
-    /// In a zone of up to three hosts these are all others. In a larger one a host cannot ask all
-    /// others within a lease, and would have to ask the platform instead: 1,700 reads a second.
+    /// Returns the witnesses of `host`: the listed hosts whose responses confirm its lease and that
+    /// may remove it. In a zone of up to three hosts these are all the others. In a larger zone a
+    /// host cannot contact all the others within one lease; reading from the platform instead would
+    /// cost 1,700 reads a second.
     pub fn witnesses(&self, host: &str) -> Vec<HostId> {
         let key = xxh3_64_with_seed(host.as_bytes(), 0);
         let weight = |other: &HostId| xxh3_64_with_seed(other.as_bytes(), key);
@@ -41,21 +42,22 @@
         others.into_iter().take(WITNESS_COUNT).cloned().collect()
     }
 
-    /// How long a host that was removed, or that does not know of a new one, may still act.
+    /// Returns how long a host that was removed, or that does not know of a new host, may still use
+    /// its former targets.
     ///
-    /// With all others as witnesses nobody confirms an older list once a newer one is written, so
-    /// one lease is enough. In a larger zone the witnesses themselves may hear of the newer list
-    /// only with the next exchanges; another lease covers that.
+    /// If all other hosts are witnesses, none confirms an older list once a newer one is written,
+    /// so one lease is enough. In a larger zone the witnesses themselves may learn of the newer
+    /// list only in later exchanges; another lease covers that.
     pub fn takeover_delay(&self) -> Duration {
         if self.hosts.len() <= WITNESS_COUNT + 1 { LEASE } else { LEASE * 2 }
     }
 
-    /// Whether that incarnation is listed.
+    /// Whether the list contains that incarnation.
     pub fn contains(&self, holder: &Holder) -> bool {
         self.hosts.contains(holder)
     }
 
-    /// The incarnation listed under that name.
+    /// Returns the incarnation listed under that name.
     pub fn incarnation_of(&self, host: &str) -> Option<Incarnation> {
         let holder = self.hosts.iter().find(|holder| &*holder.host == host)?;
         Some(holder.incarnation)
--- a/src/tenure/platform_calls.rs
+++ b/src/tenure/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Carries out what the manager asks of the platform.
+//! Carries out the platform calls of the tenure state machine.
 
 use bytes::Bytes;
 
@@ -12,9 +12,9 @@
     store::{Platform, Settled, new_operation, put_settled},
 };
 
-/// Carries out a read or write and gives the event that tells the manager of its end. The time is
-/// taken before the call is sent: an answer may be late by any time, and a right counted from its
-/// arrival would outlive what the platform knows.
+/// Carries out a read or write, and returns the event that reports its result to the manager. The
+/// time is taken before the call is sent: a response may be arbitrarily late, and a lease counted
+/// from its arrival could last longer than the response justifies.
 pub async fn perform(
     action: Action,
     platform: &dyn Platform,
--- a/src/tenure/tests.rs
+++ b/src/tenure/tests.rs
@@ -13,8 +13,8 @@
     Duration::from_secs(secs)
 }
 
-/// Two hosts that share the 40 targets of a zone in full.
-fn shared() -> ZoneSimulation {
+/// Creates a zone in which two hosts share the 40 targets, all used in full.
+fn shared_by_two() -> ZoneSimulation {
     let mut zone = ZoneSimulation::new();
     zone.start("a");
     zone.start("b");
@@ -27,30 +27,31 @@
 
 #[test]
 fn two_hosts_share_the_targets_with_two_writes() {
-    let mut zone = shared();
+    let mut zone = shared_by_two();
     zone.run(secs(300));
     assert_eq!(zone.usable_targets(0).0 + zone.usable_targets(1).0, 40);
     assert_eq!(zone.writes, 2);
     assert_eq!(invariant::take(), []);
 }
 
-// A host is paused for a minute, with a write of its own still on its way. Its peer suspects it,
-// removes it, stands in at reduced concurrency for one lease and then owns all. The paused host
-// finds its right lapsed by its own clock, before any message reaches it; its late write is
-// refused by the object's version; it learns that it was removed, and joins anew.
+// A host is paused for a minute while one of its writes is delayed. Its peer suspects it, removes
+// it, uses its targets at reduced concurrency for one lease, and then owns all targets. By its own
+// clock the lease of the paused host has expired before any message reaches it. The platform
+// refuses its late write because of the object's version; it learns that it was removed, and joins
+// again.
 #[test]
-fn a_paused_holder_finds_out_before_it_acts() {
-    let mut zone = shared();
+fn a_paused_holder_has_no_lease_when_it_resumes() {
+    let mut zone = shared_by_two();
     zone.hosts[0].paused = true;
     let expect = zone.current_expect();
     let object = ZoneTenure { fence: 99, hosts: Vec::new() };
     zone.hosts[0].delayed_call = Some((Action::Write { expect, object }, zone.now));
     zone.run(secs(4));
     let (full, reduced) = zone.usable_targets(1);
-    assert!(full < 40 && full + reduced == 40, "stands in first: {full} {reduced}");
+    assert!(full < 40 && full + reduced == 40, "provisional first: {full} {reduced}");
     zone.run(secs(6));
     assert_eq!(zone.usable_targets(1), (40, 0));
-    assert_eq!(zone.usable_targets(0), (0, 0), "its own clock ended the right");
+    assert_eq!(zone.usable_targets(0), (0, 0), "expired by its own clock");
     zone.run(secs(50));
     zone.resume(0);
     assert_eq!(zone.usable_targets(0).0, 0);
@@ -60,14 +61,14 @@
     assert!(0 < zone.usable_targets(0).0);
 }
 
-// A host is paused for a minute and removed. When it wakes, its own list still names it, and its
-// first tick comes before any answer: by that list it is merely not confirmed at the moment, which
-// would let it send to its successor's targets at reduced concurrency. It has no right until the
-// platform or its witness has spoken; with the platform away its witness's word is enough.
+// A host is paused for a minute and removed. When it resumes, its own list still contains it, and
+// its first tick comes before any response. By that list its lease is merely unconfirmed, which
+// would let it send to its successor's targets at reduced concurrency. It must have no lease until
+// the platform or its witness has responded; with the platform unavailable, the witness is enough.
 #[test]
-fn a_woken_holder_has_no_right_before_it_has_heard() {
+fn a_resumed_holder_has_no_lease_before_a_response() {
     for platform_up in [true, false] {
-        let mut zone = shared();
+        let mut zone = shared_by_two();
         zone.platform_up = platform_up;
         zone.hosts[0].paused = true;
         zone.run(secs(60));
@@ -82,12 +83,12 @@
     }
 }
 
-// A host is paused with the platform away, and its only peer dies meanwhile. Nobody can say
-// anything to it, and nobody can have removed it: it goes on with its own targets, as it would
+// A host is paused while the platform is unavailable, and its only peer dies meanwhile. No host can
+// respond to it, and none can have removed it, so it continues to use its own targets as it would
 // without the pause.
 #[test]
-fn a_woken_holder_that_is_alone_goes_on() {
-    let mut zone = shared();
+fn a_resumed_holder_that_is_isolated_keeps_its_targets() {
+    let mut zone = shared_by_two();
     let own = zone.usable_targets(0).0;
     zone.platform_up = false;
     zone.hosts[0].paused = true;
@@ -98,11 +99,11 @@
     assert_eq!(zone.usable_targets(0), (own, 40 - own));
 }
 
-// Paused for less than the suspicion time: nobody removes it, and after one exchange it uses its
-// targets as before, without a write.
+// A host is paused for less than the suspicion time. It is not removed, and after one exchange it
+// uses its targets as before, without a write.
 #[test]
 fn a_short_pause_costs_one_exchange() {
-    let mut zone = shared();
+    let mut zone = shared_by_two();
     zone.hosts[0].paused = true;
     zone.run(Duration::from_millis(2500));
     zone.resume(0);
@@ -111,12 +112,12 @@
     assert_eq!(zone.writes, 2);
 }
 
-// The platform is down and a peer dies. The other goes on with its own targets in full and stands
-// in for the dead one's at reduced concurrency, for as long as the outage lasts. When the platform
-// is back it removes the dead one and owns all.
+// The platform is unavailable and a peer dies. For the whole outage, the other host uses its own
+// targets in full and those of the dead one at reduced concurrency. When the platform is available
+// again, it removes the dead host and owns all targets.
 #[test]
-fn an_outage_and_a_dead_peer_leave_the_own_targets_in_full() {
-    let mut zone = shared();
+fn own_targets_stay_in_full_use_when_a_peer_dies_in_an_outage() {
+    let mut zone = shared_by_two();
     let own = zone.usable_targets(1).0;
     zone.platform_up = false;
     zone.run(secs(30));
@@ -132,11 +133,12 @@
     assert_eq!(zone.listed(), ["b".into()]);
 }
 
-// Platform down, zone cut off, both listed hosts gone and one new one started: nobody can list it,
-// so it stands in for all at reduced concurrency. While a listed host lives, it owns nothing.
+// The platform is unavailable, both listed hosts are gone and a new one has started. It cannot join
+// the list, so it uses all targets at reduced concurrency. While a listed host is live, it owns
+// nothing.
 #[test]
-fn a_replacement_in_a_cut_zone_stands_in_for_all() {
-    let mut zone = shared();
+fn an_unlisted_host_uses_all_targets_provisionally_in_an_outage() {
+    let mut zone = shared_by_two();
     zone.platform_up = false;
     zone.hosts[0].down = true;
     let new = zone.start("c");
@@ -151,10 +153,10 @@
 }
 
 // A host dies and is started again under its name before it was suspected. Its former incarnation
-// may only be paused: the new one takes its place in the list and waits for one lease.
+// may only be paused, so the new one takes its place in the list and waits for one lease.
 #[test]
-fn a_restarted_host_waits_for_its_former_self() {
-    let mut zone = shared();
+fn a_restarted_host_waits_for_its_former_incarnation() {
+    let mut zone = shared_by_two();
     let own = zone.usable_targets(0).0;
     zone.hosts[0].paused = true;
     let new = zone.start("a");
@@ -167,10 +169,10 @@
     assert_eq!(zone.usable_targets(0).0, 0);
 }
 
-// The answers to writes are lost after they took effect. The host reads, finds itself listed, and
-// writes no second time.
+// The responses to writes are lost after the writes took effect. The host reads, finds itself
+// listed, and does not write again.
 #[test]
-fn a_lost_answer_is_settled_by_reading() {
+fn a_lost_write_response_is_resolved_by_reading() {
     let mut zone = ZoneSimulation::new();
     zone.lose_write_responses = true;
     zone.start("a");
@@ -179,8 +181,8 @@
     assert_eq!(zone.writes, 1);
 }
 
-// Five hosts of a zone start at once and write against each other. Each conditional update has one
-// winner; the others read and go on, so that all end up listed.
+// Five hosts of a zone start at once and write concurrently. One of the conditional updates
+// succeeds each time; the other hosts read again and retry, so that all end up listed.
 #[test]
 fn racing_hosts_all_get_listed() {
     let mut zone = ZoneSimulation::new();
@@ -193,10 +195,10 @@
     assert_eq!(zone.writes, 5);
 }
 
-// A host that leaves hands its targets on without the wait: it sends nothing new by itself.
+// A host that leaves gives up its lease at once, so its targets need no wait: it sends nothing new.
 #[test]
-fn a_leaving_host_gives_its_right_up() {
-    let mut zone = shared();
+fn a_leaving_host_gives_up_its_lease() {
+    let mut zone = shared_by_two();
     let now = zone.now;
     let actions = zone.hosts[0].manager.handle(Event::Leave, now);
     let written = matches!(&actions[..], [.., Action::Note(_)] | [Action::Write { .. }, ..]);
@@ -204,10 +206,10 @@
     assert_eq!(zone.hosts[0].manager.tenure(now).valid_until, Moment::ZERO);
 }
 
-// A list with an older fence, out of a late message, changes nothing.
+// A list with an older fence, from a late message, changes nothing.
 #[test]
-fn an_older_list_is_not_taken() {
-    let mut zone = shared();
+fn an_older_list_is_ignored() {
+    let mut zone = shared_by_two();
     let list = zone.hosts[0].manager.holder_list().clone();
     let older = ZoneTenure { fence: list.fence - 1, hosts: Vec::new() };
     let now = zone.now;
@@ -215,11 +217,11 @@
     assert_eq!(*zone.hosts[0].manager.holder_list(), list);
 }
 
-// The shell's part: the answer to the write of the list is lost after it took effect, then the
-// platform hangs. The right is counted from before a call was sent, so that a slow answer cannot
-// stretch it.
+// Uses the real platform calls: the response to the write of the list is lost after the write took
+// effect, and each call takes a second. The lease counts from before the call was sent, so that a
+// slow response does not extend it.
 #[tokio::test(start_paused = true)]
-async fn a_right_counts_from_before_the_call() {
+async fn a_lease_counts_from_before_the_call() {
     let platform = PlatformStandin::in_memory();
     platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let clock = ManualClock::default();
@@ -244,9 +246,9 @@
     assert!(clock.now() < valid_until);
 }
 
-// A zone of the size to be reached: 30 hosts. Each asks its two witnesses only, and the platform next
-// to never. A host dies, and with it both of its witnesses: the others remove the three, one after
-// the other or, where nobody is left to watch, after a longer silence, and own all targets.
+// A zone of 30 hosts, the size to be supported. Each host exchanges with its two witnesses only,
+// and rarely calls the platform. A host dies together with both of its witnesses. The others remove
+// all three, those without live witnesses after a longer silence, and own all targets.
 #[test]
 fn a_large_zone_needs_few_platform_calls() {
     let mut zone = ZoneSimulation::new();
--- a/src/tenure/tests/simulation.rs
+++ b/src/tenure/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! Keepers of one zone, the platform's one object, and the links between them.
+//! Simulates the tenure state machines of one zone, the object on the platform and the exchanges
+//! between the hosts.
 
 use std::collections::BTreeSet;
 
@@ -13,10 +14,10 @@
 const STEP: Duration = Duration::from_millis(100);
 const SUSPECT_AFTER: Duration = Duration::from_secs(3);
 
-/// One zone.
+/// One simulated zone.
 pub struct ZoneSimulation {
     pub hosts: Vec<Host>,
-    /// Answers of writes are lost after the write took effect.
+    /// Whether the response to each write is lost after the write took effect.
     pub lose_write_responses: bool,
     pub now: Moment,
     pub platform_up: bool,
@@ -27,13 +28,13 @@
     version: Version,
 }
 
-/// One host.
+/// One simulated host.
 pub struct Host {
     pub down: bool,
     pub manager: TenureManager,
-    /// Neither ticks nor answers; what it published last stays.
+    /// Whether the host neither ticks nor responds; the tenure that it published last stays.
     pub paused: bool,
-    /// A write on its way while the host is paused.
+    /// A platform call that is delayed while the host is paused.
     pub delayed_call: Option<(Action, Moment)>,
     pub published: Tenure,
     last_heard: BTreeMap<HostId, Moment>,
@@ -82,14 +83,14 @@
                     self.tick(at);
                 }
             }
-            // In a large zone each look is long, and a second of doubt would still be seen.
+            // The check is slow in a large zone, where a conflict of a second would still be found.
             if self.hosts.len() < 10 || self.now.as_millis().is_multiple_of(1000) {
                 self.check_exclusive_use();
             }
         }
     }
 
-    /// Wakes a paused host, without any message yet.
+    /// Resumes a paused host and carries out its delayed call, before any other message.
     pub fn resume(&mut self, at: usize) {
         self.hosts[at].paused = false;
         if let Some((action, sent)) = self.hosts[at].delayed_call.take() {
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Targets that a host may use in full, and those it may use at reduced concurrency.
+    /// Returns the number of targets that a host may use in full, and of those it may use at
+    /// reduced concurrency.
     pub fn usable_targets(&self, at: usize) -> (usize, usize) {
         let full =
             self.targets.iter().filter(|target| self.permitted_use(at, target) == Some(true));
@@ -112,7 +114,7 @@
         list.map(|holder| holder.host.clone()).collect()
     }
 
-    /// No target is used in full by two hosts, whatever each of them knows.
+    /// Checks that no target is used in full by two hosts, whatever each of them knows.
     fn check_exclusive_use(&self) {
         for target in &self.targets {
             let full: BTreeSet<_> = (0..self.hosts.len())
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Returns whether a host may use a target in full, or `None` if it may not use it at all.
     fn permitted_use(&self, at: usize, target: &TargetId) -> Option<bool> {
         let host = &self.hosts[at];
         let tenure = &host.published;
@@ -166,10 +169,11 @@
                     self.handle_event(to, Event::ListReceived(list));
                 }
             }
-            // As the membership asks its preferred partners: one at each tick, by turns.
+            // One witness at each tick, in rotation, as the membership chooses its preferred
+            // partners.
             let witnesses = self.hosts[at].manager.witnesses();
-            let turn = self.now.as_secs() as usize % witnesses.len().max(1);
-            if witnesses.get(turn) != Some(&self.hosts[to].id) {
+            let index = self.now.as_secs() as usize % witnesses.len().max(1);
+            if witnesses.get(index) != Some(&self.hosts[to].id) {
                 continue;
             }
             let (fence, host) =
@@ -197,7 +201,7 @@
 
     fn call_platform(&mut self, action: Action, sent: Moment) -> Event {
         match action {
-            Action::Note(_) => unreachable!("notes stay with the host"),
+            Action::Note(_) => unreachable!("notes are not platform calls"),
             Action::Read if !self.platform_up => {
                 Event::ReadDone { result: ReadResult::Failed, sent }
             }
@@ -228,7 +232,7 @@
         }
     }
 
-    /// A write by someone else in between.
+    /// Returns the expectation that a write at this time would meet.
     pub fn current_expect(&self) -> Expect {
         self.object.as_ref().map_or(Expect::Absent, |(_, version)| Expect::Version(*version))
     }
