--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -15,10 +15,11 @@
 use xtra::{Address, Mailbox, WeakAddress};
 
 pub use self::messages::{
-    Datagram, HostsListed, Leave, Registered, Reload, StateAnswer, StateQuery, StoreUpdate, Tick,
+    Datagram, HostRecordWritten, HostRecordsRead, Leave, PeerQueryResult, Reload, StateQuery,
+    StoreUpdate, Tick,
 };
 
-use self::peering::{LIST_HOSTS_FIRST, REGISTER_FIRST};
+use self::peering::{FIRST_LIST_HOSTS_DELAY, FIRST_REGISTER_DELAY};
 use super::{
     EntrySettings, KnownState, LiveHost, Protocol, StorePart, View, ViewCell,
     peer_queries::PeerQueries,
@@ -35,14 +36,14 @@
 };
 
 /// Messages that may wait for the actor; past it senders wait.
-const MAILBOX: usize = 256;
+const MAILBOX_CAPACITY: usize = 256;
 
 /// Time between heartbeats to hosts of the own zone, and between reports of a zone: hosts of a region
 /// share targets, and what is in attempt there bounds the wait.
-pub const HEARTBEAT: Duration = Duration::from_millis(100);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Updates of one part that may wait for the actor.
-const UPDATES_WAITING: usize = 16;
+const MAX_QUEUED_UPDATES: usize = 16;
 
 /// How often the store is asked. Hosts tell each other when one of them has seen more, so nothing
 /// has to be compared. Each watch is a call; the wait bounds how long one is believed whose answer was
@@ -50,7 +51,7 @@
 ///
 /// A new host lists at once, so that it can serve, but watches only when it has had time to hear of
 /// others that do: heartbeats come every 100 ms, a new host's probes every 200 ms.
-const PACE: FollowPace = FollowPace {
+const FOLLOW_PACE: FollowPace = FollowPace {
     after_list: Duration::from_millis(600),
     compare_every: Duration::from_secs(86_400),
     first_may_lag: true,
@@ -60,7 +61,7 @@
 
 /// Pause of a region's second watcher after a change. Targets come and go all the time in a large
 /// fleet, and what the first one has told already need not be fetched at once again.
-const SECOND_SETTLE: Duration = Duration::from_secs(1);
+const STANDBY_SETTLE: Duration = Duration::from_secs(1);
 
 /// What the control side is built from.
 pub struct ControlParts {
@@ -83,7 +84,7 @@
     peer_client: PeerClient,
     known_state: KnownState,
     /// When the store last confirmed to this host that its declaration is the latest.
-    declared_checked_at: Option<Moment>,
+    declaration_checked_at: Option<Moment>,
     response_cache: ResponseCache,
     register_at: Option<Moment>,
     /// The tasks that follow the store, while this host watches.
@@ -92,24 +93,24 @@
     /// Parts of the store that do not answer, and since when.
     lost_parts: BTreeMap<StorePart, Moment>,
     parts: ControlParts,
-    questions: PeerQueries,
-    raw: RawObjects,
-    records: StaleRecordTracker,
+    peer_queries: PeerQueries,
+    raw_objects: RawObjects,
+    stale_records: StaleRecordTracker,
     list_hosts_at: Moment,
     /// When the store's word last came, by itself or another host.
-    told_at: Moment,
+    state_received_at: Moment,
     election: WatcherElection,
 }
 
 /// A follower, and the task that passes on what it tells; both end when dropped.
 struct FollowTask {
     follower: Follower,
-    pass_on: tokio::task::AbortHandle,
+    forwarder: tokio::task::AbortHandle,
 }
 
 impl Drop for FollowTask {
     fn drop(&mut self) {
-        self.pass_on.abort();
+        self.forwarder.abort();
     }
 }
 
@@ -117,30 +118,30 @@
     /// Starts the actor on the current runtime.
     pub fn spawn(parts: ControlParts, peer_client: PeerClient) -> Address<Self> {
         let now = parts.clock.now();
-        let fleet = Fleet::new(fleet_parts(&parts.settings));
+        let fleet = Fleet::new(fleet_config(&parts.settings));
         let control = Self {
             fleet,
             peer_client,
             known_state: KnownState::default(),
-            declared_checked_at: None,
+            declaration_checked_at: None,
             response_cache: ResponseCache::default(),
-            register_at: Some(now + REGISTER_FIRST),
+            register_at: Some(now + FIRST_REGISTER_DELAY),
             followers: Vec::new(),
             leaving: false,
             lost_parts: BTreeMap::new(),
-            questions: PeerQueries::new(parts.settings.listen.control),
-            raw: BTreeMap::new(),
-            records: StaleRecordTracker::default(),
-            list_hosts_at: now + LIST_HOSTS_FIRST,
-            told_at: now,
+            peer_queries: PeerQueries::new(parts.settings.listen.control),
+            raw_objects: BTreeMap::new(),
+            stale_records: StaleRecordTracker::default(),
+            list_hosts_at: now + FIRST_LIST_HOSTS_DELAY,
+            state_received_at: now,
             election: WatcherElection::new(now),
             parts,
         };
-        xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX))
+        xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX_CAPACITY))
     }
 
     /// Records an event of the host itself.
-    fn record(&self, event: Event) {
+    fn record_event(&self, event: Event) {
         self.parts.events.record(None, event);
     }
 
@@ -149,16 +150,16 @@
     }
 
     /// Publishes what the traffic side decides with.
-    fn publish(&mut self) {
+    fn publish_view(&mut self) {
         let now = self.now();
         let settings = &self.parts.settings;
-        let declared = self.known_state.declaration().cloned();
+        let declaration = self.known_state.declaration().cloned();
         let targets = self.known_state.usable_targets().clone();
-        let declared_checked_at = self.latest_declared_check(now);
+        let declaration_checked_at = self.latest_declaration_check(now);
         let mut view = View {
             published_at: now,
-            declaration: declared,
-            declared_checked_at,
+            declaration,
+            declaration_checked_at,
             targets,
             ..View::default()
         };
@@ -192,8 +193,8 @@
                 sum.0 = sum.0.saturating_add(*arrived);
                 sum.1 = sum.1.saturating_add(*admitted);
             }
-            for (print, crashes) in &load.crashes {
-                let sum = view.crashes.entry(*print).or_default();
+            for (fingerprint, crashes) in &load.crashes {
+                let sum = view.crashes.entry(*fingerprint).or_default();
                 *sum = sum.saturating_add(*crashes);
             }
         }
@@ -209,18 +210,18 @@
         view.known_hosts = self.fleet.known_hosts(now);
         view.peers_started_earlier = self.fleet.peers_started_earlier(now);
         view.demand = demand;
-        self.parts.metrics.control(self.figures(&view));
+        self.parts.metrics.control(self.control_figures(&view));
         self.parts.view.store(Some(Arc::new(view)));
     }
 
     /// When the store last confirmed the declaration as the latest, to this host or another one;
     /// `None` if it never did, or a later declaration is known.
-    fn latest_declared_check(&self, now: Moment) -> Option<Moment> {
+    fn latest_declaration_check(&self, now: Moment) -> Option<Moment> {
         let version = self.known_state.declaration()?.version;
         let checks = self.fleet.declaration_checks(now);
-        let mut latest = self.declared_checked_at;
-        for DeclarationCheck { at, version: known } in checks {
-            if version < known {
+        let mut latest = self.declaration_checked_at;
+        for DeclarationCheck { at, version: known_version } in checks {
+            if version < known_version {
                 return None;
             }
             latest = latest.max(Some(at));
@@ -228,67 +229,67 @@
         latest
     }
 
-    fn figures(&self, view: &View) -> ControlFigures {
+    fn control_figures(&self, view: &View) -> ControlFigures {
         let now = self.now();
         let targets = || view.targets.values().flat_map(|targets| targets.iter());
         let cold = targets().filter(|target| target.is_cold(now)).count();
         ControlFigures {
-            declaration: view.declaration.as_ref().map_or(0, |declared| declared.version),
+            declaration: view.declaration.as_ref().map_or(0, |declaration| declaration.version),
             hosts: view.hosts.len(),
-            store_age: now.saturating_sub(self.told_at),
+            store_age: now.saturating_sub(self.state_received_at),
             targets_cold: cold,
             targets_warm: targets().count() - cold,
         }
     }
 
     /// Starts or ends following the store.
-    fn watch(&mut self, own: &WeakAddress<Self>) {
+    fn update_followers(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
         let settings = &self.parts.settings;
         let peers = self.fleet.live(now);
-        let unanswered = self.questions.is_unanswered(now);
-        let wanted =
-            self.election.decide(&settings.host, &settings.region, peers, now) || unanswered;
-        let settle = match self.election.is_standby() && !unanswered {
-            true => SECOND_SETTLE,
-            false => PACE.settle,
+        let is_unanswered = self.peer_queries.is_unanswered(now);
+        let should_watch =
+            self.election.decide(&settings.host, &settings.region, peers, now) || is_unanswered;
+        let settle = match self.election.is_standby() && !is_unanswered {
+            true => STANDBY_SETTLE,
+            false => FOLLOW_PACE.settle,
         };
         self.followers.iter().for_each(|task| task.follower.set_settle(settle));
-        if wanted != self.followers.is_empty() {
+        if should_watch != self.followers.is_empty() {
             return;
         }
         self.followers.clear();
-        if !wanted {
+        if !should_watch {
             self.lost_parts.clear();
-            return self.record(Event::WatchEnded);
+            return self.record_event(Event::WatchEnded);
         }
-        let reason = if unanswered { WatchReason::Unanswered } else { WatchReason::Elected };
-        self.record(Event::WatchBegun { reason });
-        let keys = self.parts.protocol.store_prefixes();
+        let reason = if is_unanswered { WatchReason::Unanswered } else { WatchReason::Elected };
+        self.record_event(Event::WatchBegun { reason });
+        let prefixes = self.parts.protocol.store_prefixes();
         for (part, prefix) in [
-            (StorePart::Declared, keys.declared),
-            (StorePart::Targets, keys.targets),
-            (StorePart::Evacuations, keys.evacuations),
+            (StorePart::Declared, prefixes.declared),
+            (StorePart::Targets, prefixes.targets),
+            (StorePart::Evacuations, prefixes.evacuations),
         ] {
             let (store, clock) = (self.parts.store.clone(), self.parts.clock.clone());
             // What is known already must not be replaced by what was so some seconds ago.
             let first_may_lag = self.known_state.revisions().of(part) == 0;
-            let pace = FollowPace { first_may_lag, settle, ..PACE };
-            let (tx, rx) = mpsc::channel(UPDATES_WAITING);
+            let pace = FollowPace { first_may_lag, settle, ..FOLLOW_PACE };
+            let (tx, rx) = mpsc::channel(MAX_QUEUED_UPDATES);
             let follower = Follower::spawn(store, clock, prefix, pace, tx);
-            let pass_on = tokio::spawn(pass_on(part, rx, own.clone())).abort_handle();
-            self.followers.push(FollowTask { follower, pass_on });
+            let forwarder = tokio::spawn(forward_updates(part, rx, own.clone())).abort_handle();
+            self.followers.push(FollowTask { follower, forwarder });
         }
     }
 }
 
 /// Milliseconds of the time of day.
-fn wall_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+fn unix_time_ms() -> u64 {
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-fn fleet_parts(settings: &EntrySettings) -> FleetConfig {
+fn fleet_config(settings: &EntrySettings) -> FleetConfig {
     FleetConfig {
         callers: settings.listen.callers,
         control: settings.listen.control,
@@ -296,7 +297,7 @@
         host: settings.host.clone(),
         region: settings.region.clone(),
         seeds: gossip_seeds(settings),
-        start_ms: wall_ms(),
+        start_ms: unix_time_ms(),
         zone: settings.zone.clone(),
         zones: settings.zones.clone(),
     }
@@ -309,13 +310,13 @@
 }
 
 /// Passes on what the store tells of one part.
-async fn pass_on(
+async fn forward_updates(
     part: StorePart,
     mut rx: mpsc::Receiver<Followed>,
     control: WeakAddress<EntryControl>,
 ) {
-    while let Some(told) = rx.recv().await {
-        if control.send(StoreUpdate(part, told)).await.is_err() {
+    while let Some(update) = rx.recv().await {
+        if control.send(StoreUpdate(part, update)).await.is_err() {
             return;
         }
     }
--- a/src/entry/control/handlers.rs
+++ b/src/entry/control/handlers.rs
@@ -6,8 +6,8 @@
 use xtra::{Actor, Handler};
 
 use super::{
-    Datagram, EntryControl, HostsListed, Leave, Registered, Reload, StateAnswer, StateQuery,
-    StoreUpdate, Tick, gossip_seeds, peering::REGISTER_PAUSE,
+    Datagram, EntryControl, HostRecordWritten, HostRecordsRead, Leave, PeerQueryResult, Reload,
+    StateQuery, StoreUpdate, Tick, gossip_seeds, peering::RECORD_RETRY_PAUSE,
 };
 use crate::{
     entry::{EntrySettings, peer_queries::QueryOutcome},
@@ -25,9 +25,13 @@
 impl Handler<StoreUpdate> for EntryControl {
     type Return = ();
 
-    async fn handle(&mut self, StoreUpdate(part, told): StoreUpdate, _: &mut xtra::Context<Self>) {
-        if self.told(part, told) {
-            self.publish();
+    async fn handle(
+        &mut self,
+        StoreUpdate(part, update): StoreUpdate,
+        _: &mut xtra::Context<Self>,
+    ) {
+        if self.apply_update(part, update) {
+            self.publish_view();
             // Hosts that do not watch hear of it now, not with the next heartbeat.
             self.announce();
         }
@@ -44,11 +48,11 @@
         };
         let received = self.fleet.receive(message, self.now());
         for (peer, zone) in received.new_hosts {
-            self.record(Event::HostHeard { peer, zone });
+            self.record_event(Event::HostHeard { peer, zone });
         }
         self.send(received.send);
         if self.followers.is_empty() {
-            self.ask(&cx.mailbox().address());
+            self.query_peer(&cx.mailbox().address());
         }
     }
 }
@@ -60,21 +64,21 @@
         let now = self.now();
         self.parts.metrics.control_waited(now.saturating_sub(due));
         for target in self.known_state.expire_lapsed(now) {
-            self.target_gone(target, Source::Listing);
+            self.record_target_gone(target, Source::Listing);
         }
         for peer in self.fleet.detect_lost(now) {
-            self.record(Event::HostLost {
+            self.record_event(Event::HostLost {
                 peer: peer.info.host,
                 silent_ms: now.saturating_sub(peer.last_heard).as_millis() as u64,
                 zone: peer.zone,
             });
         }
-        self.send_due();
+        self.send_heartbeats();
         let own = cx.mailbox().address();
-        self.watch(&own);
-        self.ask(&own);
-        self.register(&own);
-        self.publish();
+        self.update_followers(&own);
+        self.query_peer(&own);
+        self.sync_host_records(&own);
+        self.publish_view();
     }
 }
 
@@ -84,7 +88,7 @@
     async fn handle(&mut self, Leave: Leave, _: &mut xtra::Context<Self>) {
         self.leaving = true;
         self.announce();
-        self.publish();
+        self.publish_view();
     }
 }
 
@@ -93,8 +97,8 @@
 
     async fn handle(&mut self, Reload(settings): Reload, _: &mut xtra::Context<Self>) {
         let EntrySettings { bounds, seeds, zones, .. } = settings;
-        let known = EntrySettings::clone(&self.parts.settings);
-        self.parts.settings = Arc::new(EntrySettings { bounds, seeds, zones, ..known });
+        let current = EntrySettings::clone(&self.parts.settings);
+        self.parts.settings = Arc::new(EntrySettings { bounds, seeds, zones, ..current });
         let seeds = gossip_seeds(&self.parts.settings);
         self.fleet.reload(seeds, self.parts.settings.zones.clone());
     }
@@ -109,62 +113,70 @@
         _: &mut xtra::Context<Self>,
     ) -> Self::Return {
         let known = self.known_state.revisions();
-        let before = self.response_cache.compressed_bytes();
-        let answer = self.response_cache.response(&self.raw, known, since);
-        self.parts.metrics.state_answered(self.response_cache.compressed_bytes() - before);
-        answer
+        let bytes_before = self.response_cache.compressed_bytes();
+        let response = self.response_cache.response(&self.raw_objects, known, since);
+        self.parts.metrics.state_answered(self.response_cache.compressed_bytes() - bytes_before);
+        response
     }
 }
 
-impl Handler<StateAnswer> for EntryControl {
+impl Handler<PeerQueryResult> for EntryControl {
     type Return = ();
 
     async fn handle(
         &mut self,
-        StateAnswer { addr, since, received }: StateAnswer,
+        PeerQueryResult { addr, since, result }: PeerQueryResult,
         cx: &mut xtra::Context<Self>,
     ) {
         let now = self.now();
-        self.questions.record_outcome(addr, QueryOutcome::of(&received), now);
-        let Ok(received) = received else {
+        self.peer_queries.record_outcome(addr, QueryOutcome::of(&result), now);
+        let Ok(received) = result else {
             let own = cx.mailbox().address();
-            self.watch(&own);
-            return self.ask(&own);
+            self.update_followers(&own);
+            return self.query_peer(&own);
         };
-        self.told_at = now;
-        let mine = self.known_state.revisions();
-        for difference in &received.diff.parts {
-            let (part, revision) = (difference.part, difference.revision);
-            if mine.of(part) < revision {
-                let objects = difference.apply_to(&self.raw);
-                self.listed(part, objects, Source::Host);
+        self.state_received_at = now;
+        let own_revisions = self.known_state.revisions();
+        for diff in &received.diff.parts {
+            let (part, revision) = (diff.part, diff.revision);
+            if own_revisions.of(part) < revision {
+                let objects = diff.apply_to(&self.raw_objects);
+                self.apply_listing(part, objects, Source::Host);
                 self.known_state.record_revision(part, revision);
-                self.response_cache.cache_received(&received, part, &self.raw, since);
+                self.response_cache.cache_received(&received, part, &self.raw_objects, since);
             }
         }
-        self.publish();
+        self.publish_view();
     }
 }
 
-impl Handler<HostsListed> for EntryControl {
+impl Handler<HostRecordsRead> for EntryControl {
     type Return = ();
 
-    async fn handle(&mut self, HostsListed(hosts): HostsListed, _: &mut xtra::Context<Self>) {
-        match hosts {
+    async fn handle(
+        &mut self,
+        HostRecordsRead(records): HostRecordsRead,
+        _: &mut xtra::Context<Self>,
+    ) {
+        match records {
             Some(records) => {
                 let now = self.now();
                 self.fleet.replace_contacts(records.iter().map(|record| record.gossip), now);
-                self.tidy(&records);
+                self.reconcile_host_records(&records);
             }
-            None => self.list_hosts_at = self.now() + REGISTER_PAUSE,
+            None => self.list_hosts_at = self.now() + RECORD_RETRY_PAUSE,
         }
     }
 }
 
-impl Handler<Registered> for EntryControl {
+impl Handler<HostRecordWritten> for EntryControl {
     type Return = ();
 
-    async fn handle(&mut self, Registered(done): Registered, _: &mut xtra::Context<Self>) {
-        self.register_at = if done { None } else { Some(self.now() + REGISTER_PAUSE) };
+    async fn handle(
+        &mut self,
+        HostRecordWritten(is_written): HostRecordWritten,
+        _: &mut xtra::Context<Self>,
+    ) {
+        self.register_at = if is_written { None } else { Some(self.now() + RECORD_RETRY_PAUSE) };
     }
 }
--- a/src/entry/control/messages.rs
+++ b/src/entry/control/messages.rs
@@ -31,14 +31,14 @@
 pub struct StateQuery(pub Revisions);
 
 /// Answer of the host at `addr` to a query for what is newer than `since`.
-pub struct StateAnswer {
+pub struct PeerQueryResult {
     pub addr: SocketAddr,
     pub since: Revisions,
-    pub received: sync::Result<ReceivedState>,
+    pub result: sync::Result<ReceivedState>,
 }
 
 /// The hosts' records were read, or could not be.
-pub struct HostsListed(pub Option<Vec<HostRecord>>);
+pub struct HostRecordsRead(pub Option<Vec<HostRecord>>);
 
 /// The own record was written, or could not be.
-pub struct Registered(pub bool);
+pub struct HostRecordWritten(pub bool);
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -4,7 +4,10 @@
 
 use xtra::WeakAddress;
 
-use super::{EntryControl, HEARTBEAT, HostsListed, Registered, StateAnswer, wall_ms};
+use super::{
+    EntryControl, HEARTBEAT_INTERVAL, HostRecordWritten, HostRecordsRead, PeerQueryResult,
+    unix_time_ms,
+};
 use crate::{
     entry::{Protocol, peer_queries::QueryOutcome, stale_records::HostRecord},
     event_log::Event,
@@ -14,30 +17,30 @@
 };
 
 /// Length of a turn at sending the zone's report, in milliseconds of the time of day.
-const SLOT_MS: u64 = HEARTBEAT.as_millis() as u64;
+const REPORT_TURN_MS: u64 = HEARTBEAT_INTERVAL.as_millis() as u64;
 
 /// Pause before the own record is written again after a failure.
-pub(super) const REGISTER_PAUSE: Duration = Duration::from_secs(2);
+pub(super) const RECORD_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 /// Time from the start to the writing of the own record: by then a host knows whether its zone has
 /// enough of them.
-pub(super) const REGISTER_FIRST: Duration = Duration::from_millis(1_500);
+pub(super) const FIRST_REGISTER_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Hosts of a zone that keep records. Who starts needs one living host to find all others; with
 /// records of all, each start of a fleet would write to the store once a host.
-const RECORDED_HOSTS: usize = 3;
+const RECORDED_HOSTS_PER_ZONE: usize = 3;
 
 /// Pause between two readings of the hosts' records, and the time from the start to the first:
 /// heartbeats tell the rest, and a host that was heard by then tells of the others.
-const LIST_HOSTS_PAUSE: Duration = Duration::from_secs(60);
+const LIST_HOSTS_INTERVAL: Duration = Duration::from_secs(60);
 /// Pause between two readings while nobody is heard.
-const LIST_HOSTS_ALONE: Duration = Duration::from_secs(2);
-pub(super) const LIST_HOSTS_FIRST: Duration = Duration::from_millis(1_000);
+const ISOLATED_LIST_HOSTS_INTERVAL: Duration = Duration::from_secs(2);
+pub(super) const FIRST_LIST_HOSTS_DELAY: Duration = Duration::from_millis(1_000);
 
 impl EntryControl {
     fn own_state(&self) -> OwnState {
         OwnState {
-            declared_checked_at: self.declared_checked_at,
+            declared_checked_at: self.declaration_checked_at,
             leaving: self.leaving,
             load: Load::clone(&self.parts.load.load()),
             reaches_store: self.election.reaches_store(self.now()),
@@ -47,19 +50,21 @@
     }
 
     /// Tells other hosts what is due now.
-    pub(super) fn send_due(&mut self) {
-        let due = self.fleet.tick(self.own_state(), wall_ms() / SLOT_MS, self.now());
-        self.send(due);
+    pub(super) fn send_heartbeats(&mut self) {
+        let messages =
+            self.fleet.tick(self.own_state(), unix_time_ms() / REPORT_TURN_MS, self.now());
+        self.send(messages);
     }
 
     /// Tells other hosts what they must know at once.
     pub(super) fn announce(&mut self) {
-        let announced = self.fleet.announce(self.own_state(), wall_ms() / SLOT_MS, self.now());
-        self.send(announced);
+        let messages =
+            self.fleet.announce(self.own_state(), unix_time_ms() / REPORT_TURN_MS, self.now());
+        self.send(messages);
     }
 
-    pub(super) fn send(&self, all: Vec<Outgoing>) {
-        for Outgoing { message, to } in all {
+    pub(super) fn send(&self, messages: Vec<Outgoing>) {
+        for Outgoing { message, to } in messages {
             let bytes = match postcard::to_allocvec(&message) {
                 Ok(bytes) => bytes,
                 Err(error) => return log::error!("a datagram can't be encoded: {error}"),
@@ -73,86 +78,87 @@
     }
 
     /// Asks another host that knows more.
-    pub(super) fn ask(&mut self, own: &WeakAddress<Self>) {
+    pub(super) fn query_peer(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
-        let mine = self.known_state.stamp();
+        let own_stamp = self.known_state.stamp();
         let region = &self.parts.settings.region;
-        let watches = !self.followers.is_empty();
-        let informed = self.fleet.state_sources(now);
-        let Some(addr) = self.questions.next_peer(&mine, informed, region, watches, now) else {
+        let is_watcher = !self.followers.is_empty();
+        let sources = self.fleet.state_sources(now);
+        let Some(addr) = self.peer_queries.next_peer(&own_stamp, sources, region, is_watcher, now)
+        else {
             return;
         };
         let (peer_client, own) = (self.peer_client.clone(), own.clone());
         let (events, metrics) = (self.parts.events.clone(), self.parts.metrics.clone());
         let clock = self.parts.clock.clone();
         tokio::spawn(async move {
-            let since = mine.revisions;
-            let answer = peer_client.query(addr, since).await;
-            let end = QueryOutcome::of(&answer);
-            metrics.queried(clock.now().saturating_sub(now), end.name());
-            if let Err(error) = &answer {
+            let since = own_stamp.revisions;
+            let result = peer_client.query(addr, since).await;
+            let outcome = QueryOutcome::of(&result);
+            metrics.queried(clock.now().saturating_sub(now), outcome.name());
+            if let Err(error) = &result {
                 let reason = error.to_string().into();
                 events.record(None, Event::HostUnanswering { addr, reason });
             }
-            let _ = own.send(StateAnswer { addr, since, received: answer }).await;
+            let _ = own.send(PeerQueryResult { addr, since, result }).await;
         });
     }
 
     /// Writes this host's record, or reads all.
-    pub(super) fn register(&mut self, own: &WeakAddress<Self>) {
+    pub(super) fn sync_host_records(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
-        let keys = self.parts.protocol.store_prefixes();
+        let prefixes = self.parts.protocol.store_prefixes();
         let store = self.parts.store.clone();
-        if RECORDED_HOSTS <= self.fleet.rank_in_zone(now) {
+        if RECORDED_HOSTS_PER_ZONE <= self.fleet.rank_in_zone(now) {
             return;
         }
         if self.register_at.is_some_and(|at| at <= now) {
-            self.register_at = Some(now + REGISTER_PAUSE * 4);
-            let key = format!("{}{}", keys.hosts, self.parts.settings.host);
+            self.register_at = Some(now + RECORD_RETRY_PAUSE * 4);
+            let key = format!("{}{}", prefixes.hosts, self.parts.settings.host);
             let value = self.parts.protocol.encode_host(self.parts.settings.listen.gossip);
             let own = own.clone();
             let store = store.clone();
             tokio::spawn(async move {
-                let done = put_record(&*store, &key, value).await;
-                if let Err(error) = &done {
+                let result = write_record(&*store, &key, value).await;
+                if let Err(error) = &result {
                     log::info!("this host's record is not written: {error}");
                 }
-                let _ = own.send(Registered(done.is_ok())).await;
+                let _ = own.send(HostRecordWritten(result.is_ok())).await;
             });
         }
         if self.list_hosts_at <= now {
-            self.list_hosts_at = now + LIST_HOSTS_PAUSE;
+            self.list_hosts_at = now + LIST_HOSTS_INTERVAL;
             let is_alone = self.fleet.live(now).next().is_none();
             if self.fleet.is_new() && !is_alone {
                 return;
             }
             if is_alone {
-                self.list_hosts_at = now + LIST_HOSTS_ALONE;
+                self.list_hosts_at = now + ISOLATED_LIST_HOSTS_INTERVAL;
             }
             let protocol = self.parts.protocol.clone();
             let own = own.clone();
             tokio::spawn(async move {
-                let hosts = store.list_lagging(keys.hosts).await;
+                let hosts = store.list_lagging(prefixes.hosts).await;
                 if let Err(error) = &hosts {
                     log::info!("the hosts' records are not read: {error}");
                 }
-                let record = |entry: &Entry| record(&*protocol, entry);
+                let record = |entry: &Entry| decode_record(&*protocol, entry);
                 let hosts =
                     hosts.ok().map(|hosts| hosts.entries.iter().filter_map(record).collect());
-                let _ = own.send(HostsListed(hosts)).await;
+                let _ = own.send(HostRecordsRead(hosts)).await;
             });
         }
     }
 
     /// Removes records of hosts that are gone, and writes the own one again if it is missing.
-    pub(super) fn tidy(&mut self, records: &[HostRecord]) {
+    pub(super) fn reconcile_host_records(&mut self, records: &[HostRecord]) {
         let now = self.now();
         let own = self.parts.settings.listen.gossip;
         if !records.iter().any(|record| record.gossip == own) {
             self.register_at.get_or_insert(now);
         }
-        let heard = self.fleet.live(now).map(|peer| peer.info.gossip).collect();
-        for record in self.records.find_stale(records, &heard, own, now) {
+        let live = self.fleet.live(now).map(|peer| peer.info.gossip).collect();
+        for record in self.stale_records.find_stale(records, &live, own, now) {
             let store = self.parts.store.clone();
             tokio::spawn(async move {
                 let expect = Expect::Version(record.version);
@@ -165,7 +171,7 @@
     }
 }
 
-fn record(protocol: &dyn Protocol, entry: &Entry) -> Option<HostRecord> {
+fn decode_record(protocol: &dyn Protocol, entry: &Entry) -> Option<HostRecord> {
     match protocol.decode_host(&entry.object.value) {
         Ok(gossip) => {
             Some(HostRecord { gossip, key: entry.key.clone(), version: entry.object.version })
@@ -177,7 +183,7 @@
     }
 }
 
-async fn put_record(
+async fn write_record(
     store: &dyn Platform,
     key: &str,
     value: bytes::Bytes,
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -20,7 +20,7 @@
 
 use super::{
     EntryControl, EntrySettings, Listen, Protocol, TrafficState, ViewCell,
-    control::{ControlParts, Datagram, HEARTBEAT, Leave, Reload, StateQuery, Tick},
+    control::{ControlParts, Datagram, HEARTBEAT_INTERVAL, Leave, Reload, StateQuery, Tick},
     listeners::{
         accept, lookup_response, readiness_response, serve_caller, serve_platform_connection,
         status_response,
@@ -213,7 +213,7 @@
             }
             Err(error) => {
                 log::debug!("receiving a datagram failed: {error}");
-                tokio::time::sleep(HEARTBEAT).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             }
         }
     }
@@ -221,7 +221,7 @@
 
 /// Sends a tick to the control actor at each heartbeat.
 async fn tick_control(clock: Arc<dyn Clock>, control: Address<EntryControl>) {
-    let mut interval = tokio::time::interval(HEARTBEAT);
+    let mut interval = tokio::time::interval(HEARTBEAT_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     loop {
         let late = interval.tick().await.elapsed();
--- a/src/entry/request_handler.rs
+++ b/src/entry/request_handler.rs
@@ -181,7 +181,7 @@
 
 fn check_access(state: &TrafficState, view: &View, route: &Route, key: &CallerKey) -> Access {
     let Some(declaration) = &view.declaration else { return Access::Unchecked };
-    let age = view.declared_checked_at.map(|at| state.clock.now().saturating_sub(at));
+    let age = view.declaration_checked_at.map(|at| state.clock.now().saturating_sub(at));
     Access::check(declaration, route, key, age, &state.bounds())
 }
 
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -14,7 +14,7 @@
 use crate::prelude::*;
 
 /// A ready target with three slots.
-fn entry(id: &str, zone: &str) -> TargetEntry {
+fn target_entry(id: &str, zone: &str) -> TargetEntry {
     TargetEntry {
         addr: "127.0.0.1:1".parse().expect("an address"),
         cold_for: Duration::ZERO,
@@ -28,8 +28,8 @@
 }
 
 /// A ready target with three slots, in zone `{region}-a`, as a host knows it.
-fn known(id: &str, region: &str) -> Arc<KnownTarget> {
-    let entry = entry(id, &format!("{region}-a"));
+fn known_target(id: &str, region: &str) -> Arc<KnownTarget> {
+    let entry = target_entry(id, &format!("{region}-a"));
     let tag = tag(&entry);
     Arc::new(KnownTarget { cold_until: Moment::ZERO, entry, region: region.into(), tag })
 }
--- a/src/entry/tests/known_state.rs
+++ b/src/entry/tests/known_state.rs
@@ -1,6 +1,6 @@
 //! Tests of updates, listings and outages of the store.
 
-use super::{entry, secs};
+use super::{secs, target_entry};
 use crate::{
     entry::{
         Declaration, KnownState, KnownTarget, ServiceRules, TargetEntry,
@@ -14,7 +14,7 @@
 }
 
 fn listed(ids: &[&str]) -> Vec<(crate::entry::TargetEntry, RegionId)> {
-    ids.iter().map(|id| (entry(id, "north-a"), region())).collect()
+    ids.iter().map(|id| (target_entry(id, "north-a"), region())).collect()
 }
 
 fn usable_targets(known_state: &mut KnownState) -> Vec<Arc<KnownTarget>> {
@@ -63,7 +63,7 @@
     known_state.apply_target_listing(listed(&["t-1", "t-2"]), secs(1.0));
     known_state.store_failed(secs(10.0));
     known_state.apply_target_listing(listed(&[]), secs(15.0));
-    known_state.apply_target(entry("t-2", "north-a"), region(), secs(16.0));
+    known_state.apply_target(target_entry("t-2", "north-a"), region(), secs(16.0));
     known_state.store_failed(secs(16.1));
     known_state.apply_target_listing(listed(&["t-2"]), secs(16.2));
     known_state.expire_lapsed(secs(17.3));
@@ -101,9 +101,9 @@
 fn draining_and_evacuated_targets_are_not_usable() {
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
-    known_state.apply_target(entry("t-2", "north-b"), region(), secs(1.0));
+    known_state.apply_target(target_entry("t-2", "north-b"), region(), secs(1.0));
     let before = known_state.stamp();
-    let draining = crate::entry::TargetEntry { ready: false, ..entry("t-1", "north-a") };
+    let draining = crate::entry::TargetEntry { ready: false, ..target_entry("t-1", "north-a") };
     assert!(known_state.apply_target(draining, region(), secs(2.0)));
     assert_eq!(usable_ids(&mut known_state), ["t-2"]);
     assert!(known_state.set_evacuated("north-b".into(), true, secs(1.0)));
@@ -122,7 +122,7 @@
     known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
     let tag = |known_state: &mut KnownState| usable_targets(known_state)[0].tag;
     let before = tag(&mut known_state);
-    let again = crate::entry::TargetEntry { started: 2, ..entry("t-1", "north-a") };
+    let again = crate::entry::TargetEntry { started: 2, ..target_entry("t-1", "north-a") };
     assert!(known_state.apply_target(again, region(), secs(2.0)));
     assert_ne!(tag(&mut known_state), before);
 }
@@ -132,7 +132,7 @@
 #[test]
 fn listings_do_not_restart_the_cold_time() {
     let mut known_state = KnownState::default();
-    let cold = crate::entry::TargetEntry { cold_for: secs(3.0), ..entry("t-1", "north-a") };
+    let cold = crate::entry::TargetEntry { cold_for: secs(3.0), ..target_entry("t-1", "north-a") };
     let is_cold = |known_state: &mut KnownState, now| usable_targets(known_state)[0].is_cold(now);
     known_state.apply_target_listing(vec![(cold.clone(), region())], secs(1.0));
     assert_eq!(
@@ -171,7 +171,7 @@
             ..Declaration::default()
         });
         known_state.apply_target_listing(listed(&["t-1"]), secs(1.0));
-        known_state.apply_target(entry("t-2", "north-b"), region(), secs(1.0));
+        known_state.apply_target(target_entry("t-2", "north-b"), region(), secs(1.0));
         let cold = |known_state: &mut KnownState, now| -> Vec<String> {
             let usable = usable_targets(known_state);
             let cold = usable.iter().filter(|known| known.is_cold(now));
@@ -182,7 +182,7 @@
         assert_eq!(cold(&mut known_state, secs(9.0)), ["t-1"]);
         // An update without a cold time does not end it.
         known_state.apply_target(
-            TargetEntry { slots: 4, ..entry("t-1", "north-a") },
+            TargetEntry { slots: 4, ..target_entry("t-1", "north-a") },
             region(),
             secs(9.5),
         );
@@ -204,7 +204,7 @@
     for id in ["t-1", "t-2"] {
         assert_eq!(known_state.remove_target(&id.into(), secs(15.1)), Removal::Kept);
     }
-    known_state.apply_target(entry("t-1", "north-a"), region(), secs(16.9));
+    known_state.apply_target(target_entry("t-1", "north-a"), region(), secs(16.9));
     assert_eq!(usable_ids(&mut known_state), ["t-1", "t-2", "t-3"]);
     assert_eq!(known_state.expire_lapsed(secs(17.3)), [TargetId::from("t-2")]);
     assert_eq!(usable_ids(&mut known_state), ["t-1", "t-3"]);
@@ -225,10 +225,10 @@
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut known_state = KnownState::default();
     known_state.apply_target_listing(listed(&ids), secs(1.0));
-    let other = TargetEntry { service: "hall".into(), ..entry("u-1", "north-a") };
+    let other = TargetEntry { service: "hall".into(), ..target_entry("u-1", "north-a") };
     known_state.apply_target(other, region(), secs(1.0));
     let before = known_state.usable_targets().clone();
-    let draining = TargetEntry { ready: false, ..entry("t-500", "north-a") };
+    let draining = TargetEntry { ready: false, ..target_entry("t-500", "north-a") };
     known_state.apply_target(draining.clone(), region(), secs(2.0));
     let after = known_state.usable_targets().clone();
     let hall = ServiceId::from("hall");
@@ -242,10 +242,10 @@
     // The stamp does not depend on the order in which a host learns of targets.
     let mut backwards = KnownState::default();
     for id in ids.iter().rev().filter(|id| **id != "t-500") {
-        backwards.apply_target(entry(id, "north-a"), region(), secs(1.0));
+        backwards.apply_target(target_entry(id, "north-a"), region(), secs(1.0));
     }
     backwards.apply_target(
-        TargetEntry { service: "hall".into(), ..entry("u-1", "north-a") },
+        TargetEntry { service: "hall".into(), ..target_entry("u-1", "north-a") },
         region(),
         secs(1.0),
     );
--- a/src/entry/tests/targets.rs
+++ b/src/entry/tests/targets.rs
@@ -1,6 +1,6 @@
 //! Health of targets, rate limits of cold targets, requests that crash targets, and retry budgets.
 
-use super::{known, secs};
+use super::{known_target, secs};
 use crate::{
     admission::RetryBudget,
     base::ManualClock,
@@ -100,7 +100,7 @@
 /// Together they stay within its rate.
 #[test]
 fn hosts_together_stay_within_rate_of_cold_target() {
-    let target = known("t-1", "north");
+    let target = known_target("t-1", "north");
     let host = |at: usize| LiveHost {
         callers: "127.0.0.1:1".parse().expect("an address"),
         host: format!("h-{at}").into(),
@@ -134,7 +134,7 @@
 /// If a region has no live hosts, hosts of other regions may send to its cold targets.
 #[test]
 fn cold_target_without_hosts_in_region_has_senders() {
-    let target = known("t-1", "north");
+    let target = known_target("t-1", "north");
     let far = LiveHost {
         is_strained: false,
         callers: "127.0.0.1:1".parse().expect("an address"),
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -19,7 +19,7 @@
     pub declaration: Option<Arc<Declaration>>,
     /// When the declaration was last confirmed to be the latest in the store; `None` if it never
     /// was, or another host knows a later one.
-    pub declared_checked_at: Option<Moment>,
+    pub declaration_checked_at: Option<Moment>,
     /// Whether most of the other live hosts were running when this host started.
     pub peers_started_earlier: bool,
     /// Number of hosts that are live or may be partitioned, including this one.
