--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run now: exact slots, a bounded queue, a retry budget.
+//! Admission control: slots of owned targets, bounded queues and retry budgets.
 
 mod queue;
 mod retry_budget;
--- a/src/admission/retry_budget.rs
+++ b/src/admission/retry_budget.rs
@@ -1,34 +1,35 @@
-//! Retries as a share of the traffic.
+//! Limits retries to a share of the traffic.
 
 use crate::{base::invariant, prelude::*};
 
 /// Length of the sliding window, in buckets of one second.
 const BUCKETS: usize = 10;
-/// Retries that a window allows on top of the share, so that a quiet service can retry at all.
+/// Retries allowed per window in addition to the ratio, so that a service with little traffic can
+/// retry at all.
 const RETRY_SLACK: f64 = 3.0;
-/// Part of the budget that hedges may use up: failures must still find some.
+/// Share of the budget that hedges may use; the rest is left for retries after failures.
 const HEDGE_SHARE: f64 = 0.5;
-/// Retries as a share of first attempts.
+/// Retries allowed per first attempt.
 const RETRY_RATIO: f64 = 0.1;
 
-/// What a budget allows.
+/// Parameters of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Retries that a window allows on top of the share.
+    /// Retries allowed per window in addition to the ratio.
     pub slack: f64,
-    /// Retries as a share of first attempts.
+    /// Retries allowed per first attempt.
     pub ratio: f64,
 }
 
 impl RetryAllowance {
-    /// A tenth of the first attempts, and three.
+    /// A tenth of the first attempts, plus three.
     pub const DEFAULT: Self = Self { slack: RETRY_SLACK, ratio: RETRY_RATIO };
 }
 
 /// Allows retries up to a share of the first attempts of the last ten seconds.
 ///
-/// Without it an outage multiplies its own load: each failure sends another request, the targets
-/// that are left get twice the traffic and fail too.
+/// Without it an outage amplifies its own load: each failure causes another request, the remaining
+/// targets get twice the traffic and fail too.
 #[derive(Debug)]
 pub struct RetryBudget {
     allowance: RetryAllowance,
@@ -50,17 +51,16 @@
 }
 
 impl RetryBudget {
-    /// From now on allows that much.
     pub fn set_allowance(&mut self, allowance: RetryAllowance) {
         self.allowance = allowance;
     }
 
-    /// An empty window.
+    /// A budget with an empty window and the default allowance.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A budget that refuses nothing, for measurements of what it is worth.
+    /// A budget that refuses nothing, to measure the effect of the limit.
     pub fn unlimited() -> Self {
         Self { unlimited: true, ..Self::default() }
     }
@@ -71,25 +71,25 @@
         bucket.first = bucket.first.saturating_add(1);
     }
 
-    /// Takes one retry out of the budget; false when it is used up.
+    /// Takes one retry out of the budget. Returns false if the budget is used up.
     pub fn take_retry(&mut self, now: Moment) -> bool {
-        self.take_share(1.0, now)
+        self.take_within(1.0, now)
     }
 
-    /// Takes one hedge out of the budget; false when half of it is used up.
+    /// Takes one hedge out of the budget. Returns false if half of the budget is used up.
     pub fn take_hedge(&mut self, now: Moment) -> bool {
-        self.take_share(HEDGE_SHARE, now)
+        self.take_within(HEDGE_SHARE, now)
     }
 
-    fn take_share(&mut self, share: f64, now: Moment) -> bool {
-        let (first, retries) = self.sums(now);
+    fn take_within(&mut self, share: f64, now: Moment) -> bool {
+        let (first, retries) = self.window_totals(now);
         let RetryAllowance { slack, ratio } = self.allowance;
         let allowed = (f64::from(first) * ratio + slack) * share;
         if !self.unlimited && allowed < f64::from(retries + 1) {
             return false;
         }
         self.bucket(now).retries += 1;
-        let (_, retries) = self.sums(now);
+        let (_, retries) = self.window_totals(now);
         invariant::hold(f64::from(retries) <= allowed, "retry-budget", || {
             format!("{retries} retries of {first}")
         });
@@ -105,10 +105,10 @@
         bucket
     }
 
-    fn sums(&self, now: Moment) -> (u32, u32) {
+    fn window_totals(&self, now: Moment) -> (u32, u32) {
         let oldest = (now.as_secs() + 1).saturating_sub(BUCKETS as u64);
-        let live = self.buckets.iter().filter(|bucket| oldest <= bucket.second);
-        live.fold((0, 0), |(first, retries), bucket| {
+        let in_window = self.buckets.iter().filter(|bucket| oldest <= bucket.second);
+        in_window.fold((0, 0), |(first, retries), bucket| {
             (first + bucket.first, retries + bucket.retries)
         })
     }
--- a/src/admission/slots.rs
+++ b/src/admission/slots.rs
@@ -1,58 +1,60 @@
-//! Slots of the targets that this host owns.
+//! Slots of the targets that this host owns. A slot is room for one request on a target.
 
 use std::collections::BTreeSet;
 
 use crate::{base::invariant, prelude::*};
 
-/// Concurrency at a target that this host only stands in for.
+/// Concurrency on a target that this host owns provisionally.
 const PROVISIONAL_LIMIT: u32 = 1;
 
-/// One slot in use; unique within a host.
+/// Identifies one slot in use; unique within a host.
 pub type SlotId = u64;
 
-/// A target that this host may send to.
+/// A target that this host owns and may send requests to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OwnedTarget {
-    /// Another host owned it before, so its requests may still be running there.
+    /// Another host owned it before, and may still have requests running on it.
     pub inherited: bool,
-    /// The owner is silent and may be alive: one request at a time.
+    /// The actual owner cannot be reached but may be alive: this host runs one request at a time.
     pub provisional: bool,
     pub slots: u32,
     pub target: TargetId,
 }
 
-/// Counts what runs on each owned target.
+/// Counts the requests on each owned target.
 #[derive(Debug)]
 pub struct Slots {
-    hold: Duration,
+    max_run_time: Duration,
     next: SlotId,
     targets: BTreeMap<TargetId, TargetUsage>,
 }
 
 #[derive(Debug, Default)]
 struct TargetUsage {
-    /// The slot of a request that must run alone; nothing may start beside it.
+    /// The slot of a request that must run alone; no other request may start meanwhile.
     exclusive: Option<SlotId>,
-    /// Since when this host owns it; reports taken earlier prove nothing.
-    gained_at: Moment,
-    /// Slots that a former owner's requests may still take, until `inherited_until`.
+    /// When this host became the owner; load reports requested before are ignored.
+    owned_since: Moment,
+    /// Slots that requests of a former owner may still occupy, until `inherited_until`.
     inherited: u32,
     inherited_until: Moment,
     owned: bool,
     provisional: bool,
-    running: BTreeSet<SlotId>,
+    in_use: BTreeSet<SlotId>,
     slots: u32,
 }
 
 impl Slots {
-    /// Inherited requests count for `hold`: the longest time that one may run.
-    pub fn new(hold: Duration) -> Self {
-        Self { hold, next: 0, targets: BTreeMap::new() }
+    /// Requests of a former owner are counted for `max_run_time`, the maximum run time of a
+    /// request.
+    pub fn new(max_run_time: Duration) -> Self {
+        Self { max_run_time, next: 0, targets: BTreeMap::new() }
     }
 
-    /// Replaces the set of owned targets. Requests in flight on a lost one are still counted.
+    /// Replaces the set of owned targets. Requests in flight on targets that are no longer owned
+    /// are still counted.
     pub fn set_owned(&mut self, owned: &[OwnedTarget], now: Moment) {
-        let before: BTreeSet<TargetId> = self
+        let owned_before: BTreeSet<TargetId> = self
             .targets
             .iter()
             .filter(|(_, usage)| usage.owned)
@@ -62,11 +64,11 @@
             usage.owned = false;
         }
         for target in owned {
-            let known = before.contains(&target.target);
+            let was_owned = owned_before.contains(&target.target);
             let usage = self.targets.entry(target.target.clone()).or_default();
-            usage.gain(target, known, self.hold, now);
+            usage.take_ownership(target, was_owned, self.max_run_time, now);
         }
-        self.targets.retain(|_, usage| usage.owned || !usage.running.is_empty());
+        self.targets.retain(|_, usage| usage.owned || !usage.in_use.is_empty());
     }
 
     /// Takes a slot if fewer than `limit` and fewer than the target's slots are occupied.
@@ -77,21 +79,21 @@
         }
         let slot = self.next;
         self.next += 1;
-        usage.running.insert(slot);
-        usage.check(target, now);
+        usage.in_use.insert(slot);
+        usage.check_invariants(target, now);
         Some(slot)
     }
 
-    /// Takes a slot without asking whether one is free, to see the invariants fire.
+    /// Takes a slot without checking whether one is free, to break the invariants in tests.
     #[cfg(test)]
     pub(super) fn acquire_unchecked(&mut self, target: &TargetId, now: Moment) {
         let usage = self.targets.get_mut(target).expect("owned");
-        usage.running.insert(SlotId::MAX);
-        usage.check(target, now);
+        usage.in_use.insert(SlotId::MAX);
+        usage.check_invariants(target, now);
     }
 
-    /// Takes the whole target for one request, if nothing runs there: for suspects of a crash,
-    /// whose second crash must hit nobody else.
+    /// Takes the whole target for one request if none is running there. For requests suspected of
+    /// crashing a target: a second crash must not affect other requests.
     pub fn acquire_exclusive(
         &mut self,
         target: &TargetId,
@@ -106,20 +108,20 @@
         Some(slot)
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release(&mut self, target: &TargetId, slot: SlotId, _now: Moment) {
         let Some(usage) = self.targets.get_mut(target) else {
             return invariant::hold(false, "slot-released-once", || format!("{target}: {slot}"));
         };
-        let held = usage.running.remove(&slot);
+        let was_held = usage.in_use.remove(&slot);
         usage.exclusive = usage.exclusive.filter(|&exclusive| exclusive != slot);
-        invariant::hold(held, "slot-released-once", || format!("{target}: {slot}"));
-        if !usage.owned && usage.running.is_empty() {
+        invariant::hold(was_held, "slot-released-once", || format!("{target}: {slot}"));
+        if !usage.owned && usage.in_use.is_empty() {
             self.targets.remove(target);
         }
     }
 
-    /// Slots that could be taken now.
+    /// Number of slots that can be taken now.
     pub fn free(&self, target: &TargetId, limit: u32, now: Moment) -> u32 {
         self.targets.get(target).map_or(0, |usage| usage.free(limit, now))
     }
@@ -129,23 +131,23 @@
         self.targets.get(target).map_or(0, TargetUsage::in_flight)
     }
 
-    /// Own requests in flight and those that a former owner may still have.
+    /// This host's requests in flight and those that a former owner may still have.
     pub fn occupied(&self, target: &TargetId, now: Moment) -> u32 {
         self.targets.get(target).map_or(0, |usage| usage.occupied(now))
     }
 
-    /// Whether this host may send to the target.
+    /// Whether this host owns the target.
     pub fn owns(&self, target: &TargetId) -> bool {
         self.targets.get(target).is_some_and(|usage| usage.owned)
     }
 
-    /// A load report: `busy` slots in use when it was asked for at `taken`.
+    /// Applies a load report: `busy` slots were in use; the report was requested at `taken`.
     ///
-    /// One that was asked for before the target changed hands says nothing about it, and one that
-    /// counts fewer than this host's own requests is wrong; both are ignored.
+    /// A report requested before this host became the owner may be outdated, and one with fewer
+    /// slots in use than this host's own requests is wrong; both are ignored.
     pub fn apply_report(&mut self, target: &TargetId, busy: u32, taken: Moment) {
         let Some(usage) = self.targets.get_mut(target) else { return };
-        if taken <= usage.gained_at || busy < usage.in_flight() {
+        if taken <= usage.owned_since || busy < usage.in_flight() {
             return;
         }
         usage.inherited = usage.inherited.min(busy);
@@ -153,32 +155,38 @@
 }
 
 impl TargetUsage {
-    fn gain(&mut self, target: &OwnedTarget, known: bool, hold: Duration, now: Moment) {
-        let promoted = known && self.provisional && !target.provisional;
+    fn take_ownership(
+        &mut self,
+        target: &OwnedTarget,
+        was_owned: bool,
+        max_run_time: Duration,
+        now: Moment,
+    ) {
+        let promoted = was_owned && self.provisional && !target.provisional;
         self.owned = true;
         self.provisional = target.provisional;
         self.slots = target.slots;
-        if known && !promoted {
+        if was_owned && !promoted {
             return;
         }
-        self.gained_at = now;
+        self.owned_since = now;
         if target.inherited || promoted {
             self.inherited = target.slots.saturating_sub(self.in_flight());
-            self.inherited_until = now + hold;
+            self.inherited_until = now + max_run_time;
         }
     }
 
-    fn check(&self, target: &TargetId, now: Moment) {
+    fn check_invariants(&self, target: &TargetId, now: Moment) {
         let (occupied, slots) = (self.occupied(now), self.slots);
         invariant::hold(occupied <= slots, "slots-within-target", || {
             format!("{target}: {occupied} of {slots}")
         });
-        let alone = self.exclusive.is_none() || self.running.len() == 1;
-        invariant::hold(alone, "exclusive-slot-alone", || format!("{target}"));
+        let is_alone = self.exclusive.is_none() || self.in_use.len() == 1;
+        invariant::hold(is_alone, "exclusive-slot-alone", || format!("{target}"));
     }
 
     fn in_flight(&self) -> u32 {
-        u32::try_from(self.running.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.in_use.len()).unwrap_or(u32::MAX)
     }
 
     fn inherited(&self, now: Moment) -> u32 {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -10,10 +10,10 @@
 }
 
 #[test]
-fn inherited_slots_are_occupied_until_proven_free() {
+fn inherited_slots_are_occupied_until_a_report_or_timeout() {
     // A host dies with three requests running on its target. The new owner must not start three
-    // more beside them: the target would run six and tip over. It waits for the longest time a
-    // request may run, or for a report that was taken after the change.
+    // more: the target would run six and be overloaded. The slots count as occupied for the maximum
+    // run time of a request, or until a report requested after the change of owner shows fewer.
     let target: TargetId = "a".into();
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(true, false)], secs(10));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn stand_in_owner_runs_one_at_a_time() {
+fn provisional_owner_runs_one_request_at_a_time() {
     let target: TargetId = "a".into();
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(false, true)], secs(0));
@@ -34,7 +34,7 @@
     assert_eq!(slots.acquire(&target, 3, secs(0)), None);
     slots.release(&target, slot, secs(0));
     assert!(slots.acquire(&target, 3, secs(0)).is_some());
-    // The silent owner is found gone: what it had running still counts for the longest time.
+    // The former owner is confirmed gone: its requests still count for the maximum run time.
     slots.set_owned(&[owned(false, false)], secs(1));
     assert_eq!(slots.free(&target, 3, secs(5)), 0);
     assert_eq!(slots.free(&target, 3, secs(6)), 2);
@@ -42,8 +42,8 @@
 
 #[test]
 fn lost_and_regained_target_starts_occupied() {
-    // A host loses a target to its peer and gets it back a second later. Its own request is still
-    // running and the peer may have started two more: none may be added until those are gone.
+    // A host loses a target to a peer and regains it a second later. Its own request is still
+    // running, and the peer may have started two more: no request may start until those have ended.
     let target: TargetId = "a".into();
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(false, false)], secs(0));
@@ -60,21 +60,21 @@
 }
 
 #[test]
-fn suspect_has_the_target_to_itself() {
+fn exclusive_slot_excludes_other_requests() {
     let target: TargetId = "a".into();
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(false, false)], secs(0));
     let other = slots.acquire(&target, 3, secs(0)).unwrap();
     assert_eq!(slots.acquire_exclusive(&target, 3, secs(0)), None);
     slots.release(&target, other, secs(0));
-    let alone = slots.acquire_exclusive(&target, 3, secs(0)).unwrap();
+    let exclusive = slots.acquire_exclusive(&target, 3, secs(0)).unwrap();
     assert_eq!(slots.acquire(&target, 3, secs(0)), None);
-    slots.release(&target, alone, secs(0));
+    slots.release(&target, exclusive, secs(0));
     assert!(slots.acquire(&target, 3, secs(0)).is_some());
 }
 
 #[test]
-fn broken_safeguards_are_seen() {
+fn broken_invariants_are_reported() {
     let target: TargetId = "a".into();
     let names = || invariant::take().iter().map(|broken| broken.name).collect::<Vec<_>>();
     let mut slots = Slots::new(secs(5));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn hopeless_requests_make_room() {
+fn expired_requests_make_room() {
     let mut queue = Queue::new(2, secs(1));
     queue.push("old".into(), secs(2), secs(0)).unwrap();
     queue.push("young".into(), secs(9), secs(0)).unwrap();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_traffic() {
+fn retries_stay_within_the_allowed_ratio() {
     let mut budget = RetryBudget::new();
     for _ in 0..100 {
         budget.record_first_attempt(secs(20));
--- a/src/drain/capacity.rs
+++ b/src/drain/capacity.rs
@@ -1,4 +1,4 @@
-//! Whether a drain leaves enough room.
+//! Whether enough slots remain if a drain starts.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
     prelude::*,
 };
 
-/// Use of a service by the callers of a region.
+/// Load that the callers of a region put on a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceLoad {
     /// Mean number of slots in use.
@@ -16,16 +16,16 @@
     pub service: ServiceId,
 }
 
-/// Slots of one service in one region.
+/// Slots of one service in one region, before and after a drain starts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Room {
+struct SlotCounts {
     after: u32,
     before: u32,
 }
 
-/// Why draining `scope` on top of `drained` has to wait, or `None` if there is room. Without a load
-/// for a service nothing is known of its use: then only a drain that leaves a region without any
-/// slot of it counts, since all of its traffic would have to move.
+/// Why draining `scope` in addition to `drained` has to wait, or `None` if enough slots remain.
+/// Without a load the use of a service is not known; then the drain waits only if it would leave a
+/// region without any slot of the service, because all of the region's traffic would have to move.
 pub fn wait_reason(
     scope: &DrainScope,
     drained: &BTreeSet<DrainScope>,
@@ -36,31 +36,34 @@
     let mut after = before.clone();
     after.insert(scope.clone());
     manifest.services.iter().find_map(|service| {
-        let rooms = rooms(service, manifest, &before, &after);
+        let slot_counts = slot_counts(service, manifest, &before, &after);
         let busy = |region: &RegionId| {
             let load = |load: &&ServiceLoad| load.region == *region && load.service == service.name;
             loads.iter().find(load).map(|load| load.busy)
         };
-        rooms
-            .iter()
-            .filter(|(_, room)| room.after < room.before)
-            .find_map(|(region, room)| lacks(service, region, *room, &rooms, manifest, &busy))
+        slot_counts.iter().filter(|(_, counts)| counts.after < counts.before).find_map(
+            |(region, counts)| {
+                shortage_reason(service, region, *counts, &slot_counts, manifest, &busy)
+            },
+        )
     })
 }
 
-fn lacks(
+fn shortage_reason(
     service: &Service,
     region: &RegionId,
-    room: Room,
-    rooms: &BTreeMap<RegionId, Room>,
+    counts: SlotCounts,
+    slot_counts: &BTreeMap<RegionId, SlotCounts>,
     manifest: &Manifest,
     busy: &impl Fn(&RegionId) -> Option<f64>,
 ) -> Option<Arc<str>> {
-    let left = f64::from(room.after);
+    let remaining = f64::from(counts.after);
     let (moved, share): (f64, Share) = match busy(region) {
-        Some(busy) if 0.0 < busy => ((busy - left).max(0.0), (busy - left).max(0.0) / busy),
+        Some(busy) if 0.0 < busy => {
+            ((busy - remaining).max(0.0), (busy - remaining).max(0.0) / busy)
+        }
         Some(_) => (0.0, 0.0),
-        None if room.after == 0 => (0.0, 1.0),
+        None if counts.after == 0 => (0.0, 1.0),
         None => (0.0, 0.0),
     };
     let name = &service.name;
@@ -74,7 +77,7 @@
     let others = manifest.regions.iter().filter(|other| other.name != *region);
     let spare: f64 = others
         .map(|other| {
-            let slots = rooms.get(&other.name).map_or(0, |room| room.after);
+            let slots = slot_counts.get(&other.name).map_or(0, |counts| counts.after);
             let usable = f64::from(slots) * (1.0 - other.reserve);
             (usable - busy(&other.name).unwrap_or_default()).max(0.0)
         })
@@ -88,24 +91,25 @@
     })
 }
 
-fn rooms(
+fn slot_counts(
     service: &Service,
     manifest: &Manifest,
     before: &BTreeSet<DrainScope>,
     after: &BTreeSet<DrainScope>,
-) -> BTreeMap<RegionId, Room> {
-    let mut rooms: BTreeMap<RegionId, Room> = BTreeMap::new();
+) -> BTreeMap<RegionId, SlotCounts> {
+    let mut slot_counts: BTreeMap<RegionId, SlotCounts> = BTreeMap::new();
     for target in &service.targets {
         let Some(region) = manifest.region_of(&target.zone) else { continue };
-        let room = rooms.entry(region.name.clone()).or_default();
-        let slots = |drains| if covers(drains, target, &region.name) { 0 } else { target.slots };
-        room.before += slots(before);
-        room.after += slots(after);
+        let counts = slot_counts.entry(region.name.clone()).or_default();
+        let slots =
+            |drains| if is_drained(drains, target, &region.name) { 0 } else { target.slots };
+        counts.before += slots(before);
+        counts.after += slots(after);
     }
-    rooms
+    slot_counts
 }
 
-fn covers(drains: &BTreeSet<DrainScope>, target: &Target, region: &RegionId) -> bool {
+fn is_drained(drains: &BTreeSet<DrainScope>, target: &Target, region: &RegionId) -> bool {
     drains.contains(&DrainScope::Target(target.name.clone()))
         || drains.contains(&DrainScope::Zone(target.zone.clone()))
         || drains.contains(&DrainScope::Region(region.clone()))
--- a/src/drain/drain_set.rs
+++ b/src/drain/drain_set.rs
@@ -1,4 +1,4 @@
-//! The drains that one host knows.
+//! The set of drains held by one host.
 
 use std::collections::BTreeSet;
 
@@ -14,28 +14,28 @@
     timeline::HybridTime,
 };
 
-/// Most drains held, those taken back included.
+/// Maximum number of records, including tombstones.
 const MAX_RECORDS: usize = 1000;
 
-/// All drains of the member, as this host knows them.
+/// All drains of the member, as known to this host.
 #[derive(Clone, Debug)]
 pub struct DrainSet {
     own: HostId,
-    /// What the platform held when it was last asked.
+    /// The platform's records as of the last synchronization; `None` before the first one.
     platform: Option<Vec<DrainRecord>>,
     records: BTreeMap<DrainId, DrainRecord>,
-    /// Why each drain that waits does so.
-    waits: BTreeMap<DrainId, Arc<str>>,
+    /// Why each waiting drain cannot start yet.
+    wait_reasons: BTreeMap<DrainId, Arc<str>>,
 }
 
 impl DrainSet {
-    /// A host without drains.
+    /// An empty set for the host `own`.
     pub fn new(own: HostId) -> Self {
-        Self { own, platform: None, records: BTreeMap::new(), waits: BTreeMap::new() }
+        Self { own, platform: None, records: BTreeMap::new(), wait_reasons: BTreeMap::new() }
     }
 
-    /// Takes an operator's order. The same order again, after its answer was lost, gives the same
-    /// drain.
+    /// Adds a drain and starts it if there is room. Repeating an order, for example because its
+    /// answer was lost, returns the same drain.
     pub fn apply_order(
         &mut self,
         order: DrainOrder,
@@ -47,8 +47,8 @@
             return Ok(known.clone());
         }
         check_scope(&order.scope, manifest)?;
-        let rival = self.active().find(|record| record.scope == order.scope);
-        if let Some(DrainRecord { by, id, .. }) = rival {
+        let existing = self.active().find(|record| record.scope == order.scope);
+        if let Some(DrainRecord { by, id, .. }) = existing {
             return Err(DrainError::AlreadyDrained { by: by.to_string(), id: id.clone() });
         }
         if MAX_RECORDS <= self.records.len() {
@@ -71,7 +71,7 @@
         Ok(self.records[&id].clone())
     }
 
-    /// Takes drains back: the one of that id, else all of that scope.
+    /// Undoes the active drains of the scope: the one with the order's id, or all if it has none.
     pub fn undrain(&mut self, order: UndrainOrder, at: HybridTime) -> Result<Vec<DrainRecord>> {
         if let Some(id) = &order.id {
             let undone = self.records.get(id).and_then(|record| record.undone.as_ref());
@@ -79,22 +79,22 @@
                 return Err(DrainError::AlreadyUndone { by: by.to_string(), id: id.clone() });
             }
         }
-        let meant = |record: &&mut DrainRecord| {
+        let is_selected = |record: &&mut DrainRecord| {
             let by_id = order.id.as_ref().is_none_or(|id| *id == record.id);
             record.is_active() && record.scope == order.scope && by_id
         };
-        let mut taken_back = Vec::new();
-        for record in self.records.values_mut().filter(meant) {
+        let mut undone_records = Vec::new();
+        for record in self.records.values_mut().filter(is_selected) {
             record.undone = Some(Undrain { at, by: order.by.clone() });
-            taken_back.push(record.clone());
+            undone_records.push(record.clone());
         }
-        if taken_back.is_empty() {
+        if undone_records.is_empty() {
             return Err(DrainError::NotDrained);
         }
-        Ok(taken_back)
+        Ok(undone_records)
     }
 
-    /// Takes over what a peer or the platform holds; says whether anything is new.
+    /// Merges records from a peer or the platform. Returns whether anything changed.
     pub fn merge(&mut self, records: &[DrainRecord], wall_millis: u64) -> bool {
         let mut changed = false;
         for record in records.iter().filter(|record| !record.is_expired_tombstone(wall_millis)) {
@@ -111,16 +111,17 @@
         changed
     }
 
-    /// Takes over what the platform holds after `settle`.
+    /// Merges the platform's records after `sync_with_platform`. Returns whether anything changed.
     pub fn record_platform_copy(&mut self, held: Vec<DrainRecord>, wall_millis: u64) -> bool {
         let changed = self.merge(&held, wall_millis);
         self.platform = Some(held);
         changed
     }
 
-    /// Starts the drains that wait and now have room. Only the host that took the order decides,
-    /// or, if it is gone, the first of the live ones, so that two hosts do not start two drains
-    /// into the same room. `live` holds all live hosts, sorted. Says whether anything started.
+    /// Starts the waiting drains for which there is now enough room. Only the host that received
+    /// the order decides, or, if it is gone, the first live host; otherwise two hosts could start
+    /// two drains that need the same free slots. `live` holds all live hosts, sorted. Returns
+    /// whether any drain started.
     pub fn start_waiting(
         &mut self,
         manifest: &Manifest,
@@ -128,20 +129,20 @@
         live: &[HostId],
         at: HybridTime,
     ) -> bool {
-        self.waits.clear();
+        self.wait_reasons.clear();
         let mut in_force = self.in_force();
         let mut started = false;
         let waiting = |record: &&mut DrainRecord| record.is_active() && record.started.is_none();
         let mut waiting: Vec<_> = self.records.values_mut().filter(waiting).collect();
         waiting.sort_by(|a, b| (a.at, &a.id).cmp(&(b.at, &b.id)));
         for record in waiting {
-            if let Some(why) = wait_reason(&record.scope, &in_force, manifest, loads) {
-                self.waits.insert(record.id.clone(), why);
+            if let Some(reason) = wait_reason(&record.scope, &in_force, manifest, loads) {
+                self.wait_reasons.insert(record.id.clone(), reason);
                 continue;
             }
-            let taker_gone = !live.is_empty() && !live.contains(&record.taken_by);
+            let receiver_gone = !live.is_empty() && !live.contains(&record.taken_by);
             let decides =
-                record.taken_by == self.own || (taker_gone && live.first() == Some(&self.own));
+                record.taken_by == self.own || (receiver_gone && live.first() == Some(&self.own));
             if decides {
                 record.started = Some(at);
                 in_force.insert(record.scope.clone());
@@ -151,7 +152,8 @@
         started
     }
 
-    /// Ends the drains that a newer manifest has taken over or made pointless; says whether any.
+    /// Ends the drains whose scope a newer manifest lists as drained or no longer contains. Returns
+    /// whether any ended.
     pub fn reconcile(&mut self, manifest: &Manifest, at: HybridTime) -> bool {
         let mut changed = false;
         let by: Arc<str> = format!("manifest {}", manifest.sequence).into();
@@ -159,8 +161,8 @@
             if !record.is_active() || manifest.sequence <= record.under {
                 continue;
             }
-            let listed = manifest.drains.contains(&record.scope);
-            if listed || check_scope(&record.scope, manifest).is_err() {
+            let is_listed = manifest.drains.contains(&record.scope);
+            if is_listed || check_scope(&record.scope, manifest).is_err() {
                 record.undone = Some(Undrain { at, by: by.clone() });
                 changed = true;
             }
@@ -168,38 +170,37 @@
         changed
     }
 
-    /// Forgets drains that were taken back long ago.
+    /// Deletes the records of drains that were undone long ago.
     pub fn purge_tombstones(&mut self, wall_millis: u64) {
         self.records.retain(|_, record| !record.is_expired_tombstone(wall_millis));
     }
 
-    /// Every drain, those taken back included, sorted by id.
+    /// All records, including tombstones, sorted by id.
     pub fn records(&self) -> Vec<DrainRecord> {
         self.records.values().cloned().collect()
     }
 
-    /// Drains that nobody took back, sorted by id.
+    /// Drains that have not been undone, sorted by id.
     pub fn active(&self) -> impl Iterator<Item = &DrainRecord> {
         self.records.values().filter(|record| record.is_active())
     }
 
-    /// What gets no new work now.
+    /// Scopes that get no new requests now.
     pub fn in_force(&self) -> BTreeSet<DrainScope> {
         let in_force = self.records.values().filter(|record| record.is_in_force());
         in_force.map(|record| record.scope.clone()).collect()
     }
 
-    /// Why a drain waits.
+    /// Why a drain waits; `None` if it does not.
     pub fn wait_reason(&self, id: &str) -> Option<&Arc<str>> {
-        self.waits.get(id)
+        self.wait_reasons.get(id)
     }
 
-    /// One drain.
     pub fn get(&self, id: &str) -> Option<&DrainRecord> {
         self.records.get(id)
     }
 
-    /// Whether the platform may lack something that this host holds.
+    /// Whether the platform may lack records that this host holds.
     pub fn needs_sync(&self) -> bool {
         match &self.platform {
             Some(held) => !held.iter().eq(self.records.values()),
--- a/src/drain/mod.rs
+++ b/src/drain/mod.rs
@@ -1,15 +1,16 @@
-//! Drains by operators: what is taken out of use, by whom, and how far it has come.
+//! Drains ordered by operators: what is taken out of use, by whom, and the progress.
 //!
-//! Every host holds all drains of its member as a set that merges free of conflict, whatever the
-//! order in which hosts hear of each other's records; so an order given to any host is in force
-//! wherever hosts reach each other, also with the platform away. The platform settles who came
-//! first: of two drains of one scope the one that is written first stays, the other is taken back
-//! and its operator told.
+//! Every host holds all drains of its member as a conflict-free replicated set: merging records
+//! gives the same result in any order. An order given to any host therefore takes effect on all
+//! hosts that can reach each other, even while the platform is unavailable. The platform resolves
+//! conflicts: of two drains of the same scope the one written to it first stays; the other is
+//! undone and its operator is told.
 //!
-//! A drain is no match for a newer manifest: once a manifest above the one it was ordered under
-//! lists the scope itself, or no longer has it, the pipeline decides alone and the drain ends. A
-//! newer manifest that says nothing of the scope leaves the drain as it is, or an unrelated release
-//! would send traffic back to a site that an operator has just emptied.
+//! A newer manifest takes precedence over a drain: once a manifest with a higher sequence than the
+//! one under which the drain was ordered lists the scope as drained, or no longer contains it, the
+//! drain ends. A newer manifest that does not mention the scope leaves the drain in force;
+//! otherwise an unrelated release would send traffic back to a site that an operator has just
+//! drained.
 
 mod capacity;
 mod drain_set;
--- a/src/drain/platform_sync.rs
+++ b/src/drain/platform_sync.rs
@@ -1,4 +1,4 @@
-//! Settling the drains on the platform.
+//! Synchronization of the drains with the platform.
 
 use bytes::Bytes;
 
@@ -8,18 +8,18 @@
     store::{Expect, Platform, PlatformError, Settled, new_operation, put_settled},
 };
 
-/// Writes against other hosts before giving up until the next time.
-const ATTEMPTS: u32 = 5;
+/// Attempts to write while other hosts write too, before giving up until the next time.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
-/// Key of the object that holds a member's drains.
+/// Key of the platform object that holds a member's drains.
 pub fn object_key(member: &MemberId) -> String {
     format!("drains/{member}")
 }
 
-/// What the platform should hold, given what it holds and what a host holds. Of two drains of one
-/// scope the one on the platform stays, else the one ordered first; the other is taken back. The
-/// platform's conditional update makes that one order for everybody. Drains taken back long ago are
-/// left out.
+/// The records that the platform should hold, given its records and a host's. Of two active drains
+/// of the same scope the one on the platform stays, or else the one ordered first; the other is
+/// undone. The platform's conditional update ensures that all hosts see the same result. Expired
+/// tombstones are left out.
 pub fn merge_with_platform(
     platform: &[DrainRecord],
     own: &[DrainRecord],
@@ -30,8 +30,8 @@
     let mut own: Vec<_> = own.iter().collect();
     own.sort_by(|a, b| (a.at, &a.id).cmp(&(b.at, &b.id)));
     for record in own {
-        if let Some(known) = all.get_mut(&record.id) {
-            known.merge(record);
+        if let Some(existing) = all.get_mut(&record.id) {
+            existing.merge(record);
             continue;
         }
         let mut record = record.clone();
@@ -48,37 +48,37 @@
     all.into_values().filter(|record| !record.is_expired_tombstone(wall_millis)).collect()
 }
 
-/// Brings the platform's object up to what this host holds, and gives what it then holds, for
-/// `Drains::merge`. Writes nothing if nothing is lacking.
+/// Merges this host's records into the platform's object and returns the result, for
+/// `DrainSet::record_platform_copy`. Writes nothing if the object is up to date.
 pub async fn sync_with_platform(
     platform: &dyn Platform,
     key: &str,
     own: &[DrainRecord],
     wall_millis: u64,
 ) -> Result<Vec<DrainRecord>, PlatformError> {
-    for _ in 0..ATTEMPTS {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let object = platform.get(key).await?;
         let held: Vec<DrainRecord> = match &object {
-            Some(object) => serde_json::from_slice(&object.value).map_err(broken)?,
+            Some(object) => serde_json::from_slice(&object.value).map_err(unreadable)?,
             None => Vec::new(),
         };
-        let wanted = merge_with_platform(&held, own, wall_millis);
-        if wanted == held {
+        let merged = merge_with_platform(&held, own, wall_millis);
+        if merged == held {
             return Ok(held);
         }
-        let value = Bytes::from(serde_json::to_vec(&wanted).map_err(broken)?);
+        let value = Bytes::from(serde_json::to_vec(&merged).map_err(unreadable)?);
         let expect = Expect::unchanged(object.as_ref());
         match put_settled(platform, key, expect, value, new_operation()).await? {
-            Settled::Written(_) => return Ok(wanted),
+            Settled::Written(_) => return Ok(merged),
             Settled::Conflict { .. } => {}
         }
     }
     Err(PlatformError::Unavailable {
-        detail: "the drains are being changed by many hosts".into(),
+        detail: "other hosts changed the drains during every attempt to write them".into(),
         maybe_done: false,
     })
 }
 
-fn broken(error: serde_json::Error) -> PlatformError {
+fn unreadable(error: serde_json::Error) -> PlatformError {
     PlatformError::Refused { detail: format!("the drains cannot be read: {error}").into() }
 }
--- a/src/drain/record.rs
+++ b/src/drain/record.rs
@@ -1,63 +1,63 @@
-//! One drain as hosts tell it to each other.
+//! A drain as replicated between hosts and stored on the platform.
 
 use crate::{manifest::DrainScope, prelude::*, timeline::HybridTime};
 
-/// Name of one drain, unique within its member; the host that takes the order draws it.
+/// Identifies a drain; unique within its member. Chosen by the client that orders the drain.
 pub type DrainId = Arc<str>;
 
-/// How long a drain that was taken back is remembered. A host that was cut off for longer and still
-/// holds it as active would bring it back; the platform's copy is remembered as long.
-const TOMBSTONE_KEPT: Duration = Duration::from_secs(24 * 3600);
+/// How long the record of an undone drain is kept, by hosts and on the platform. A host that was
+/// disconnected for longer and still holds the drain as active would reinstate it.
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// One drain that an operator ordered.
+/// A drain ordered by an operator.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DrainRecord {
     /// When it was ordered.
     pub at: HybridTime,
-    /// Who ordered it, as the operator's token names them.
+    /// The operator who ordered it, as named by their token.
     pub by: Arc<str>,
     pub id: DrainId,
     pub scope: DrainScope,
-    /// Whether the platform holds it.
+    /// Whether it is stored on the platform.
     #[serde(default)]
     pub settled: bool,
-    /// When it came in force; `None` while it waits.
+    /// When it came into force; `None` while it waits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started: Option<HybridTime>,
-    /// Host that took the order, and that decides when it may start.
+    /// Host that received the order, and that decides when the drain may start.
     pub taken_by: HostId,
     /// Sequence of the manifest in force when it was ordered.
     pub under: Sequence,
-    /// Set once an operator took it back. It stays as a tombstone, so that a host that was cut off
-    /// and still holds the drain cannot bring it back.
+    /// Set once the drain is undone. The record stays as a tombstone, so that a host that was
+    /// disconnected and still holds the drain as active cannot reinstate it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub undone: Option<Undrain>,
 }
 
 impl DrainRecord {
-    /// Whether nobody took it back.
+    /// Whether it has not been undone.
     pub fn is_active(&self) -> bool {
         self.undone.is_none()
     }
 
-    /// Whether it keeps new work away now.
+    /// Whether it keeps new requests away now.
     pub fn is_in_force(&self) -> bool {
         self.is_active() && self.started.is_some()
     }
 
-    /// Whether it was taken back so long ago that no host need remember it.
+    /// Whether it was undone so long ago that the record can be deleted.
     pub fn is_expired_tombstone(&self, wall_millis: u64) -> bool {
         let Some(undone) = &self.undone else { return false };
         let age = Duration::from_millis(wall_millis.saturating_sub(undone.at.millis));
-        TOMBSTONE_KEPT <= age
+        TOMBSTONE_RETENTION <= age
     }
 
-    /// Takes over what another copy knows. The result is the same in whatever order copies meet:
-    /// each field only ever moves one way.
+    /// Merges another copy of the same record. Merging copies gives the same result in any order,
+    /// because each field only changes in one direction.
     pub fn merge(&mut self, other: &DrainRecord) {
         self.settled |= other.settled;
-        self.started = earlier(self.started, other.started);
-        self.undone = earlier(self.undone.take(), other.undone.clone());
+        self.started = earliest(self.started, other.started);
+        self.undone = earliest(self.undone.take(), other.undone.clone());
         let order = |record: &DrainRecord| {
             (
                 record.at,
@@ -67,21 +67,21 @@
                 record.under,
             )
         };
-        // Only if two clients drew the same id.
+        // The orders differ only if two clients chose the same id.
         if order(other) < order(self) {
             (self.at, self.by, self.scope, self.taken_by, self.under) = order(other);
         }
     }
 }
 
-fn earlier<T: Ord>(a: Option<T>, b: Option<T>) -> Option<T> {
+fn earliest<T: Ord>(a: Option<T>, b: Option<T>) -> Option<T> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
     }
 }
 
-/// Who took a drain back, and when.
+/// Who undid a drain, and when.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Undrain {
     pub at: HybridTime,
--- a/src/drain/tests.rs
+++ b/src/drain/tests.rs
@@ -11,7 +11,7 @@
     timeline::{EventKind, HybridTime},
 };
 
-/// Two regions of two zones; in each zone two targets of three slots.
+/// Two regions with two zones each; each zone has two targets with three slots.
 fn manifest(sequence: Sequence, cap: f64) -> Manifest {
     let zones = ["e1", "e2", "w1", "w2"];
     let target = |at: usize| Target {
@@ -56,7 +56,7 @@
     DrainOrder { by: format!("operator of {id}").into(), id: id.into(), scope }
 }
 
-fn take_back(scope: DrainScope) -> UndrainOrder {
+fn undrain_order(scope: DrainScope) -> UndrainOrder {
     UndrainOrder { by: "ana".into(), id: None, scope }
 }
 
@@ -65,24 +65,24 @@
 }
 
 #[test]
-fn an_order_is_in_force_at_once_and_once() {
+fn order_takes_effect_immediately_and_only_once() {
     let mut drains = DrainSet::new("a".into());
     let manifest = manifest(1, 1.0);
     let first = drains.apply_order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
     assert_eq!(drains.in_force(), [zone("e1")].into());
     let again = drains.apply_order(order("1", zone("e1")), at(20), &manifest, &[]).unwrap();
-    assert_eq!(again, first, "the answer was lost and the client sent the order again");
-    let rival = drains.apply_order(order("2", zone("e1")), at(30), &manifest, &[]);
-    assert_matches!(rival, Err(DrainError::AlreadyDrained { .. }));
+    assert_eq!(again, first, "the client resent the order because its answer was lost");
+    let second_drain = drains.apply_order(order("2", zone("e1")), at(30), &manifest, &[]);
+    assert_matches!(second_drain, Err(DrainError::AlreadyDrained { .. }));
     let unknown = drains.apply_order(order("3", zone("e9")), at(40), &manifest, &[]);
     assert_eq!(unknown, Err(DrainError::UnknownScope("zone")));
-    assert_eq!(drains.undrain(take_back(zone("e1")), at(50)).unwrap().len(), 1);
+    assert_eq!(drains.undrain(undrain_order(zone("e1")), at(50)).unwrap().len(), 1);
     assert_eq!(drains.in_force(), [].into());
-    assert_eq!(drains.undrain(take_back(zone("e1")), at(60)), Err(DrainError::NotDrained));
+    assert_eq!(drains.undrain(undrain_order(zone("e1")), at(60)), Err(DrainError::NotDrained));
 }
 
 #[test]
-fn drains_wait_for_room_and_say_why() {
+fn drains_wait_for_room_and_give_the_reason() {
     for (scope, cap, loads, reason) in [
         (zone("e1"), 0.2, vec![load("east", 5.0)], None),
         (zone("e1"), 0.2, vec![load("east", 10.0)], Some("40 % of intake would have to leave")),
@@ -105,88 +105,95 @@
     }
 }
 
-// A drain waits since the region is busy. Later there is room: the host that took the order starts
-// it, another one does not; if that host is gone, the first of the live ones does.
+// A drain waits because the region is busy. Once there is room, the host that received the order
+// starts it and others do not; if that host is gone, the first live host starts it.
 #[test]
-fn a_waiting_drain_starts_by_one_host() {
+fn only_one_host_starts_a_waiting_drain() {
     let manifest = manifest(1, 0.2);
     let busy = [load("east", 10.0)];
-    let mut taker = DrainSet::new("b".into());
-    taker.apply_order(order("1", zone("e1")), at(1), &manifest, &busy).unwrap();
+    let mut receiver = DrainSet::new("b".into());
+    receiver.apply_order(order("1", zone("e1")), at(1), &manifest, &busy).unwrap();
     let live: Vec<HostId> = vec!["a".into(), "b".into()];
     let mut other = DrainSet::new("a".into());
-    other.merge(&taker.records(), 2);
-    assert!(!taker.start_waiting(&manifest, &busy, &live, at(2)));
+    other.merge(&receiver.records(), 2);
+    assert!(!receiver.start_waiting(&manifest, &busy, &live, at(2)));
     assert!(!other.start_waiting(&manifest, &[], &live, at(3)));
-    assert!(other.clone().start_waiting(&manifest, &[], &live[..1], at(3)), "the taker is gone");
-    assert!(taker.start_waiting(&manifest, &[], &live, at(3)));
-    assert_eq!(taker.in_force(), [zone("e1")].into());
+    assert!(
+        other.clone().start_waiting(&manifest, &[], &live[..1], at(3)),
+        "the host that received the order is gone"
+    );
+    assert!(receiver.start_waiting(&manifest, &[], &live, at(3)));
+    assert_eq!(receiver.in_force(), [zone("e1")].into());
 }
 
-// Hosts hear of orders and undrains in any order, twice, and by way of each other. All end up with
-// the same set, and nothing that was taken back comes back.
+// Hosts receive drain and undrain records in any order, repeatedly and indirectly. All end up with
+// the same set, and no drain that was undone becomes active again.
 #[test]
-fn sets_merge_free_of_conflict() {
+fn records_merge_to_the_same_set_in_any_order() {
     let manifest = manifest(1, 1.0);
     let mut east = DrainSet::new("a".into());
     east.apply_order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
     let before = east.records();
-    east.undrain(take_back(zone("e1")), at(20)).unwrap();
+    east.undrain(undrain_order(zone("e1")), at(20)).unwrap();
     let mut west = DrainSet::new("b".into());
     west.merge(&before, 30);
-    west.undrain(take_back(zone("e1")), at(25)).unwrap();
+    west.undrain(undrain_order(zone("e1")), at(25)).unwrap();
     west.apply_order(order("2", zone("w1")), at(30), &manifest, &[]).unwrap();
-    let mut heard: Vec<_> = [before, east.records(), west.records(), east.records()].concat();
-    let mut ends = Vec::new();
+    let mut received: Vec<_> = [before, east.records(), west.records(), east.records()].concat();
+    let mut results = Vec::new();
     for seed in 0..50 {
-        heard.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
+        received.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
         let mut drains = DrainSet::new("c".into());
-        for record in &heard {
+        for record in &received {
             drains.merge(std::slice::from_ref(record), 40);
         }
         assert_eq!(drains.in_force(), [zone("w1")].into());
-        ends.push(drains.records());
+        results.push(drains.records());
     }
-    ends.dedup();
-    assert_eq!(ends.len(), 1);
+    results.dedup();
+    assert_eq!(results.len(), 1);
 }
 
-// Two operators drain the same zone through two hosts that cannot reach each other. Both orders are
-// taken. When the platform settles them, the one written first stays, although the other was given
-// earlier; the other operator is told who came first.
+// Two operators drain the same zone through two hosts that cannot reach each other, and both orders
+// are accepted. The drain written to the platform first stays, although the other was ordered
+// earlier; the other operator is told whose drain came first.
 #[test]
-fn racing_operators_get_one_winner() {
+fn first_of_two_racing_drains_on_the_platform_wins() {
     let manifest = manifest(1, 1.0);
     let mut first = DrainSet::new("a".into());
     first.apply_order(order("1", zone("e1")), at(20), &manifest, &[]).unwrap();
     let mut second = DrainSet::new("b".into());
     second.apply_order(order("2", zone("e1")), at(10), &manifest, &[]).unwrap();
     assert!(first.needs_sync());
-    let held = merge_with_platform(&[], &first.records(), 30);
-    first.record_platform_copy(held.clone(), 30);
+    let platform_records = merge_with_platform(&[], &first.records(), 30);
+    first.record_platform_copy(platform_records.clone(), 30);
     assert!(!first.needs_sync());
-    let held = merge_with_platform(&held, &second.records(), 30);
-    second.record_platform_copy(held.clone(), 30);
-    first.merge(&held, 30);
+    let platform_records = merge_with_platform(&platform_records, &second.records(), 30);
+    second.record_platform_copy(platform_records.clone(), 30);
+    first.merge(&platform_records, 30);
     for drains in [&first, &second] {
         assert!(drains.get("1").unwrap().is_in_force());
         let undone = drains.get("2").unwrap().undone.clone().unwrap();
         assert_eq!(&*undone.by, "drain 1 of operator of 1, which came first");
     }
-    assert_eq!(merge_with_platform(&held, &first.records(), 30), held, "settled once");
+    assert_eq!(
+        merge_with_platform(&platform_records, &first.records(), 30),
+        platform_records,
+        "nothing changes afterwards"
+    );
     let next_week = 7 * 24 * 3_600_000;
-    let held = merge_with_platform(&held, &first.records(), next_week);
-    assert_eq!(held.len(), 1, "the one taken back is forgotten");
+    let platform_records = merge_with_platform(&platform_records, &first.records(), next_week);
+    assert_eq!(platform_records.len(), 1, "the undone drain is deleted");
     first.purge_tombstones(next_week);
-    first.record_platform_copy(held, next_week);
+    first.record_platform_copy(platform_records, next_week);
     assert!(!first.needs_sync());
 }
 
-// While the platform was away an operator drained a zone. Meanwhile the pipeline went on: an
-// unrelated manifest leaves the drain; one that lists the zone itself takes it over, so that the
-// next one that no longer does ends it; one without the zone ends it.
+// An operator drained a zone, and newer manifests follow. A manifest that does not mention the zone
+// leaves the drain in force. One that lists the zone as drained ends the operator's drain, so that
+// a later manifest can reopen the zone. One without the zone ends it, too.
 #[test]
-fn a_newer_manifest_that_names_the_scope_decides() {
+fn newer_manifest_takes_precedence_over_drains() {
     let mut drains = DrainSet::new("a".into());
     drains.apply_order(order("1", zone("e1")), at(1), &manifest(5, 1.0), &[]).unwrap();
     assert!(!drains.clone().reconcile(&manifest(5, 1.0), at(2)));
@@ -203,11 +210,11 @@
     }
     let mut older = manifest(4, 1.0);
     older.drains.push(zone("e1"));
-    assert!(!drains.reconcile(&older, at(2)), "an older manifest decides nothing");
+    assert!(!drains.reconcile(&older, at(2)), "an older manifest has no effect");
 }
 
 #[test]
-fn progress_tells_start_end_and_time_taken() {
+fn progress_reports_start_end_and_duration() {
     let mut drains = DrainSet::new("a".into());
     drains.apply_order(order("1", zone("e1")), at(1), &manifest(1, 1.0), &[]).unwrap();
     let mut progress = ProgressTracker::default();
@@ -224,13 +231,13 @@
     assert_eq!(observe(0, secs(9)), (vec![], Some(secs(3))));
 }
 
-// Two hosts settle at the same moment, one of them over a path on which the answers to its writes
-// are lost after they took effect. Each drain ends up on the platform once, with one winner.
+// Two hosts synchronize with the platform at the same time, and one of them loses the answers to
+// writes that took effect. Each drain is stored on the platform once, and one of them is active.
 #[tokio::test(start_paused = true)]
-async fn racing_hosts_settle_over_lost_answers() {
+async fn racing_hosts_sync_despite_lost_answers() {
     let platform = PlatformStandin::in_memory();
-    let (good, bad) = (platform.open_door(), platform.open_door());
-    bad.set_faults(Faults { lose_answers: 2, ..Faults::default() });
+    let (healthy, lossy) = (platform.open_door(), platform.open_door());
+    lossy.set_faults(Faults { lose_answers: 2, ..Faults::default() });
     let manifest = manifest(1, 1.0);
     let mut first = DrainSet::new("a".into());
     first.apply_order(order("1", zone("e1")), at(10), &manifest, &[]).unwrap();
@@ -238,24 +245,25 @@
     second.apply_order(order("2", zone("e1")), at(20), &manifest, &[]).unwrap();
     let key = object_key(&"agency".into());
     let (of_first, of_second) = (first.records(), second.records());
-    let (held, other) = tokio::join!(
-        sync_with_platform(&bad, &key, &of_first, 30),
-        sync_with_platform(&good, &key, &of_second, 30)
+    let (platform_records, other) = tokio::join!(
+        sync_with_platform(&lossy, &key, &of_first, 30),
+        sync_with_platform(&healthy, &key, &of_second, 30)
     );
-    first.record_platform_copy(held.unwrap(), 30);
+    first.record_platform_copy(platform_records.unwrap(), 30);
     second.record_platform_copy(other.unwrap(), 30);
-    let held = sync_with_platform(&good, &key, &first.records(), 30).await.unwrap();
-    first.record_platform_copy(held.clone(), 30);
-    second.record_platform_copy(held.clone(), 30);
-    assert_eq!(held.len(), 2);
-    assert_eq!(held.iter().filter(|record| record.is_active()).count(), 1);
+    let platform_records = sync_with_platform(&healthy, &key, &first.records(), 30).await.unwrap();
+    first.record_platform_copy(platform_records.clone(), 30);
+    second.record_platform_copy(platform_records.clone(), 30);
+    assert_eq!(platform_records.len(), 2);
+    assert_eq!(platform_records.iter().filter(|record| record.is_active()).count(), 1);
     assert_eq!(first.records(), second.records());
     assert!(!first.needs_sync() && !second.needs_sync());
 }
 
-// The platform is away for a while. The drain is in force all the time, and is settled afterwards.
+// The platform is unavailable for a while. The drain stays in force and is stored once the platform
+// recovers.
 #[tokio::test(start_paused = true)]
-async fn a_drain_is_settled_when_the_platform_is_back() {
+async fn drain_is_synced_when_the_platform_recovers() {
     let platform = PlatformStandin::in_memory();
     platform.set_faults(Faults { outage: Outage::Refuse, ..Faults::default() });
     let mut drains = DrainSet::new("a".into());
@@ -265,8 +273,9 @@
     assert_eq!(drains.in_force(), [zone("e1")].into());
     assert!(drains.needs_sync());
     platform.set_faults(Faults::default());
-    let held = sync_with_platform(platform.door(), &key, &drains.records(), 20).await.unwrap();
-    drains.record_platform_copy(held, 20);
+    let platform_records =
+        sync_with_platform(platform.door(), &key, &drains.records(), 20).await.unwrap();
+    drains.record_platform_copy(platform_records, 20);
     assert!(!drains.needs_sync());
     assert!(drains.get("1").unwrap().settled);
 }
--- a/src/selection/candidate.rs
+++ b/src/selection/candidate.rs
@@ -1,8 +1,8 @@
-//! What the selector may choose from.
+//! Candidates for a request.
 
 use crate::prelude::*;
 
-/// How far away a target is; nearer ones come first.
+/// Distance of a target, nearest first.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Tier {
@@ -17,9 +17,9 @@
 /// One target that could serve the request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Requests that this host has running there.
+    /// Requests in flight on the target, as far as this host knows.
     pub in_flight: u32,
-    /// Most requests that it may run now; 0 takes it out.
+    /// Maximum number of requests in flight; 0 excludes the target.
     pub limit: u32,
     pub target: TargetId,
     pub tier: Tier,
--- a/src/selection/mod.rs
+++ b/src/selection/mod.rs
@@ -1,7 +1,8 @@
-//! Which target gets a request: nearest tier with room, then the member's weighing.
+//! Selects the target of a request: the nearest tier with room first, then by the member's weighing
+//! of latency against headroom.
 //!
-//! In-flight counts are the host's own and exact. Reported load lags and misleads, so a report may
-//! only lower what a target is trusted with, and never below half of its slots.
+//! In-flight counts are the host's own and exact. Load reports are delayed and can be wrong, so a
+//! report may only lower a target's concurrency limit, and never below half of its slots.
 
 mod candidate;
 mod health;
--- a/src/selection/policy.rs
+++ b/src/selection/policy.rs
@@ -1,31 +1,33 @@
-//! The ways of choosing among targets of one tier.
+//! Policies for choosing among the usable targets.
 
 use super::Tier;
 use crate::{manifest::Weighing, prelude::*};
 
-/// How the selector chooses among the targets of the nearest tier with room.
+/// How the selector chooses among the usable targets.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Fewest requests of this host in flight.
+    /// The target with the fewest requests of this host in flight.
     LeastInFlight,
-    /// Any, evenly.
+    /// Uniformly at random.
     Random,
-    /// Lowest busy share of the last load report; late or wrong reports mislead it.
+    /// The target with the lowest utilization in its last load report. Late or wrong reports lead
+    /// to bad choices.
     ReportedLoad,
-    /// One after the other.
+    /// Each target in turn.
     RoundRobin,
-    /// The better by latency and load of two random ones.
+    /// The better of two random targets by latency and load.
     TwoChoices,
-    /// As the member weighs latency against headroom.
+    /// The target with the lowest cost. Latency and headroom are weighed as the member configures.
     Weighed(Weighing),
 }
 
 impl Policy {
-    /// How far a policy looks while nearer targets have room. One that knows latencies weighs the
-    /// zones of a region together, so that a zone's slow target is not filled while its neighbours
-    /// idle; a shift to another region never comes about that way.
-    pub(super) fn reach(self) -> Tier {
+    /// The furthest tier that the policy considers while nearer targets have room. Policies that
+    /// use latencies compare the targets of all zones of a region, so that a slow target in this
+    /// zone is not filled while targets in other zones are idle. Such a comparison never causes a
+    /// shift to another region.
+    pub(super) fn max_tier(self) -> Tier {
         match self {
             Policy::TwoChoices | Policy::Weighed(_) => Tier::Region,
             _ => Tier::Zone,
@@ -33,12 +35,13 @@
     }
 }
 
-/// Safeguards of the selector; measurements turn them off one by one to see what each is worth.
+/// Which safeguards of the selector are enabled. Measurements disable them one by one to determine
+/// the effect of each.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SelectorOptions {
-    /// Targets that fail again and again are left out for a time.
+    /// Ejects targets for a time after repeated failures.
     pub eject: bool,
-    /// Cold targets start at a concurrency of one.
+    /// Starts cold targets at a concurrency of one.
     pub ramp: bool,
 }
 
--- a/src/selection/selector.rs
+++ b/src/selection/selector.rs
@@ -1,4 +1,4 @@
-//! The selector: one for a host, over the targets of all its services.
+//! The selector. Each host has one, for the targets of all services.
 
 use std::collections::BTreeSet;
 
@@ -7,59 +7,59 @@
 use super::{Candidate, HealthSignal, LoadReport, Policy, SelectorOptions, Tier, health::Health};
 use crate::{base::invariant, manifest::Weighing, prelude::*};
 
-/// Above this many candidates only a random sample is weighed, so that a choice stays cheap.
-const SAMPLE: usize = 16;
+/// If there are more candidates than this, only a random sample is compared, so that a choice stays
+/// cheap.
+const MAX_COMPARED: usize = 16;
 
-/// How much better a target of another zone of the region must be than one of the own zone. A hop
-/// costs a few milliseconds, and what that target has running is only guessed here.
-const FAR_FACTOR: f64 = 3.0;
+/// Cost of a target in another zone of the region, relative to one in this host's zone. The hop
+/// takes a few milliseconds, and the load of such a target is only estimated here.
+const CROSS_ZONE_COST_FACTOR: f64 = 3.0;
 
-/// A target left or joined the pool because of its failures.
+/// A target was ejected because of its failures, or readmitted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EjectionChange {
-    /// Out for a time after repeated failures.
+    /// Not used for a time after repeated failures.
     Ejected(TargetId),
-    /// Back, at a concurrency of one.
+    /// Readmitted, at a concurrency of one.
     Returned(TargetId),
 }
 
-/// Chooses targets and keeps what is known of their condition.
+/// Chooses targets and tracks their health.
 #[derive(Debug)]
 pub struct Selector {
     changes: Vec<EjectionChange>,
-    /// Targets whose time out has not been ended.
+    /// Ejected targets, until they are readmitted.
     ejected: BTreeSet<TargetId>,
     policy: Policy,
-    rules: SelectorOptions,
+    options: SelectorOptions,
     targets: BTreeMap<TargetId, Health>,
-    turns: BTreeMap<ServiceId, usize>,
+    round_robin_positions: BTreeMap<ServiceId, usize>,
 }
 
 impl Selector {
-    /// A selector that knows no target yet.
     pub fn new(policy: Policy) -> Self {
         Self::with_options(policy, SelectorOptions::default())
     }
 
-    /// A selector with some safeguards off, for measurements.
-    pub fn with_options(policy: Policy, rules: SelectorOptions) -> Self {
+    /// A selector with some safeguards disabled, for measurements.
+    pub fn with_options(policy: Policy, options: SelectorOptions) -> Self {
         Self {
             changes: Vec::new(),
             ejected: BTreeSet::new(),
             policy,
-            rules,
+            options,
             targets: BTreeMap::new(),
-            turns: BTreeMap::new(),
+            round_robin_positions: BTreeMap::new(),
         }
     }
 
-    /// Takes up a changed weighing; what is known of the targets stays.
+    /// Changes the policy and keeps the health of the targets.
     pub fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// Index of the target to use, or `None` when none has room. Ejected targets are used only
-    /// where no other candidate exists: ejection never empties a pool.
+    /// Index of the candidate to use, or `None` if none has room. Ejected targets are used only if
+    /// there is no other candidate, so that ejection never leaves a service without targets.
     pub fn pick(
         &mut self,
         service: &ServiceId,
@@ -67,39 +67,41 @@
         now: Moment,
         rng: &mut impl Rng,
     ) -> Option<usize> {
-        self.readmit(now);
-        let tier = self.nearest(candidates, self.policy.reach());
-        if tier.is_empty() {
+        self.readmit_targets(now);
+        let indices = self.usable_candidates(candidates, self.policy.max_tier());
+        if indices.is_empty() {
             return None;
         }
         let index = match self.policy {
             Policy::LeastInFlight => {
-                lowest(&tier, rng, |index| f64::from(candidates[index].in_flight))
+                lowest_cost(&indices, rng, |index| f64::from(candidates[index].in_flight))
             }
-            Policy::Random => tier[rng.random_range(0..tier.len())],
-            Policy::ReportedLoad => {
-                lowest(&tier, rng, |index| self.reported_share(&candidates[index].target))
-            }
-            Policy::RoundRobin => self.next_turn(service, &tier),
+            Policy::Random => indices[rng.random_range(0..indices.len())],
+            Policy::ReportedLoad => lowest_cost(&indices, rng, |index| {
+                self.reported_utilization(&candidates[index].target)
+            }),
+            Policy::RoundRobin => self.next_round_robin(service, &indices),
             Policy::TwoChoices => {
-                let two = [0; 2].map(|_| tier[rng.random_range(0..tier.len())]);
-                lowest(&two, rng, |index| self.cost(&candidates[index], Weighing::Latency, now))
+                let pair = [0; 2].map(|_| indices[rng.random_range(0..indices.len())]);
+                lowest_cost(&pair, rng, |index| {
+                    self.cost(&candidates[index], Weighing::Latency, now)
+                })
             }
             Policy::Weighed(weighing) => {
-                let sample = sample(tier, rng);
-                lowest(&sample, rng, |index| self.cost(&candidates[index], weighing, now))
+                let sampled = random_sample(indices, rng);
+                lowest_cost(&sampled, rng, |index| self.cost(&candidates[index], weighing, now))
             }
         };
-        check_room(&candidates[index]);
+        check_has_room(&candidates[index]);
         Some(index)
     }
 
-    /// A request was sent to `target`.
+    /// Records that a request was sent to `target`.
     pub fn record_start(&mut self, target: &TargetId, now: Moment) {
-        self.health(target, now).started();
+        self.health(target, now).record_start();
     }
 
-    /// A request to `target` ended after `latency`.
+    /// Records that a request to `target` ended after `latency`.
     pub fn record_end(
         &mut self,
         target: &TargetId,
@@ -107,48 +109,49 @@
         latency: Duration,
         now: Moment,
     ) {
-        let eject = self.health(target, now).ended(signal, latency, now) && self.rules.eject;
+        let eject = self.health(target, now).record_end(signal, latency, now) && self.options.eject;
         if eject && self.ejected.insert(target.clone()) {
             self.changes.push(EjectionChange::Ejected(target.clone()));
         }
     }
 
-    /// A load report of `target` came in.
+    /// Records a load report from `target`.
     pub fn record_report(&mut self, target: &TargetId, report: LoadReport, now: Moment) {
         self.health(target, now).report(report, now);
     }
 
-    /// Requests that may run on `target` at a time: from 1 when cold to `slots`, 0 when draining.
+    /// Number of requests that may run on `target` at the same time: from 1 if it is cold up to
+    /// `slots`; 0 if it is draining.
     pub fn concurrency_limit(&self, target: &TargetId, slots: u32, now: Moment) -> u32 {
         match self.targets.get(target) {
-            Some(health) => health.limit(slots, self.rules, now),
-            None if self.rules.ramp => slots.min(1),
+            Some(health) => health.limit(slots, self.options, now),
+            None if self.options.ramp => slots.min(1),
             None => slots,
         }
     }
 
-    /// Whether the target itself said that it retires.
+    /// Whether the target reports that it is draining.
     pub fn is_draining(&self, target: &TargetId) -> bool {
         self.targets.get(target).is_some_and(Health::is_draining)
     }
 
-    /// Whether the target is out because of its failures.
+    /// Whether the target is ejected because of its failures.
     pub fn is_ejected(&self, target: &TargetId, now: Moment) -> bool {
-        self.rules.eject && self.targets.get(target).is_some_and(|health| health.is_ejected(now))
+        self.options.eject && self.targets.get(target).is_some_and(|health| health.is_ejected(now))
     }
 
-    /// Mean latency of the target's whole answers.
+    /// Mean latency of the target as of its last sample, without decay.
     pub fn mean_latency(&self, target: &TargetId) -> Option<Duration> {
         self.targets.get(target)?.measured_latency()
     }
 
-    /// Forgets targets that are no longer in the manifest.
+    /// Removes the targets for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(&TargetId) -> bool) {
         self.targets.retain(|target, _| is_known(target));
         self.ejected.retain(|target| is_known(target));
     }
 
-    /// Ejections and returns since the last call.
+    /// Ejections and readmissions since the last call.
     pub fn take_changes(&mut self) -> Vec<EjectionChange> {
         std::mem::take(&mut self.changes)
     }
@@ -160,48 +163,50 @@
         self.targets.get_mut(target).expect("inserted above if it was missing")
     }
 
-    fn readmit(&mut self, now: Moment) {
-        let is_over = |target: &TargetId| {
+    fn readmit_targets(&mut self, now: Moment) {
+        let is_expired = |target: &TargetId| {
             let health = self.targets.get(target);
             health.and_then(Health::ejected_until).is_none_or(|until| until <= now)
         };
-        let over: Vec<TargetId> =
-            self.ejected.iter().filter(|target| is_over(target)).cloned().collect();
-        for target in over {
+        let expired: Vec<TargetId> =
+            self.ejected.iter().filter(|target| is_expired(target)).cloned().collect();
+        for target in expired {
             self.ejected.remove(&target);
-            if self.targets.get_mut(&target).is_some_and(|health| health.try_return(now)) {
+            if self.targets.get_mut(&target).is_some_and(|health| health.try_readmit(now)) {
                 self.changes.push(EjectionChange::Returned(target));
             }
         }
     }
 
-    /// Indices of the candidates with room, in the nearest tier that has any and up to `reach`.
-    fn nearest(&self, candidates: &[Candidate], reach: Tier) -> Vec<usize> {
-        let is_sound = |candidate: &Candidate| {
+    /// Indices of the candidates with room: those in the nearest tier that has any, and in further
+    /// tiers up to `max_tier`.
+    fn usable_candidates(&self, candidates: &[Candidate], max_tier: Tier) -> Vec<usize> {
+        let is_healthy = |candidate: &Candidate| {
             candidate.limit != 0
                 && (self.ejected.is_empty() || !self.ejected.contains(&candidate.target))
         };
-        let any_sound = candidates.iter().any(is_sound);
+        let any_healthy = candidates.iter().any(is_healthy);
         let usable =
-            |candidate: &Candidate| candidate.has_room() && (!any_sound || is_sound(candidate));
-        let nearest = candidates
+            |candidate: &Candidate| candidate.has_room() && (!any_healthy || is_healthy(candidate));
+        let nearest_tier = candidates
             .iter()
             .filter(|candidate| usable(candidate))
             .map(|candidate| candidate.tier)
             .min();
         let in_tier = |index: &usize| {
             let candidate = &candidates[*index];
-            let near = nearest.is_some_and(|nearest| candidate.tier <= nearest.max(reach));
-            near && usable(candidate)
+            let is_in_reach = nearest_tier
+                .is_some_and(|nearest_tier| candidate.tier <= nearest_tier.max(max_tier));
+            is_in_reach && usable(candidate)
         };
         (0..candidates.len()).filter(in_tier).collect()
     }
 
-    fn reported_share(&self, target: &TargetId) -> f64 {
-        self.targets.get(target).map_or(0.5, Health::reported_share)
+    fn reported_utilization(&self, target: &TargetId) -> f64 {
+        self.targets.get(target).map_or(0.5, Health::reported_utilization)
     }
 
-    /// Expected cost of one more request; lower is better.
+    /// Relative cost of one more request.
     fn cost(&self, candidate: &Candidate, weighing: Weighing, now: Moment) -> f64 {
         let load = f64::from(candidate.in_flight + 1) / f64::from(candidate.limit.max(1));
         let Some(health) = self.targets.get(&candidate.target) else { return load };
@@ -209,23 +214,25 @@
             Weighing::Headroom => health.latency(now).sqrt(),
             Weighing::Latency => health.latency(now),
         };
-        let way = if candidate.tier == Tier::Zone { 1.0 } else { FAR_FACTOR };
-        load * way * latency * (1.0 + health.refusals(now)) / health.trust(now)
+        let distance_factor =
+            if candidate.tier == Tier::Zone { 1.0 } else { CROSS_ZONE_COST_FACTOR };
+        load * distance_factor * latency * (1.0 + health.recent_sheds(now))
+            / health.report_trust(now)
     }
 
-    fn next_turn(&mut self, service: &ServiceId, tier: &[usize]) -> usize {
-        let turn = self.turns.entry(service.clone()).or_default();
-        *turn = turn.wrapping_add(1);
-        tier[*turn % tier.len()]
+    fn next_round_robin(&mut self, service: &ServiceId, indices: &[usize]) -> usize {
+        let position = self.round_robin_positions.entry(service.clone()).or_default();
+        *position = position.wrapping_add(1);
+        indices[*position % indices.len()]
     }
 }
 
-pub(super) fn check_room(chosen: &Candidate) {
+pub(super) fn check_has_room(chosen: &Candidate) {
     invariant::hold(chosen.has_room(), "selection-has-room", || format!("{chosen:?}"));
 }
 
-/// The index of least cost; ties fall evenly.
-fn lowest(indices: &[usize], rng: &mut impl Rng, cost: impl Fn(usize) -> f64) -> usize {
+/// The index with the lowest cost; ties are broken at random.
+fn lowest_cost(indices: &[usize], rng: &mut impl Rng, cost: impl Fn(usize) -> f64) -> usize {
     let mut best = indices[0];
     let mut best_cost = cost(best);
     let mut ties = 1_u32;
@@ -243,9 +250,9 @@
     best
 }
 
-fn sample(tier: Vec<usize>, rng: &mut impl Rng) -> Vec<usize> {
-    if tier.len() <= SAMPLE {
-        return tier;
+fn random_sample(indices: Vec<usize>, rng: &mut impl Rng) -> Vec<usize> {
+    if indices.len() <= MAX_COMPARED {
+        return indices;
     }
-    (0..SAMPLE).map(|_| tier[rng.random_range(0..tier.len())]).collect()
+    (0..MAX_COMPARED).map(|_| indices[rng.random_range(0..indices.len())]).collect()
 }
--- a/src/selection/signal.rs
+++ b/src/selection/signal.rs
@@ -1,28 +1,28 @@
-//! What the selector learns about targets.
+//! Inputs to the health of a target.
 
 use crate::prelude::*;
 
-/// How a dispatched request ended, as far as the target's condition goes.
+/// How a dispatched request ended, as far as it affects the target's health.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HealthSignal {
-    /// It was given up before it ended, through no fault of the target.
+    /// Cancelled before it ended, through no fault of the target.
     Cancelled,
-    /// No whole answer: connection lost, timeout, broken answer.
+    /// No complete answer: connection lost, timeout or broken answer.
     Failed,
-    /// The target refused it for want of capacity.
+    /// Refused by the target for lack of capacity.
     Shed,
-    /// A whole answer.
+    /// Answered completely.
     Succeeded,
 }
 
-/// What a target's load endpoint said.
+/// Response of a target's load endpoint.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Slots in use.
     pub busy: u32,
-    /// The target retires: no new work.
+    /// The target is shutting down and takes no new requests.
     pub draining: bool,
-    /// Slots that it has in all; 0 when it does not say.
+    /// Total number of slots; 0 if the target does not report it.
     pub slots: u32,
 }
--- a/src/shift/options.rs
+++ b/src/shift/options.rs
@@ -1,15 +1,15 @@
-//! Safeguards that measurements and tests turn off one by one.
+//! Safeguards that measurements and tests can disable one by one.
 
 use crate::prelude::*;
 
-/// Which safeguards of the shift caps are on.
+/// Which safeguards of the shift limiter are enabled.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ShiftOptions {
-    /// Shifts stay under the cap.
+    /// Enforces the caps.
     pub caps: bool,
-    /// A ramp that backed off waits, longer each time.
+    /// Pauses the ramp after it has backed off, longer each time.
     pub pause: bool,
-    /// Shifts start small and grow.
+    /// Increases shifts gradually.
     pub ramp: bool,
 }
 
--- a/src/shift/sliding_window.rs
+++ b/src/shift/sliding_window.rs
@@ -1,27 +1,25 @@
-//! Counts over a sliding window.
+//! Request counts over a sliding window.
 
 use crate::prelude::*;
 
-/// Buckets of a window.
 const BUCKETS: usize = 50;
-/// Length of a bucket.
-const STEP: Duration = Duration::from_millis(200);
-/// Length of the window.
+const BUCKET_LENGTH: Duration = Duration::from_millis(200);
 pub(super) const WINDOW: Duration = Duration::from_secs(10);
 
-/// Requests of the last ten seconds: all, and those that were shifted or refused a shift.
+/// Requests of the last ten seconds: all of them, and those that were shifted, served directly or
+/// refused.
 #[derive(Clone, Debug)]
 pub(super) struct SlidingWindow {
     buckets: [Bucket; BUCKETS],
-    since: Moment,
+    started_at: Moment,
     sums: Bucket,
     /// Number of the newest bucket.
-    tick: u64,
+    bucket_number: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Bucket {
-    /// Served here for callers whose own hosts are gone.
+    /// Served here for callers whose home hosts are gone.
     pub(super) direct: u32,
     pub(super) refused: u32,
     pub(super) shifted: u32,
@@ -32,30 +30,31 @@
     pub(super) fn new(now: Moment) -> Self {
         Self {
             buckets: [Bucket::default(); BUCKETS],
-            since: now,
+            started_at: now,
             sums: Bucket::default(),
-            tick: tick(now),
+            bucket_number: bucket_number(now),
         }
     }
 
-    /// Changes the newest bucket.
-    pub(super) fn change(&mut self, now: Moment, change: impl Fn(&mut Bucket)) {
-        self.roll(now);
-        change(&mut self.buckets[(self.tick % BUCKETS as u64) as usize]);
-        change(&mut self.sums);
+    /// Applies `add` to the newest bucket and to the sums.
+    pub(super) fn update(&mut self, now: Moment, add: impl Fn(&mut Bucket)) {
+        self.advance(now);
+        add(&mut self.buckets[(self.bucket_number % BUCKETS as u64) as usize]);
+        add(&mut self.sums);
     }
 
-    /// Takes one from the newest bucket that counts any in `field`; false when none does.
-    pub(super) fn take_back(
+    /// Subtracts one from `field` of the newest bucket in which it is not 0. Returns false if it is
+    /// 0 in all buckets.
+    pub(super) fn decrement(
         &mut self,
         now: Moment,
         field: impl Fn(&mut Bucket) -> &mut u32,
     ) -> bool {
-        self.roll(now);
-        let newest = self.tick;
+        self.advance(now);
+        let newest = self.bucket_number;
         let oldest = newest.saturating_sub(BUCKETS as u64 - 1);
-        for tick in (oldest..=newest).rev() {
-            let count = field(&mut self.buckets[(tick % BUCKETS as u64) as usize]);
+        for bucket_number in (oldest..=newest).rev() {
+            let count = field(&mut self.buckets[(bucket_number % BUCKETS as u64) as usize]);
             if *count != 0 {
                 *count -= 1;
                 *field(&mut self.sums) -= 1;
@@ -65,38 +64,40 @@
         false
     }
 
-    /// Sums over the window that ends now.
+    /// Sums over the window that ends at `now`.
     pub(super) fn sums(&mut self, now: Moment) -> Bucket {
-        self.roll(now);
+        self.advance(now);
         self.sums
     }
 
-    /// Sums over the window that ends now, without moving it.
-    pub(super) fn peek(&self, now: Moment) -> Bucket {
+    /// Sums over the window that ends at `now`, without advancing it.
+    pub(super) fn sums_at(&self, now: Moment) -> Bucket {
         let mut copy = self.clone();
-        copy.roll(now);
+        copy.advance(now);
         copy.sums
     }
 
-    /// How much time the sums cover; a young window has seen less than a window.
+    /// The time that the sums cover: less than `WINDOW` until that much time has passed, and at
+    /// least a second.
     pub(super) fn span(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.since).clamp(Duration::from_secs(1), WINDOW)
+        now.saturating_sub(self.started_at).clamp(Duration::from_secs(1), WINDOW)
     }
 
-    fn roll(&mut self, now: Moment) {
-        let newest = tick(now);
-        if newest <= self.tick {
+    fn advance(&mut self, now: Moment) {
+        let newest = bucket_number(now);
+        if newest <= self.bucket_number {
             return;
         }
-        if BUCKETS as u64 <= newest - self.tick {
+        if BUCKETS as u64 <= newest - self.bucket_number {
             self.buckets = [Bucket::default(); BUCKETS];
             self.sums = Bucket::default();
-            self.tick = newest;
+            self.bucket_number = newest;
             return;
         }
-        while self.tick < newest {
-            self.tick += 1;
-            let old = std::mem::take(&mut self.buckets[(self.tick % BUCKETS as u64) as usize]);
+        while self.bucket_number < newest {
+            self.bucket_number += 1;
+            let old =
+                std::mem::take(&mut self.buckets[(self.bucket_number % BUCKETS as u64) as usize]);
             self.sums.direct -= old.direct;
             self.sums.refused -= old.refused;
             self.sums.shifted -= old.shifted;
@@ -105,6 +106,6 @@
     }
 }
 
-fn tick(now: Moment) -> u64 {
-    (now.as_millis() / STEP.as_millis()) as u64
+fn bucket_number(now: Moment) -> u64 {
+    (now.as_millis() / BUCKET_LENGTH.as_millis()) as u64
 }
