--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -9,8 +9,8 @@
 use crate::{
     base::BootClock,
     manifest::{
-        ASSUMED_LOAD, AcceptError, Accepted, Change, InForce, Loads, Manifest, Proposal, accept,
-        preview,
+        AcceptError, AcceptOutcome, DEFAULT_LOAD, LoadShares, Manifest, ManifestDiff, Proposal,
+        RolloutStatus, accept, preview,
     },
     operator::HostStatus,
     peer::PeerClient,
@@ -57,7 +57,7 @@
     #[arg(long, value_name = "SECONDS", default_value_t = 30)]
     timeout: u64,
     /// Share of a region's slots taken as busy when the change is held against the limits.
-    #[arg(long, value_name = "SHARE", default_value_t = ASSUMED_LOAD)]
+    #[arg(long, value_name = "SHARE", default_value_t = DEFAULT_LOAD)]
     load: f64,
     /// Print the outcome as JSON.
     #[arg(long)]
@@ -67,9 +67,9 @@
 /// The outcome, for programs.
 #[derive(Serialize)]
 struct Outcome {
-    change: Option<Change>,
+    change: Option<ManifestDiff>,
     error: Option<String>,
-    in_force: Option<InForce>,
+    in_force: Option<RolloutStatus>,
     /// `accepted`, `dry-run`, `refused`, `same` or `superseded`.
     result: &'static str,
     sequence: Sequence,
@@ -98,14 +98,14 @@
     }
     let clock = Arc::new(BootClock);
     let platform = HttpPlatform::open_with(args.platform, Limits::OPERATOR, clock)?;
-    let loads = Loads::all(args.load);
+    let loads = LoadShares::uniform(args.load);
     if args.dry_run {
         return dry_run(args, &platform, &proposal, &key, &loads, &manifest).await;
     }
     let (result, change) = match accept(&platform, &proposal, &key, &loads).await {
-        Ok(Accepted::Now { change, .. }) => ("accepted", Some(change)),
-        Ok(Accepted::Same) => ("same", None),
-        Ok(Accepted::Superseded { .. }) => ("superseded", None),
+        Ok(AcceptOutcome::Accepted { change, .. }) => ("accepted", Some(change)),
+        Ok(AcceptOutcome::Unchanged) => ("same", None),
+        Ok(AcceptOutcome::Superseded { .. }) => ("superseded", None),
         Err(err) => return refuse(args, manifest.sequence, err),
     };
     let mut outcome =
@@ -113,7 +113,7 @@
     let mut exit = Exit::Done;
     if args.wait {
         let in_force = wait(args, &manifest).await?;
-        exit = if in_force.is_everywhere() { Exit::Done } else { Exit::Failed };
+        exit = if in_force.is_complete() { Exit::Done } else { Exit::Failed };
         outcome.in_force = Some(in_force);
     }
     print(args, &outcome)?;
@@ -141,11 +141,11 @@
     platform: &dyn Platform,
     proposal: &Proposal,
     key: &VerifyingKey,
-    loads: &Loads,
+    loads: &LoadShares,
     manifest: &Manifest,
 ) -> Result {
     let change = match preview(platform, proposal, key, loads).await {
-        Ok(change) | Err(AcceptError::Breaks(change)) => change,
+        Ok(change) | Err(AcceptError::LimitsExceeded(change)) => change,
         Err(err) => return refuse(args, manifest.sequence, err),
     };
     let exit = if change.breaches.is_empty() { Exit::Done } else { Exit::Failed };
@@ -162,7 +162,7 @@
 
 fn refuse(args: &Args, sequence: Sequence, err: AcceptError) -> Result {
     let error = err.to_string();
-    let change = if let AcceptError::Breaks(change) = err { Some(change) } else { None };
+    let change = if let AcceptError::LimitsExceeded(change) = err { Some(change) } else { None };
     if args.json {
         let error = Some(error);
         output::json(&Outcome { change, error, in_force: None, result: "refused", sequence })?;
@@ -173,9 +173,9 @@
 }
 
 /// Asks every host that `--host` knows which manifest it has in force, until all have this one.
-async fn wait(args: &Args, manifest: &Manifest) -> Result<InForce> {
+async fn wait(args: &Args, manifest: &Manifest) -> Result<RolloutStatus> {
     let first = args.host.ok_or_else(|| eyre!("--wait needs --host"))?;
-    let client = PeerClient::open(
+    let client = PeerClient::new(
         connect::operator_token(args.token_file.as_deref())?,
         manifest.member.clone(),
     );
@@ -183,15 +183,15 @@
     loop {
         let in_force = look(&client, first, manifest).await;
         let is_late = Duration::from_secs(args.timeout) <= begun.elapsed();
-        if in_force.is_everywhere() || is_late {
+        if in_force.is_complete() || is_late {
             return Ok(in_force);
         }
         tokio::time::sleep(LOOK_EVERY).await;
     }
 }
 
-async fn look(client: &PeerClient, first: SocketAddr, manifest: &Manifest) -> InForce {
-    let mut in_force = InForce::new(manifest);
+async fn look(client: &PeerClient, first: SocketAddr, manifest: &Manifest) -> RolloutStatus {
+    let mut in_force = RolloutStatus::new(manifest);
     let Ok(status) = client.status(first).await else { return in_force };
     let asked = status.hosts.iter().map(|host| async move {
         let answer: Option<HostStatus> = client.own_status(host.rpc).await.ok();
--- a/src/cmd/connect.rs
+++ b/src/cmd/connect.rs
@@ -29,7 +29,7 @@
 impl Connect {
     /// A client with the operators' token.
     pub fn client(&self) -> Result<PeerClient> {
-        Ok(PeerClient::open(operator_token(self.token_file.as_deref())?, self.member.clone()))
+        Ok(PeerClient::new(operator_token(self.token_file.as_deref())?, self.member.clone()))
     }
 
     /// Asks the given hosts one after the other, until one answers.
--- a/src/cmd/run.rs
+++ b/src/cmd/run.rs
@@ -49,7 +49,7 @@
     let daemon = Daemon::spawn(DaemonParts {
         clock: Arc::new(BootClock),
         limits: RouterLimits::default(),
-        link: Arc::new(PeerClient::open(peer_key.clone(), member)),
+        link: Arc::new(PeerClient::new(peer_key.clone(), member)),
         operator_token: settings.operator_token()?,
         peer_key,
         peers: Arc::new(HttpUpstream::open(ForwardLimits::default())?),
--- a/src/cmd/sign.rs
+++ b/src/cmd/sign.rs
@@ -6,7 +6,7 @@
 
 use super::{Exit, Result, key, output};
 use crate::{
-    manifest::{ClientBlock, Proposal, SignError, parse_blocks, sign_split},
+    manifest::{ClientBlock, Proposal, SignError, parse_blocks, sign_with_blocks},
     yaml::{self, MAX_FILE, Problem},
 };
 
@@ -45,7 +45,7 @@
         Ok(blocks) => blocks.unwrap_or_default(),
         Err(problem) => return bad_input(&problem),
     };
-    let (signed, parts) = match sign_split(&text, &blocks, &signing) {
+    let (signed, parts) = match sign_with_blocks(&text, &blocks, &signing) {
         Ok(signed) => signed,
         Err(SignError::Problems(problems)) => {
             for problem in problems {
@@ -56,7 +56,7 @@
         Err(err) => return bad_input(&format!("{file}: {err}")),
     };
     let out = args.out.clone().unwrap_or_else(|| PathBuf::from(format!("{file}.signed")));
-    let manifest = signed.verify_own(&signing.verifying_key())?;
+    let manifest = signed.verify_any_member(&signing.verifying_key())?;
     let proposal = Proposal { member: manifest.member, parts, signed };
     std::fs::write(&out, serde_json::to_vec(&proposal)?)
         .wrap_err_with(|| format!("{} can't be written", out.display()))?;
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -100,7 +100,7 @@
         }
     };
     let member = args.wanted.member.clone().unwrap_or_default();
-    let client = PeerClient::open(token, member);
+    let client = PeerClient::new(token, member);
     block_on(from_hosts(&args, client))
 }
 
--- a/src/daemon/control/actor.rs
+++ b/src/daemon/control/actor.rs
@@ -11,7 +11,7 @@
     daemon::{PeerLink, traffic::Traffic},
     drain::{DrainSet, ProgressTracker},
     ledger::SealedPart,
-    manifest::Store,
+    manifest::ManifestStore,
     membership::{Baselines, Membership, MembershipEvent},
     prelude::*,
     store::Platform,
@@ -34,7 +34,7 @@
     pub rng: ChaCha8Rng,
     /// RPC addresses to start from.
     pub seeds: Vec<SocketAddr>,
-    pub store: Store,
+    pub store: ManifestStore,
     pub traffic: Arc<Traffic>,
 }
 
--- a/src/daemon/control/manifest.rs
+++ b/src/daemon/control/manifest.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     lookup::owner_of,
-    manifest::{Head, HeardHead, Offer, Part, SignedManifest, fetch_parts},
+    manifest::{CachedHead, Head, OfferOutcome, Part, SignedManifest, fetch_parts},
     membership::Digest,
     peer::{ManifestReply, PartReply, PartRequest},
     prelude::*,
@@ -177,18 +177,18 @@
             self.parts.store.add_part(part);
         }
         match self.parts.store.offer(offered.signed.clone()) {
-            Offer::Missing(ids) => {
+            OfferOutcome::Missing(ids) => {
                 self.fetch_parts_for(cx.mailbox().address(), ids, offered.from, offered.signed);
             }
-            Offer::Newer(manifest) => {
+            OfferOutcome::Newer(manifest) => {
                 log::info!("manifest {} is in force", manifest.sequence);
                 self.tell_notes();
                 self.publish();
                 // Told on at once: with the next heartbeats alone, each hop would add up to a second.
                 self.exchange(cx.mailbox().address());
             }
-            Offer::Older | Offer::Same => {}
-            Offer::Refused(reason) => {
+            OfferOutcome::Older | OfferOutcome::Same => {}
+            OfferOutcome::Refused(reason) => {
                 log::warn!("manifest refused: {reason}");
                 let sequence = self.parts.store.sequence().unwrap_or_default();
                 let reason = reason.to_string().into();
@@ -232,7 +232,7 @@
 ) {
     let key = Head::key(&member);
     let mut version: Option<Version> = None;
-    let mut head: Option<HeardHead> = None;
+    let mut head: Option<CachedHead> = None;
     let mut idle = 0;
     while !stop.load(Ordering::Relaxed) {
         let relay = control.send(IsRelay).await.unwrap_or_default();
@@ -269,7 +269,7 @@
     control: &Address<Control>,
     platform: &dyn Platform,
     key: &str,
-    head: &mut Option<HeardHead>,
+    head: &mut Option<CachedHead>,
 ) -> crate::store::Result<Version> {
     let listing = platform.list(key).await?;
     for entry in listing.entries.iter().filter(|entry| &*entry.key == key) {
@@ -284,13 +284,13 @@
     platform: &dyn Platform,
     key: &str,
     from: Version,
-    head: &mut Option<HeardHead>,
+    head: &mut Option<CachedHead>,
 ) -> crate::store::Result<Version> {
     let Some(heard) = head.as_ref() else { return read(control, platform, key, head).await };
     let keys = platform.keys(key).await?;
     let object = keys.iter().find(|found| &*found.key == key).map(|found| found.version);
     let in_force = control.send(AskManifest).await.ok().and_then(|reply| reply.signed);
-    if heard.is_settled(object, in_force.as_ref()) {
+    if heard.is_current(object, in_force.as_ref()) {
         return Ok(from);
     }
     read(control, platform, key, head).await
@@ -301,7 +301,7 @@
     platform: &dyn Platform,
     key: &str,
     from: Version,
-    head: &mut Option<HeardHead>,
+    head: &mut Option<CachedHead>,
 ) -> crate::store::Result<Version> {
     let changes = platform.watch(key, from, WATCH).await?;
     for change in changes.changes.iter().filter(|change| &*change.key == key) {
@@ -312,7 +312,7 @@
     Ok(changes.version)
 }
 
-async fn offer(control: &Address<Control>, object: &Versioned) -> Option<HeardHead> {
+async fn offer(control: &Address<Control>, object: &Versioned) -> Option<CachedHead> {
     let Some(head) = Head::decode(&object.value) else {
         log::warn!("the member's object on the platform is no manifest");
         return None;
@@ -321,5 +321,5 @@
     let offered = Offered { from: Source::Platform, parts: Vec::new(), signed: head.signed };
     // A failed send means that the host is stopping.
     let _ = control.send(offered).await;
-    Some(HeardHead { signed, version: object.version })
+    Some(CachedHead { signed, version: object.version })
 }
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -19,7 +19,7 @@
     ingress::{self, BodyMemory},
     ledger::SealedLedger,
     metrics::{self, MeteredSink},
-    peer::{HandoverChunk, PeerKeys, PeerServer},
+    peer::{HandoverChunk, PeerCredentials, PeerServer},
     prelude::*,
     routing::{Event, RouterLimits},
     settings::{Secret, Settings},
@@ -139,7 +139,7 @@
         let listener = listener.await.map_err(|_| Error::Stopped)??;
         let http = listener.local_addr().map_err(Error::Runtime)?;
         let handler = Arc::new(ControlHandler::default());
-        let keys = PeerKeys {
+        let keys = PeerCredentials {
             member: parts.settings.member.clone(),
             operator: parts.operator_token.clone(),
             peer: parts.peer_key.clone(),
--- a/src/daemon/order.rs
+++ b/src/daemon/order.rs
@@ -64,7 +64,7 @@
     ) -> crate::forward::Result<Reply> {
         let view = self.view();
         let service = view.as_ref().and_then(|view| view.manifest.service(&order.incoming.service));
-        let repeatable = service.is_some_and(|service| service.kind.is_repeatable());
+        let repeatable = service.is_some_and(|service| service.kind.is_idempotent());
         let streams = service.is_some_and(|service| service.kind == ServiceKind::File);
         let attempt = Attempt {
             address: order.address,
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     forward::Upstream,
-    manifest::Store,
+    manifest::ManifestStore,
     membership::{Membership, MembershipLimits},
     metrics::{Metric, Metrics, Tags},
     prelude::*,
@@ -89,7 +89,7 @@
         recorder: recorder.clone(),
         rng,
         seeds: parts.settings.peers.clone(),
-        store: Store::open(parts.settings.member.clone(), key),
+        store: ManifestStore::new(parts.settings.member.clone(), key),
         traffic: traffic.clone(),
     }))
 }
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -167,7 +167,7 @@
     ) -> ErrorKind {
         let view = self.view();
         let known = view.as_ref().and_then(|view| view.manifest.service(service));
-        let repeatable = known.is_some_and(|service| service.kind.is_repeatable());
+        let repeatable = known.is_some_and(|service| service.kind.is_idempotent());
         let booking = !repeatable && may_have_run(headers, &self.parts.peer_key);
         if booking { error.before_ledger() } else { error }
     }
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -124,7 +124,7 @@
         let peers = seats.iter().filter_map(|seat| Some(seat.daemon.as_ref()?.rpc_addr()));
         let settings = self.settings(name, place, peers.take(4).collect());
         drop(seats);
-        let link = PeerClient::open(self.peer_key.clone(), self.plan.name.into());
+        let link = PeerClient::new(self.peer_key.clone(), self.plan.name.into());
         let upstream = || HttpUpstream::open(ForwardLimits::default());
         let platform = HttpPlatform::open(self.platform)?;
         let daemon = Daemon::spawn(DaemonParts {
@@ -174,7 +174,7 @@
 
     /// A client with the operators' token.
     pub fn operator(&self) -> PeerClient {
-        PeerClient::open(self.operator_token.clone(), self.plan.name.into())
+        PeerClient::new(self.operator_token.clone(), self.plan.name.into())
     }
 
     fn settings(&self, name: &HostId, place: &Place, peers: Vec<SocketAddr>) -> Settings {
--- a/src/demo/events.rs
+++ b/src/demo/events.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     drain::DrainId,
-    manifest::{ASSUMED_LOAD, DrainScope, Loads, Proposal, accept},
+    manifest::{DEFAULT_LOAD, DrainScope, LoadShares, Proposal, accept},
     peer::DrainOrder,
     prelude::*,
     standin::{
@@ -96,8 +96,13 @@
         let proposal =
             Proposal { member: self.cluster.plan.name.into(), parts: Vec::new(), signed };
         let key = self.cluster.verifying_key();
-        accept(&platform, &proposal, &key, &Loads { known: Vec::new(), otherwise: ASSUMED_LOAD })
-            .await?;
+        accept(
+            &platform,
+            &proposal,
+            &key,
+            &LoadShares { entries: Vec::new(), default: DEFAULT_LOAD },
+        )
+        .await?;
         let accepted = AcceptedAt { at: Instant::now(), sequence: manifest.sequence };
         self.watch.lock().await.accepted.push(accepted);
         Ok(())
--- a/src/manifest/accept.rs
+++ b/src/manifest/accept.rs
@@ -3,8 +3,8 @@
 use ed25519_dalek::VerifyingKey;
 
 use super::{
-    Acceptance, Change, Head, Loads, Manifest, Part, PartId, Reason, SignedManifest, diff_at,
-    fetch::fetch_parts,
+    Acceptance, Head, LoadShares, Manifest, ManifestDiff, ManifestError, Part, PartId,
+    SignedManifest, diff_with_loads, fetch::fetch_parts,
 };
 use crate::{
     prelude::*,
@@ -29,11 +29,11 @@
 
 /// How an attempt ended well.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Accepted {
+pub enum AcceptOutcome {
     /// It is the accepted one now.
-    Now { change: Change, version: Version },
+    Accepted { change: ManifestDiff, version: Version },
     /// It was the accepted one already: nothing was changed.
-    Same,
+    Unchanged,
     /// It was accepted, and a later one has replaced it since.
     Superseded { by: Sequence },
 }
@@ -42,25 +42,25 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum AcceptError {
     #[error("it would break {} limits: {}", .0.breaches.len(), breaches(.0))]
-    Breaks(Change),
+    LimitsExceeded(ManifestDiff),
     #[error(
-        "another pipeline was faster: sequence {held} is accepted now; build on it and try again"
+        "another pipeline was faster: sequence {accepted} is accepted now; build on it and try again"
     )]
-    Conflict { held: Sequence },
-    #[error("sequence {held} is accepted already; give this one a higher sequence")]
-    Older { held: Sequence },
+    Conflict { accepted: Sequence },
+    #[error("sequence {accepted} is accepted already; give this one a higher sequence")]
+    Older { accepted: Sequence },
     #[error(transparent)]
     Platform(#[from] PlatformError),
     #[error(transparent)]
-    Refused(#[from] Reason),
+    Refused(#[from] ManifestError),
     #[error("the manifest is larger than one object; give its client blocks with `sign --blocks`")]
     TooLarge,
     #[error("no answer came and it can't be told whether it was accepted; apply it again")]
-    Unsettled,
+    OutcomeUnknown,
 }
 
 /// The accepted manifest, as found on the platform.
-struct Held {
+struct AcceptedState {
     head: Option<Head>,
     manifest: Option<Manifest>,
     object: Option<Versioned>,
@@ -71,14 +71,14 @@
     platform: &dyn Platform,
     proposal: &Proposal,
     key: &VerifyingKey,
-    loads: &Loads,
-) -> Result<Accepted> {
+    loads: &LoadShares,
+) -> Result<AcceptOutcome> {
     let manifest = verified(proposal, key)?;
-    let held = held(platform, &proposal.member, key).await?;
+    let held = read_accepted(platform, &proposal.member, key).await?;
     if is_same(&held, &proposal.signed) {
-        return Ok(Accepted::Same);
+        return Ok(AcceptOutcome::Unchanged);
     }
-    let change = judge(&held, &manifest, loads)?;
+    let change = check_change(&held, &manifest, loads)?;
     let operation = new_operation();
     let done = Acceptance {
         digest: proposal.signed.digest(),
@@ -93,13 +93,15 @@
     match put_settled(platform, &head_key, expect, value, operation.clone()).await {
         Ok(Settled::Written(version)) => {
             // What is left over costs room only: a failure here is made good by the next one.
-            let _ = collect(platform, &proposal.member, &head, &held).await;
-            Ok(Accepted::Now { change, version })
+            let _ = delete_unused_parts(platform, &proposal.member, &head, &held).await;
+            Ok(AcceptOutcome::Accepted { change, version })
         }
         Ok(Settled::Conflict { current, uncertain }) => {
-            replaced(current, uncertain, &operation, &proposal.member, key)
+            resolve_conflict(current, uncertain, &operation, &proposal.member, key)
+        }
+        Err(PlatformError::Unavailable { maybe_done: true, .. }) => {
+            Err(AcceptError::OutcomeUnknown)
         }
-        Err(PlatformError::Unavailable { maybe_done: true, .. }) => Err(AcceptError::Unsettled),
         Err(err) => Err(err.into()),
     }
 }
@@ -109,14 +111,14 @@
     platform: &dyn Platform,
     proposal: &Proposal,
     key: &VerifyingKey,
-    loads: &Loads,
-) -> Result<Change> {
+    loads: &LoadShares,
+) -> Result<ManifestDiff> {
     let manifest = verified(proposal, key)?;
-    let held = held(platform, &proposal.member, key).await?;
+    let held = read_accepted(platform, &proposal.member, key).await?;
     if is_same(&held, &proposal.signed) {
-        return Ok(Change::default());
+        return Ok(ManifestDiff::default());
     }
-    judge(&held, &manifest, loads)
+    check_change(&held, &manifest, loads)
 }
 
 fn verified(proposal: &Proposal, key: &VerifyingKey) -> Result<Manifest> {
@@ -124,28 +126,32 @@
     Ok(proposal.signed.assemble(head, &proposal.parts)?)
 }
 
-fn is_same(held: &Held, signed: &SignedManifest) -> bool {
+fn is_same(held: &AcceptedState, signed: &SignedManifest) -> bool {
     let digest = held.head.as_ref().map(|head| head.signed.digest());
     held.manifest.is_some() && digest == Some(signed.digest())
 }
 
-fn judge(held: &Held, new: &Manifest, loads: &Loads) -> Result<Change> {
-    let Some(old) = &held.manifest else { return Ok(Change::default()) };
+fn check_change(held: &AcceptedState, new: &Manifest, loads: &LoadShares) -> Result<ManifestDiff> {
+    let Some(old) = &held.manifest else { return Ok(ManifestDiff::default()) };
     if new.sequence < old.sequence {
-        return Err(AcceptError::Older { held: old.sequence });
+        return Err(AcceptError::Older { accepted: old.sequence });
     }
     if new.sequence == old.sequence {
-        return Err(Reason::Conflict { sequence: old.sequence }.into());
+        return Err(ManifestError::Conflict { sequence: old.sequence }.into());
     }
-    let change = diff_at(old, new, loads);
-    if change.breaches.is_empty() { Ok(change) } else { Err(AcceptError::Breaks(change)) }
+    let change = diff_with_loads(old, new, loads);
+    if change.breaches.is_empty() { Ok(change) } else { Err(AcceptError::LimitsExceeded(change)) }
 }
 
 /// Reads the accepted manifest. What does not verify was not put there by the member's pipeline:
 /// it counts as absent, so that a rival's garbage can't keep the member from its own settings.
-async fn held(platform: &dyn Platform, member: &MemberId, key: &VerifyingKey) -> Result<Held> {
+async fn read_accepted(
+    platform: &dyn Platform,
+    member: &MemberId,
+    key: &VerifyingKey,
+) -> Result<AcceptedState> {
     let object = platform.get(&Head::key(member)).await?;
-    let mut held = Held { head: None, manifest: None, object };
+    let mut held = AcceptedState { head: None, manifest: None, object };
     let Some(head) = held.object.as_ref().and_then(|object| Head::decode(&object.value)) else {
         return Ok(held);
     };
@@ -159,8 +165,12 @@
 }
 
 /// Writes each part that the accepted head does not name, also one that is there already: the write
-/// raises its version, which keeps another pipeline's clean-up from removing it (see `collect`).
-async fn write_parts(platform: &dyn Platform, proposal: &Proposal, held: &Held) -> Result<()> {
+/// raises its version, which keeps another pipeline's clean-up from removing it (see `delete_unused_parts`).
+async fn write_parts(
+    platform: &dyn Platform,
+    proposal: &Proposal,
+    held: &AcceptedState,
+) -> Result<()> {
     let named = held.head.as_ref().map(|head| &head.signed.parts[..]).unwrap_or_default();
     for part in &proposal.parts {
         let key = Head::part_key(&proposal.member, &part.id());
@@ -175,7 +185,9 @@
             Settled::Written(_) => {}
             // The content is in the name: whoever wrote it, it is the same, or it is garbage.
             Settled::Conflict { current: Some(current), .. } if current.value == value => {}
-            Settled::Conflict { .. } => return Err(AcceptError::Refused(Reason::Parts)),
+            Settled::Conflict { .. } => {
+                return Err(AcceptError::Refused(ManifestError::PartsMismatch));
+            }
         }
     }
     Ok(())
@@ -188,11 +200,11 @@
 /// and wrote the parts after, so parts older than the replaced head belong to an attempt whose own
 /// conditional update can only fail. Readers of the replaced head still find its parts; readers of
 /// an older one find some missing and read the head again.
-async fn collect(
+async fn delete_unused_parts(
     platform: &dyn Platform,
     member: &MemberId,
     head: &Head,
-    replaced: &Held,
+    replaced: &AcceptedState,
 ) -> crate::store::Result<()> {
     let Some(before) = &replaced.object else { return Ok(()) };
     let kept = replaced.head.as_ref().map(|head| &head.signed.parts[..]).unwrap_or_default();
@@ -211,23 +223,23 @@
     Ok(())
 }
 
-fn replaced(
+fn resolve_conflict(
     current: Option<Versioned>,
     uncertain: bool,
     operation: &OperationId,
     member: &MemberId,
     key: &VerifyingKey,
-) -> Result<Accepted> {
+) -> Result<AcceptOutcome> {
     let head = current.and_then(|object| Head::decode(&object.value));
-    let Some(head) = head else { return Err(AcceptError::Unsettled) };
-    let held = head.signed.verify(member, key).map(|manifest| manifest.sequence).unwrap_or(0);
+    let Some(head) = head else { return Err(AcceptError::OutcomeUnknown) };
+    let accepted = head.signed.verify(member, key).map(|manifest| manifest.sequence).unwrap_or(0);
     if uncertain && head.has_accepted(operation) {
-        return Ok(Accepted::Superseded { by: held });
+        return Ok(AcceptOutcome::Superseded { by: accepted });
     }
-    Err(AcceptError::Conflict { held })
+    Err(AcceptError::Conflict { accepted })
 }
 
-fn breaches(change: &Change) -> String {
+fn breaches(change: &ManifestDiff) -> String {
     let breaches: Vec<String> = change.breaches.iter().map(ToString::to_string).collect();
     breaches.join("; ")
 }
--- a/src/manifest/change.rs
+++ b/src/manifest/change.rs
@@ -11,23 +11,23 @@
 use super::{DrainScope, Manifest, Service, Share};
 use crate::prelude::*;
 
-/// Load that is assumed where none is given, as a share of a region's slots.
-pub const ASSUMED_LOAD: Share = 0.5;
+/// LoadShare that is assumed where none is given, as a share of a region's slots.
+pub const DEFAULT_LOAD: Share = 0.5;
 
 /// Rounding must not turn a share that equals its cap into a breach.
 const TOLERANCE: f64 = 1e-9;
 
-/// Load of each region and service, as a share of its slots.
+/// LoadShare of each region and service, as a share of its slots.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Loads {
-    pub known: Vec<Load>,
+pub struct LoadShares {
+    pub entries: Vec<LoadShare>,
     /// Where none is known.
-    pub otherwise: Share,
+    pub default: Share,
 }
 
-/// Load of one service in one region.
+/// LoadShare of one service in one region.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Load {
+pub struct LoadShare {
     pub region: RegionId,
     pub service: ServiceId,
     pub share: Share,
@@ -35,7 +35,7 @@
 
 /// Share of a region's own traffic of a service that would be served elsewhere.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Move {
+pub struct TrafficMove {
     /// Share of the home's callers that become callers of another region.
     pub rehomed: Share,
     pub cap: Share,
@@ -61,21 +61,21 @@
 
 /// What a manifest would change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Change {
+pub struct ManifestDiff {
     pub breaches: Vec<Breach>,
-    pub moves: Vec<Move>,
+    pub moves: Vec<TrafficMove>,
     pub notes: Vec<Arc<str>>,
 }
 
-impl Loads {
+impl LoadShares {
     /// The same load everywhere.
-    pub fn all(share: Share) -> Self {
-        Self { known: Vec::new(), otherwise: share }
+    pub fn uniform(share: Share) -> Self {
+        Self { entries: Vec::new(), default: share }
     }
 
     fn of(&self, region: &str, service: &str) -> Share {
-        let matches = |load: &&Load| &*load.region == region && &*load.service == service;
-        self.known.iter().find(matches).map_or(self.otherwise, |load| load.share)
+        let matches = |load: &&LoadShare| &*load.region == region && &*load.service == service;
+        self.entries.iter().find(matches).map_or(self.default, |load| load.share)
     }
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-impl fmt::Display for Move {
+impl fmt::Display for TrafficMove {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -119,30 +119,30 @@
 }
 
 /// Compares two manifests at the assumed load.
-pub fn diff(old: &Manifest, new: &Manifest) -> Change {
-    diff_at(old, new, &Loads::all(ASSUMED_LOAD))
+pub fn diff(old: &Manifest, new: &Manifest) -> ManifestDiff {
+    diff_with_loads(old, new, &LoadShares::uniform(DEFAULT_LOAD))
 }
 
 /// Compares two manifests at the given loads.
-pub fn diff_at(old: &Manifest, new: &Manifest, loads: &Loads) -> Change {
-    let mut change = Change { notes: notes(old, new), ..Change::default() };
-    let rehomed = Rehomed::between(old, new);
+pub fn diff_with_loads(old: &Manifest, new: &Manifest, loads: &LoadShares) -> ManifestDiff {
+    let mut change = ManifestDiff { notes: notes(old, new), ..ManifestDiff::default() };
+    let rehomed = HomeChanges::between(old, new);
     for service in &new.services {
         if let Some(before) = old.service(&service.name) {
-            judge(&mut change, &Sides { loads, new, old, rehomed: &rehomed }, before, service);
+            judge(&mut change, &Comparison { loads, new, old, rehomed: &rehomed }, before, service);
         }
     }
     change
 }
 
-struct Sides<'a> {
-    loads: &'a Loads,
+struct Comparison<'a> {
+    loads: &'a LoadShares,
     new: &'a Manifest,
     old: &'a Manifest,
-    rehomed: &'a Rehomed,
+    rehomed: &'a HomeChanges,
 }
 
-fn judge(change: &mut Change, sides: &Sides<'_>, before: &Service, after: &Service) {
+fn judge(change: &mut ManifestDiff, sides: &Comparison<'_>, before: &Service, after: &Service) {
     let service = &after.name;
     let demands = sides.demands(before);
     let (mut moving, mut room) = (0.0, 0.0);
@@ -171,7 +171,7 @@
         if slots_before != slots_after || 0.0 < moved {
             let (cap, home) = (after.shift_cap, home.clone());
             let service = service.clone();
-            change.moves.push(Move {
+            change.moves.push(TrafficMove {
                 cap,
                 home,
                 moved,
@@ -198,7 +198,7 @@
     now: f64,
 }
 
-impl Sides<'_> {
+impl Comparison<'_> {
     fn demands(&self, before: &Service) -> BTreeMap<RegionId, Demand> {
         let mut demands = BTreeMap::new();
         for region in self.old.regions.iter().chain(&self.new.regions) {
@@ -220,7 +220,7 @@
 }
 
 /// Client blocks that changed their home region.
-struct Rehomed {
+struct HomeChanges {
     flows: Vec<Flow>,
 }
 
@@ -231,7 +231,7 @@
     to: RegionId,
 }
 
-impl Rehomed {
+impl HomeChanges {
     fn between(old: &Manifest, new: &Manifest) -> Self {
         let now: BTreeMap<IpNet, RegionId> =
             new.client_blocks.iter().map(|block| (block.block, block.home)).collect();
--- a/src/manifest/check.rs
+++ b/src/manifest/check.rs
@@ -13,7 +13,7 @@
 const MAX_TIMEOUT_MS: u64 = 10 * 60 * 1000;
 
 /// Largest request body that a service may allow, in bytes.
-const MAX_REQUEST_BODY: u64 = 64 * 1024 * 1024;
+const MAX_REQUEST_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
 /// Most slots or connections of one target.
 const MAX_PER_TARGET: u32 = 100_000;
@@ -25,7 +25,7 @@
 
 /// As `check`, with `blocks` in place of the listed ones.
 pub(super) fn check_with(manifest: &Manifest, blocks: &[ClientBlock]) -> Vec<Finding> {
-    let mut check = Check { blocks, findings: Vec::new(), manifest };
+    let mut check = Checker { blocks, findings: Vec::new(), manifest };
     check.head();
     check.regions();
     check.services();
@@ -35,24 +35,24 @@
     check.findings
 }
 
-struct Check<'a> {
+struct Checker<'a> {
     blocks: &'a [ClientBlock],
     findings: Vec<Finding>,
     manifest: &'a Manifest,
 }
 
-impl Check<'_> {
+impl Checker<'_> {
     fn head(&mut self) {
         let manifest = self.manifest;
-        self.name(&[Step::Key("member")], &manifest.member);
+        self.check_name(&[Step::Key("member")], &manifest.member);
         if manifest.sequence == 0 {
-            self.wrong(&[Step::Key("sequence")], "is 0", "begin with 1 and let it rise");
+            self.report(&[Step::Key("sequence")], "is 0", "begin with 1 and let it rise");
         }
         if manifest.regions.is_empty() {
-            self.wrong(&[Step::Key("regions")], "names no region", "add at least one");
+            self.report(&[Step::Key("regions")], "names no region", "add at least one");
         }
         if manifest.services.is_empty() {
-            self.wrong(&[Step::Key("services")], "names no service", "add at least one");
+            self.report(&[Step::Key("services")], "names no service", "add at least one");
         }
     }
 
@@ -62,17 +62,17 @@
         for (index, region) in self.manifest.regions.iter().enumerate() {
             let path = [Step::Key("regions"), Step::Index(index)];
             let name = join(&path, &[Step::Key("name")]);
-            self.name(&name, &region.name);
-            self.once(&mut regions, &region.name, &name, "region");
-            self.share(&join(&path, &[Step::Key("reserve")]), region.reserve);
+            self.check_name(&name, &region.name);
+            self.check_unique(&mut regions, &region.name, &name, "region");
+            self.check_share(&join(&path, &[Step::Key("reserve")]), region.reserve);
             if region.zones.is_empty() {
                 let zones = join(&path, &[Step::Key("zones")]);
-                self.wrong(&zones, "names no zone", "add at least one");
+                self.report(&zones, "names no zone", "add at least one");
             }
             for (index, zone) in region.zones.iter().enumerate() {
                 let zone_path = join(&path, &[Step::Key("zones"), Step::Index(index)]);
-                self.name(&zone_path, zone);
-                self.once(&mut zones, zone, &zone_path, "zone");
+                self.check_name(&zone_path, zone);
+                self.check_unique(&mut zones, zone, &zone_path, "zone");
             }
         }
     }
@@ -84,28 +84,28 @@
         for (index, service) in self.manifest.services.iter().enumerate() {
             let path = [Step::Key("services"), Step::Index(index)];
             let name = join(&path, &[Step::Key("name")]);
-            self.name(&name, &service.name);
-            self.once(&mut services, &service.name, &name, "service");
+            self.check_name(&name, &service.name);
+            self.check_unique(&mut services, &service.name, &name, "service");
             self.service(&path, service);
             for (index, target) in service.targets.iter().enumerate() {
                 let path = join(&path, &[Step::Key("targets"), Step::Index(index)]);
                 let name = join(&path, &[Step::Key("name")]);
-                self.name(&name, &target.name);
-                self.once(&mut targets, &target.name, &name, "target");
+                self.check_name(&name, &target.name);
+                self.check_unique(&mut targets, &target.name, &name, "target");
                 // Two targets at one address would have their slots counted twice: an overload.
                 let address = join(&path, &[Step::Key("address")]);
-                self.once(&mut addresses, &target.address, &address, "target address");
+                self.check_unique(&mut addresses, &target.address, &address, "target address");
                 if target.address.port() == 0 {
-                    self.wrong(&address, "has port 0", "give a port from 1 to 65535");
+                    self.report(&address, "has port 0", "give a port from 1 to 65535");
                 }
                 if target.address.ip().is_unspecified() || target.address.ip().is_multicast() {
-                    self.wrong(&address, "is not the address of one machine", "give its IP");
+                    self.report(&address, "is not the address of one machine", "give its IP");
                 }
                 let slots = join(&path, &[Step::Key("slots")]);
-                self.range(&slots, target.slots.into(), 1, MAX_PER_TARGET.into());
+                self.check_range(&slots, target.slots.into(), 1, MAX_PER_TARGET.into());
                 if self.manifest.region_of(&target.zone).is_none() {
                     let zone = join(&path, &[Step::Key("zone")]);
-                    self.unknown(&zone, "zone", &target.zone);
+                    self.report_unknown(&zone, "zone", &target.zone);
                 }
             }
         }
@@ -113,15 +113,15 @@
 
     fn service(&mut self, path: &[Step], service: &Service) {
         let connections = join(path, &[Step::Key("connections")]);
-        self.range(&connections, service.connections.into(), 1, MAX_PER_TARGET.into());
+        self.check_range(&connections, service.connections.into(), 1, MAX_PER_TARGET.into());
         let max_body = join(path, &[Step::Key("max_body")]);
-        self.range(&max_body, service.max_body, 0, MAX_REQUEST_BODY);
-        self.share(&join(path, &[Step::Key("shift_cap")]), service.shift_cap);
+        self.check_range(&max_body, service.max_body, 0, MAX_REQUEST_BODY_BYTES);
+        self.check_share(&join(path, &[Step::Key("shift_cap")]), service.shift_cap);
         let timeout = join(path, &[Step::Key("timeout_ms")]);
-        self.range(&timeout, service.timeout_ms, 1, MAX_TIMEOUT_MS);
+        self.check_range(&timeout, service.timeout_ms, 1, MAX_TIMEOUT_MS);
         if service.targets.is_empty() {
             let targets = join(path, &[Step::Key("targets")]);
-            self.wrong(&targets, "names no target", "add at least one");
+            self.report(&targets, "names no target", "add at least one");
         }
     }
 
@@ -132,12 +132,12 @@
         for (index, block) in blocks.iter().enumerate() {
             let path = [Step::Key("client_blocks"), Step::Index(index)];
             if !regions.contains(&*block.home) {
-                self.unknown(&join(&path, &[Step::Key("home")]), "region", &block.home);
+                self.report_unknown(&join(&path, &[Step::Key("home")]), "region", &block.home);
             }
             if block.block.trunc() != block.block {
                 let fix = format!("write {}", block.block.trunc());
                 let field = join(&path, &[Step::Key("block")]);
-                self.wrong(&field, "has bits set past its prefix", &fix);
+                self.report(&field, "has bits set past its prefix", &fix);
             }
         }
         // Hundreds of thousands of blocks come sorted: sorting them again costs one pass, where a
@@ -148,7 +148,7 @@
             if blocks[pair[0]].block.trunc() == blocks[pair[1]].block.trunc() {
                 let path = [Step::Key("client_blocks"), Step::Index(pair[1]), Step::Key("block")];
                 let wrong = format!("block {} is there twice", blocks[pair[1]].block);
-                self.wrong(&path, &wrong, "give it once");
+                self.report(&path, &wrong, "give it once");
             }
         }
     }
@@ -160,7 +160,7 @@
         let named = manifest.client_blocks.table().parts().skip(1);
         let named: BTreeSet<&RegionId> = named.flat_map(|part| part.regions()).collect();
         for region in named.into_iter().filter(|region| !known.contains(&***region)) {
-            self.unknown(&[Step::Key("client_blocks")], "region", region);
+            self.report_unknown(&[Step::Key("client_blocks")], "region", region);
         }
     }
 
@@ -170,37 +170,37 @@
         for (index, drain) in manifest.drains.iter().enumerate() {
             let path = [Step::Key("drains"), Step::Index(index)];
             if !drains.insert(drain) {
-                self.wrong(&path, "is listed twice", "list each drain once");
+                self.report(&path, "is listed twice", "list each drain once");
             }
             match drain {
-                DrainScope::Host(name) => self.name(&path, name),
+                DrainScope::Host(name) => self.check_name(&path, name),
                 DrainScope::Region(name) => {
                     if !manifest.regions.iter().any(|region| region.name == *name) {
-                        self.unknown(&path, "region", name);
+                        self.report_unknown(&path, "region", name);
                     }
                 }
                 DrainScope::Target(name) => {
                     let mut targets = manifest.services.iter().flat_map(|service| &service.targets);
                     if !targets.any(|target| target.name == *name) {
-                        self.unknown(&path, "target", name);
+                        self.report_unknown(&path, "target", name);
                     }
                 }
                 DrainScope::Zone(name) => {
                     if manifest.region_of(name).is_none() {
-                        self.unknown(&path, "zone", name);
+                        self.report_unknown(&path, "zone", name);
                     }
                 }
             }
         }
     }
 
-    fn name(&mut self, path: &[Step], name: &str) {
+    fn check_name(&mut self, path: &[Step], name: &str) {
         if !is_name(name) {
-            self.wrong(path, "is no name", NAME_FIX);
+            self.report(path, "is no name", NAME_FIX);
         }
     }
 
-    fn once<T: Clone + Ord + std::fmt::Display>(
+    fn check_unique<T: Clone + Ord + std::fmt::Display>(
         &mut self,
         seen: &mut BTreeSet<T>,
         name: &T,
@@ -208,33 +208,33 @@
         what: &str,
     ) {
         if !seen.insert(name.clone()) {
-            self.wrong(path, &format!("{what} {name} is there twice"), "give it once");
+            self.report(path, &format!("{what} {name} is there twice"), "give it once");
         }
     }
 
-    fn range(&mut self, path: &[Step], value: u64, least: u64, most: u64) {
+    fn check_range(&mut self, path: &[Step], value: u64, least: u64, most: u64) {
         if !(least..=most).contains(&value) {
-            self.wrong(path, &format!("is {value}"), &format!("give {least} to {most}"));
+            self.report(path, &format!("is {value}"), &format!("give {least} to {most}"));
         }
     }
 
-    fn share(&mut self, path: &[Step], share: Share) {
+    fn check_share(&mut self, path: &[Step], share: Share) {
         // Written so that NaN is refused too.
         if !(0.0..=1.0).contains(&share) {
             let fix = "give a share from 0 to 1, such as 0.2 for 20 %";
-            self.wrong(path, &format!("is {share}"), fix);
+            self.report(path, &format!("is {share}"), fix);
         }
     }
 
-    fn unknown(&mut self, path: &[Step], what: &str, name: &str) {
+    fn report_unknown(&mut self, path: &[Step], what: &str, name: &str) {
         let fix = match what {
             "target" => "name one of `services`",
             _ => "name one of `regions`",
         };
-        self.wrong(path, &format!("there is no {what} {name}"), fix);
+        self.report(path, &format!("there is no {what} {name}"), fix);
     }
 
-    fn wrong(&mut self, path: &[Step], wrong: &str, fix: &str) {
+    fn report(&mut self, path: &[Step], wrong: &str, fix: &str) {
         self.findings.push(Finding { fix: fix.into(), path: path.to_vec(), wrong: wrong.into() });
     }
 }
--- a/src/manifest/fetch.rs
+++ b/src/manifest/fetch.rs
@@ -1,6 +1,6 @@
 //! From the platform into a host's store.
 
-use super::{Head, Offer, Part, PartId, Reason, Store};
+use super::{Head, ManifestError, ManifestStore, OfferOutcome, Part, PartId};
 use crate::{
     prelude::*,
     store::{Platform, Result},
@@ -10,14 +10,16 @@
 pub async fn fetch(
     platform: &dyn Platform,
     member: &MemberId,
-    store: &mut Store,
-) -> Result<Option<Offer>> {
+    store: &mut ManifestStore,
+) -> Result<Option<OfferOutcome>> {
     let Some(object) = platform.get(&Head::key(member)).await? else { return Ok(None) };
     let Some(head) = Head::decode(&object.value) else {
-        return Ok(Some(Offer::Refused(Reason::Invalid("the object is no head".into()))));
+        return Ok(Some(OfferOutcome::Refused(ManifestError::Invalid(
+            "the object is no head".into(),
+        ))));
     };
     match store.offer(head.signed.clone()) {
-        Offer::Missing(ids) => {
+        OfferOutcome::Missing(ids) => {
             for part in fetch_parts(platform, member, &ids).await? {
                 store.add_part(part);
             }
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -5,33 +5,38 @@
 
 mod accept;
 mod blocks;
+mod cached_head;
 mod change;
 mod check;
 mod fetch;
 mod head;
-mod heard;
-mod in_force;
 mod model;
 mod part;
 mod read;
+mod rollout;
 mod signed;
 mod store;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
-    accept::{AcceptError, Accepted, Proposal, accept, preview},
+    accept::{AcceptError, AcceptOutcome, Proposal, accept, preview},
     blocks::ClientBlocks,
-    change::{ASSUMED_LOAD, Breach, Change, Load, Loads, Move, diff, diff_at},
+    cached_head::CachedHead,
+    change::{
+        Breach, DEFAULT_LOAD, LoadShare, LoadShares, ManifestDiff, TrafficMove, diff,
+        diff_with_loads,
+    },
     fetch::{fetch, fetch_parts},
     head::{Acceptance, Head},
-    heard::HeardHead,
-    in_force::{InForce, ZoneInForce},
     model::{
         ClientBlock, DrainScope, Manifest, Region, Service, ServiceKind, Share, Target, Weighing,
     },
-    part::{MAX_PART, MEAN_BLOCKS, Part, PartError, PartId, parse_blocks, split},
-    signed::{MAX_BODY, SignError, SignedManifest, sign, sign_split},
-    store::{Offer, Reason, Store},
+    part::{
+        MAX_PART_BYTES, MEAN_BLOCKS_PER_PART, Part, PartError, PartId, parse_blocks, split_blocks,
+    },
+    rollout::{RolloutStatus, ZoneRollout},
+    signed::{MAX_BODY_BYTES, SignError, SignedManifest, sign, sign_with_blocks},
+    store::{ManifestError, ManifestStore, OfferOutcome},
 };
 pub use crate::yaml::Problem;
--- a/src/manifest/model.rs
+++ b/src/manifest/model.rs
@@ -32,7 +32,7 @@
 
 impl ServiceKind {
     /// Whether a request may be sent to a second target after the first byte.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         self != ServiceKind::Booking
     }
 }
--- a/src/manifest/part.rs
+++ b/src/manifest/part.rs
@@ -11,11 +11,11 @@
 use crate::{lookup::BlockPart, prelude::*};
 
 /// Largest part, in bytes; the platform holds values up to a megabyte.
-pub const MAX_PART: usize = 900_000;
+pub const MAX_PART_BYTES: usize = 900_000;
 
 /// Mean number of blocks between two cuts. A change sends one part and the names of all: at 770,000
 /// blocks these are about the same at this mean, and their sum is least.
-pub const MEAN_BLOCKS: u64 = 2048;
+pub const MEAN_BLOCKS_PER_PART: u64 = 2048;
 
 /// SHA-256 of a part's bytes, as 64 hex digits.
 pub type PartId = Arc<str>;
@@ -30,14 +30,16 @@
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PartError {
     #[error("client block {block} has bits set past its prefix; write {}", .block.trunc())]
-    Bits { block: IpNet },
+    HostBitsSet { block: IpNet },
     #[error(
         "line {line} of the client blocks must read `BLOCK REGION`, such as `10.1.0.0/16 east`"
     )]
-    Line { line: usize },
+    InvalidLine { line: usize },
     #[error("client block {block} is there twice or out of order; sign the blocks again")]
-    Order { block: IpNet },
-    #[error("the part is larger than {MAX_PART} bytes; split the blocks with `sign --blocks`")]
+    OutOfOrder { block: IpNet },
+    #[error(
+        "the part is larger than {MAX_PART_BYTES} bytes; split the blocks with `sign --blocks`"
+    )]
     TooLarge,
 }
 
@@ -54,7 +56,7 @@
 
     /// The blocks in it.
     pub fn blocks(&self) -> Result<Vec<ClientBlock>, PartError> {
-        if MAX_PART < self.text.len() {
+        if MAX_PART_BYTES < self.text.len() {
             return Err(PartError::TooLarge);
         }
         parse_blocks(&self.text)
@@ -62,13 +64,13 @@
 
     /// The blocks in it as a table. They must ascend, each once and without bits past its prefix:
     /// the place of an address among the parts says where to look for it.
-    pub fn read(&self) -> Result<BlockPart, PartError> {
+    pub fn build_table(&self) -> Result<BlockPart, PartError> {
         let blocks = self.blocks()?;
         if let Some(wrong) = blocks.iter().find(|block| block.block != block.block.trunc()) {
-            return Err(PartError::Bits { block: wrong.block });
+            return Err(PartError::HostBitsSet { block: wrong.block });
         }
         if let Some(pair) = blocks.windows(2).find(|pair| pair[1].block <= pair[0].block) {
-            return Err(PartError::Order { block: pair[1].block });
+            return Err(PartError::OutOfOrder { block: pair[1].block });
         }
         Ok(BlockPart::build(&blocks))
     }
@@ -84,7 +86,7 @@
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        let wrong = PartError::Line { line: index + 1 };
+        let wrong = PartError::InvalidLine { line: index + 1 };
         let (block, home) = line.split_once(' ').ok_or(wrong.clone())?;
         let block = block.parse().map_err(|_| wrong)?;
         let home = homes.entry(home.trim()).or_insert_with_key(|home| (*home).into()).clone();
@@ -94,18 +96,18 @@
 }
 
 /// Sorts `blocks` and cuts them into parts.
-pub fn split(blocks: &[ClientBlock]) -> Vec<Part> {
+pub fn split_blocks(blocks: &[ClientBlock]) -> Vec<Part> {
     let mut sorted: Vec<&ClientBlock> = blocks.iter().collect();
     sorted.sort_by_key(|block| block.block);
     let mut parts = Vec::new();
     let mut text = String::new();
     for block in sorted {
         let line = format!("{} {}\n", block.block, block.home);
-        if MAX_PART < text.len() + line.len() {
+        if MAX_PART_BYTES < text.len() + line.len() {
             parts.push(Part { text: std::mem::take(&mut text).into() });
         }
         text.push_str(&line);
-        if xxh3_64(line.as_bytes()).is_multiple_of(MEAN_BLOCKS) {
+        if xxh3_64(line.as_bytes()).is_multiple_of(MEAN_BLOCKS_PER_PART) {
             parts.push(Part { text: std::mem::take(&mut text).into() });
         }
     }
--- a/src/manifest/in_force.rs
+++ b/src/manifest/rollout.rs
@@ -7,14 +7,14 @@
 
 /// What the hosts of each zone said.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct InForce {
+pub struct RolloutStatus {
     pub sequence: Sequence,
-    pub zones: Vec<ZoneInForce>,
+    pub zones: Vec<ZoneRollout>,
 }
 
 /// What the hosts of one zone said.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct ZoneInForce {
+pub struct ZoneRollout {
     /// Hosts with an older manifest, or none.
     pub behind: Vec<HostId>,
     /// Hosts that have it.
@@ -24,23 +24,23 @@
     pub zone: ZoneId,
 }
 
-impl ZoneInForce {
+impl ZoneRollout {
     /// Whether every known host has it, and there is at least one.
-    pub fn is_done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         !self.done.is_empty() && self.behind.is_empty() && self.silent.is_empty()
     }
 
     /// Whether no host answers: cut off, or without a live host.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.done.is_empty() && self.behind.is_empty()
     }
 }
 
-impl InForce {
+impl RolloutStatus {
     /// No host was asked yet.
     pub fn new(manifest: &Manifest) -> Self {
         let zones = manifest.regions.iter().flat_map(|region| &region.zones);
-        let zones = zones.map(|zone| ZoneInForce { zone: zone.clone(), ..Default::default() });
+        let zones = zones.map(|zone| ZoneRollout { zone: zone.clone(), ..Default::default() });
         Self { sequence: manifest.sequence, zones: zones.collect() }
     }
 
@@ -57,17 +57,17 @@
     }
 
     /// Whether it is in force in every zone.
-    pub fn is_everywhere(&self) -> bool {
-        self.zones.iter().all(ZoneInForce::is_done)
+    pub fn is_complete(&self) -> bool {
+        self.zones.iter().all(ZoneRollout::is_complete)
     }
 }
 
-impl fmt::Display for InForce {
+impl fmt::Display for RolloutStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, zone) in self.zones.iter().enumerate() {
             let state = match zone {
-                zone if zone.is_done() => "in force",
-                zone if zone.is_cut_off() => "cut off",
+                zone if zone.is_complete() => "in force",
+                zone if zone.is_unreachable() => "cut off",
                 _ => "behind",
             };
             let (done, all) =
--- a/src/manifest/signed.rs
+++ b/src/manifest/signed.rs
@@ -3,17 +3,17 @@
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use sha2::{Digest, Sha256};
 
-use super::{ClientBlock, Manifest, Part, PartError, PartId, Reason, split};
+use super::{ClientBlock, Manifest, ManifestError, Part, PartError, PartId, split_blocks};
 use crate::{lookup::BlockPart, prelude::*};
 
 /// Largest signed text, in bytes: head, part names and signature stay under the platform's limit.
-pub const MAX_BODY: usize = 900_000;
+pub const MAX_BODY_BYTES: usize = 900_000;
 
 /// Most parts that one manifest names.
 const MAX_PARTS: usize = 1024;
 
 /// Keeps a signature of a manifest from standing for anything else that the key may sign.
-const DOMAIN: &[u8] = b"lavenderplank manifest 1\n";
+const SIGNING_DOMAIN: &[u8] = b"lavenderplank manifest 1\n";
 
 /// The signed text and what it names. Member and sequence stand inside the text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -31,7 +31,9 @@
 /// Why a text was not signed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum SignError {
-    #[error("the manifest is larger than {MAX_BODY} bytes; give its client blocks with `--blocks`")]
+    #[error(
+        "the manifest is larger than {MAX_BODY_BYTES} bytes; give its client blocks with `--blocks`"
+    )]
     BodyTooLarge,
     #[error("{} of the manifest's fields are wrong", .0.len())]
     Problems(Vec<super::Problem>),
@@ -41,16 +43,16 @@
 
 /// Signs a manifest that holds all its client blocks.
 pub fn sign(text: &str, key: &SigningKey) -> Result<SignedManifest, SignError> {
-    sign_split(text, &[], key).map(|(signed, _)| signed)
+    sign_with_blocks(text, &[], key).map(|(signed, _)| signed)
 }
 
 /// Signs a manifest whose further client blocks are kept in parts.
-pub fn sign_split(
+pub fn sign_with_blocks(
     text: &str,
     blocks: &[ClientBlock],
     key: &SigningKey,
 ) -> Result<(SignedManifest, Vec<Part>), SignError> {
-    if MAX_BODY < text.len() {
+    if MAX_BODY_BYTES < text.len() {
         return Err(SignError::BodyTooLarge);
     }
     let manifest = Manifest::parse(text, "manifest").map_err(SignError::Problems)?;
@@ -58,12 +60,12 @@
     if !problems.is_empty() {
         return Err(SignError::Problems(problems));
     }
-    let parts = split(blocks);
+    let parts = split_blocks(blocks);
     if MAX_PARTS < parts.len() {
         return Err(SignError::TooManyParts);
     }
     let ids: Vec<PartId> = parts.iter().map(Part::id).collect();
-    let signature = key.sign(&message(text, &ids));
+    let signature = key.sign(&signing_input(text, &ids));
     let signature = hex::encode(signature.to_bytes()).into();
     Ok((SignedManifest { body: text.into(), parts: ids, signature }, parts))
 }
@@ -71,41 +73,45 @@
 impl SignedManifest {
     /// Verifies the signature before anything else is read, then decodes and checks the text.
     /// Client blocks in parts are not in the result: see `assemble`.
-    pub fn verify(&self, member: &MemberId, key: &VerifyingKey) -> Result<Manifest, Reason> {
-        let manifest = self.verify_own(key)?;
+    pub fn verify(&self, member: &MemberId, key: &VerifyingKey) -> Result<Manifest, ManifestError> {
+        let manifest = self.verify_any_member(key)?;
         if manifest.member != *member {
-            return Err(Reason::OtherMember(manifest.member));
+            return Err(ManifestError::OtherMember(manifest.member));
         }
         Ok(manifest)
     }
 
     /// As `verify`, for the owner of the key, whatever member the text names.
-    pub fn verify_own(&self, key: &VerifyingKey) -> Result<Manifest, Reason> {
-        if MAX_BODY < self.body.len() || MAX_PARTS < self.parts.len() {
-            return Err(Reason::TooLarge);
+    pub fn verify_any_member(&self, key: &VerifyingKey) -> Result<Manifest, ManifestError> {
+        if MAX_BODY_BYTES < self.body.len() || MAX_PARTS < self.parts.len() {
+            return Err(ManifestError::TooLarge);
         }
         let signature: [u8; 64] = hex::decode(&*self.signature)
             .ok()
             .and_then(|bytes| bytes.try_into().ok())
-            .ok_or(Reason::Signature)?;
-        key.verify_strict(&message(&self.body, &self.parts), &Signature::from_bytes(&signature))
-            .map_err(|_| Reason::Signature)?;
-        Manifest::parse(&self.body, "manifest").map_err(|problems| Reason::invalid(&problems[0]))
+            .ok_or(ManifestError::InvalidSignature)?;
+        key.verify_strict(
+            &signing_input(&self.body, &self.parts),
+            &Signature::from_bytes(&signature),
+        )
+        .map_err(|_| ManifestError::InvalidSignature)?;
+        Manifest::parse(&self.body, "manifest")
+            .map_err(|problems| ManifestError::invalid(&problems[0]))
     }
 
     /// Adds the client blocks of `parts` to a verified manifest and checks the whole again.
-    pub fn assemble(&self, manifest: Manifest, parts: &[Part]) -> Result<Manifest, Reason> {
+    pub fn assemble(&self, manifest: Manifest, parts: &[Part]) -> Result<Manifest, ManifestError> {
         if !parts.iter().map(Part::id).eq(self.parts.iter().cloned()) {
-            return Err(Reason::Parts);
+            return Err(ManifestError::PartsMismatch);
         }
-        let parts = parts.iter().map(|part| part.read().map(Arc::new));
-        let parts = parts.collect::<Result<Vec<_>, PartError>>().map_err(Reason::invalid)?;
+        let parts = parts.iter().map(|part| part.build_table().map(Arc::new));
+        let parts = parts.collect::<Result<Vec<_>, PartError>>().map_err(ManifestError::invalid)?;
         assemble_parts(manifest, &parts)
     }
 
     /// SHA-256 of all that is signed, as hex: two manifests with one digest are the same.
     pub fn digest(&self) -> Arc<str> {
-        hex::encode(Sha256::digest(message(&self.body, &self.parts))).into()
+        hex::encode(Sha256::digest(signing_input(&self.body, &self.parts))).into()
     }
 }
 
@@ -113,17 +119,18 @@
 pub(super) fn assemble_parts(
     mut manifest: Manifest,
     parts: &[Arc<BlockPart>],
-) -> Result<Manifest, Reason> {
-    manifest.client_blocks = manifest.client_blocks.with_parts(parts).map_err(Reason::invalid)?;
+) -> Result<Manifest, ManifestError> {
+    manifest.client_blocks =
+        manifest.client_blocks.with_parts(parts).map_err(ManifestError::invalid)?;
     match manifest.check().first() {
-        Some(problem) => Err(Reason::invalid(problem)),
+        Some(problem) => Err(ManifestError::invalid(problem)),
         None => Ok(manifest),
     }
 }
 
 /// What is signed: the lengths keep text and part names apart.
-pub(super) fn message(body: &str, parts: &[PartId]) -> Vec<u8> {
-    let mut buf = DOMAIN.to_vec();
+pub(super) fn signing_input(body: &str, parts: &[PartId]) -> Vec<u8> {
+    let mut buf = SIGNING_DOMAIN.to_vec();
     buf.extend_from_slice(&(body.len() as u64).to_be_bytes());
     buf.extend_from_slice(body.as_bytes());
     for part in parts {
--- a/src/manifest/tests/accept.rs
+++ b/src/manifest/tests/accept.rs
@@ -20,16 +20,16 @@
 
 fn with_blocks(sequence: u64, blocks: &str) -> Proposal {
     let blocks = parse_blocks(blocks).unwrap();
-    let (signed, parts) = sign_split(&numbered(sequence), &blocks, &key(1)).unwrap();
+    let (signed, parts) = sign_with_blocks(&numbered(sequence), &blocks, &key(1)).unwrap();
     Proposal { member: "himalaya-tara".into(), parts, signed }
 }
 
-async fn offer(platform: &dyn Platform, proposal: &Proposal) -> Result<Accepted, AcceptError> {
-    accept(platform, proposal, &key(1).verifying_key(), &Loads::all(0.1)).await
+async fn offer(platform: &dyn Platform, proposal: &Proposal) -> Result<AcceptOutcome, AcceptError> {
+    accept(platform, proposal, &key(1).verifying_key(), &LoadShares::uniform(0.1)).await
 }
 
 async fn held(platform: &dyn Platform) -> Option<Sequence> {
-    let mut store = Store::open("himalaya-tara".into(), key(1).verifying_key());
+    let mut store = ManifestStore::new("himalaya-tara".into(), key(1).verifying_key());
     fetch(platform, &"himalaya-tara".into(), &mut store).await.unwrap();
     store.sequence()
 }
@@ -92,17 +92,23 @@
 async fn only_a_higher_one_of_the_member_itself_is_accepted() {
     let standin = PlatformStandin::in_memory();
     let door = standin.door();
-    assert_matches!(offer(door, &proposal(7)).await, Ok(Accepted::Now { .. }));
-    assert_eq!(offer(door, &proposal(7)).await, Ok(Accepted::Same));
-    assert_eq!(offer(door, &proposal(6)).await, Err(AcceptError::Older { held: 7 }));
+    assert_matches!(offer(door, &proposal(7)).await, Ok(AcceptOutcome::Accepted { .. }));
+    assert_eq!(offer(door, &proposal(7)).await, Ok(AcceptOutcome::Unchanged));
+    assert_eq!(offer(door, &proposal(6)).await, Err(AcceptError::Older { accepted: 7 }));
     let mut other = proposal(7);
     other.signed = sign(&numbered(7).replace("slots: 3", "slots: 4"), &key(1)).unwrap();
-    let conflict = Reason::Conflict { sequence: 7 };
+    let conflict = ManifestError::Conflict { sequence: 7 };
     assert_eq!(offer(door, &other).await, Err(AcceptError::Refused(conflict)));
     let rival = Proposal { signed: sign(&numbered(9), &key(2)).unwrap(), ..proposal(9) };
-    assert_eq!(offer(door, &rival).await, Err(AcceptError::Refused(Reason::Signature)));
+    assert_eq!(
+        offer(door, &rival).await,
+        Err(AcceptError::Refused(ManifestError::InvalidSignature))
+    );
     let member = Proposal { member: "gradski-servis".into(), ..proposal(9) };
-    assert_matches!(offer(door, &member).await, Err(AcceptError::Refused(Reason::OtherMember(_))));
+    assert_matches!(
+        offer(door, &member).await,
+        Err(AcceptError::Refused(ManifestError::OtherMember(_)))
+    );
     assert_eq!(door.counts().writes, 1);
     assert_eq!(held(door).await, Some(7));
 }
@@ -125,7 +131,7 @@
     let standin = PlatformStandin::in_memory();
     offer(standin.door(), &proposal(7)).await.unwrap();
     let raced = Raced::new(&standin, Some(proposal(8)), None);
-    assert_eq!(offer(&raced, &proposal(9)).await, Err(AcceptError::Conflict { held: 8 }));
+    assert_eq!(offer(&raced, &proposal(9)).await, Err(AcceptError::Conflict { accepted: 8 }));
     assert_eq!(held(standin.door()).await, Some(8));
 }
 
@@ -136,7 +142,7 @@
     // pipeline would believe that its targets were never in force. The head's history shows it.
     let standin = PlatformStandin::in_memory();
     let raced = Raced::new(&standin, None, Some(proposal(8)));
-    assert_eq!(offer(&raced, &proposal(7)).await, Ok(Accepted::Superseded { by: 8 }));
+    assert_eq!(offer(&raced, &proposal(7)).await, Ok(AcceptOutcome::Superseded { by: 8 }));
     assert_eq!(held(standin.door()).await, Some(8));
 }
 
@@ -148,7 +154,7 @@
     let err = offer(standin.door(), &proposal(8)).await;
     assert_matches!(err, Err(AcceptError::Platform(PlatformError::Unavailable { .. })));
     standin.set_faults(Faults { delay_ms: 1500, lose_answers: 3, ..Faults::default() });
-    assert_matches!(offer(standin.door(), &proposal(8)).await, Ok(Accepted::Now { .. }));
+    assert_matches!(offer(standin.door(), &proposal(8)).await, Ok(AcceptOutcome::Accepted { .. }));
 }
 
 #[tokio::test]
@@ -166,7 +172,7 @@
         let expect = Expect::unchanged(door.get(&key).await.unwrap().as_ref());
         door.put(&key, expect, written, new_operation()).await.unwrap();
         assert_eq!(held(door).await, None);
-        assert_matches!(offer(door, &proposal(8)).await, Ok(Accepted::Now { .. }));
+        assert_matches!(offer(door, &proposal(8)).await, Ok(AcceptOutcome::Accepted { .. }));
         assert_eq!(held(door).await, Some(8));
     }
 }
@@ -178,7 +184,7 @@
     let mut counts = Vec::new();
     for (sequence, block) in [(7, "10.2.0.0/16"), (8, "10.3.0.0/16"), (9, "10.4.0.0/16")] {
         let proposal = with_blocks(sequence, &format!("{block} bagmati"));
-        assert_matches!(offer(door, &proposal).await, Ok(Accepted::Now { .. }));
+        assert_matches!(offer(door, &proposal).await, Ok(AcceptOutcome::Accepted { .. }));
         counts.push(door.list("manifest-parts/").await.unwrap().entries.len());
     }
     // The replaced head's parts stay for its readers; the ones before it are gone.
@@ -195,8 +201,8 @@
     offer(door, &proposal(7)).await.unwrap();
     let slow = with_blocks(9, "10.2.0.0/16 bagmati");
     let raced = Raced::new(&standin, Some(with_blocks(8, "10.3.0.0/16 bagmati")), None);
-    assert_eq!(offer(&raced, &slow).await, Err(AcceptError::Conflict { held: 8 }));
+    assert_eq!(offer(&raced, &slow).await, Err(AcceptError::Conflict { accepted: 8 }));
     assert_eq!(door.list("manifest-parts/").await.unwrap().entries.len(), 2);
-    assert_matches!(offer(door, &slow).await, Ok(Accepted::Now { .. }));
+    assert_matches!(offer(door, &slow).await, Ok(AcceptOutcome::Accepted { .. }));
     assert_eq!(held(door).await, Some(9));
 }
--- a/src/manifest/tests/heard.rs
+++ b/src/manifest/tests/cached_head.rs
@@ -7,8 +7,8 @@
 fn a_head_is_read_again_unless_it_is_in_force() {
     let signed = sign(&numbered(8), &key(1)).unwrap();
     let other = sign(&numbered(7), &key(1)).unwrap();
-    let heard = HeardHead { signed: signed.clone(), version: 40 };
-    assert!(heard.is_settled(Some(40), Some(&signed)));
+    let heard = CachedHead { signed: signed.clone(), version: 40 };
+    assert!(heard.is_current(Some(40), Some(&signed)));
     for (object, in_force) in [
         (Some(41), Some(&signed)),
         (Some(39), Some(&signed)),
@@ -16,6 +16,6 @@
         (Some(40), Some(&other)),
         (Some(40), None),
     ] {
-        assert!(!heard.is_settled(object, in_force), "{object:?}");
+        assert!(!heard.is_current(object, in_force), "{object:?}");
     }
 }
--- a/src/manifest/tests/change.rs
+++ b/src/manifest/tests/change.rs
@@ -81,7 +81,7 @@
     ];
     for (what, cap, drains, homes, load, expected) in table {
         let (old, new) = (manifest(cap, &[], even), manifest(cap, &drains, homes));
-        let change = diff_at(&old, &new, &Loads::all(load));
+        let change = diff_with_loads(&old, &new, &LoadShares::uniform(load));
         let first = change.breaches.first().map(ToString::to_string).unwrap_or_default();
         assert!(
             first.starts_with(expected) && first.is_empty() == expected.is_empty(),
--- a/src/manifest/tests/load.rs
+++ b/src/manifest/tests/load.rs
@@ -1,8 +1,8 @@
 use super::*;
 use assert_matches::assert_matches;
 
-fn store() -> Store {
-    Store::open("himalaya-tara".into(), key(1).verifying_key())
+fn store() -> ManifestStore {
+    ManifestStore::new("himalaya-tara".into(), key(1).verifying_key())
 }
 
 #[test]
@@ -52,12 +52,12 @@
     // that fell back to an older one would meet caps and targets that were withdrawn.
     let mut store = store();
     let seven = sign(&numbered(7), &key(1)).unwrap();
-    assert_matches!(store.offer(seven.clone()), Offer::Newer(_));
-    assert_eq!(store.offer(seven), Offer::Same);
-    assert_eq!(store.offer(sign(&numbered(6), &key(1)).unwrap()), Offer::Older);
+    assert_matches!(store.offer(seven.clone()), OfferOutcome::Newer(_));
+    assert_eq!(store.offer(seven), OfferOutcome::Same);
+    assert_eq!(store.offer(sign(&numbered(6), &key(1)).unwrap()), OfferOutcome::Older);
     let other = sign(&numbered(7).replace("slots: 3", "slots: 4"), &key(1)).unwrap();
-    assert_eq!(store.offer(other), Offer::Refused(Reason::Conflict { sequence: 7 }));
-    assert_matches!(store.offer(sign(&numbered(9), &key(1)).unwrap()), Offer::Newer(_));
+    assert_eq!(store.offer(other), OfferOutcome::Refused(ManifestError::Conflict { sequence: 7 }));
+    assert_matches!(store.offer(sign(&numbered(9), &key(1)).unwrap()), OfferOutcome::Newer(_));
     assert_eq!(store.sequence(), Some(9));
 }
 
@@ -69,27 +69,27 @@
     store.offer(sign(TEXT, &key(1)).unwrap());
     let held = store.current();
     let rival = sign(&numbered(8), &key(2)).unwrap();
-    assert_eq!(store.offer(rival), Offer::Refused(Reason::Signature));
+    assert_eq!(store.offer(rival), OfferOutcome::Refused(ManifestError::InvalidSignature));
     let other = numbered(8).replace("himalaya-tara", "gradski-servis");
     let other = sign(&other, &key(1)).unwrap();
-    assert_matches!(store.offer(other), Offer::Refused(Reason::OtherMember(_)));
+    assert_matches!(store.offer(other), OfferOutcome::Refused(ManifestError::OtherMember(_)));
     let mut altered = sign(&numbered(8), &key(1)).unwrap();
     altered.body = altered.body.replace("slots: 3", "slots: 9").into();
-    assert_eq!(store.offer(altered), Offer::Refused(Reason::Signature));
+    assert_eq!(store.offer(altered), OfferOutcome::Refused(ManifestError::InvalidSignature));
     assert_eq!(store.current(), held);
 }
 
 #[test]
 fn blocks_in_parts_are_awaited_and_checked() {
     let blocks = parse_blocks("10.2.0.0/16 bagmati\n# more\n2001:db8::/32 bagmati\n").unwrap();
-    let (signed, parts) = sign_split(TEXT, &blocks, &key(1)).unwrap();
+    let (signed, parts) = sign_with_blocks(TEXT, &blocks, &key(1)).unwrap();
     let mut store = store();
-    let missing = assert_matches!(store.offer(signed.clone()), Offer::Missing(ids) => ids);
+    let missing = assert_matches!(store.offer(signed.clone()), OfferOutcome::Missing(ids) => ids);
     assert_eq!(missing, signed.parts);
     assert!(!store.add_part(Part { text: "10.9.0.0/16 bagmati\n".into() }));
     for part in parts {
         assert!(store.add_part(part));
     }
-    let manifest = assert_matches!(store.offer(signed), Offer::Newer(manifest) => manifest);
+    let manifest = assert_matches!(store.offer(signed), OfferOutcome::Newer(manifest) => manifest);
     assert_eq!(manifest.client_blocks.len(), 3);
 }
--- a/src/manifest/tests/mod.rs
+++ b/src/manifest/tests/mod.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 mod accept;
+mod cached_head;
 mod change;
-mod heard;
 mod load;
 mod parts;
 
--- a/src/manifest/tests/parts.rs
+++ b/src/manifest/tests/parts.rs
@@ -6,8 +6,8 @@
 use super::*;
 use crate::{lookup::BlockPart, prelude::*};
 
-fn store() -> Store {
-    Store::open("himalaya-tara".into(), key(1).verifying_key())
+fn store() -> ManifestStore {
+    ManifestStore::new("himalaya-tara".into(), key(1).verifying_key())
 }
 
 fn part(text: &str) -> Part {
@@ -18,13 +18,13 @@
 fn signed(sequence: u64, parts: &[Part]) -> SignedManifest {
     let body = numbered(sequence);
     let ids: Vec<PartId> = parts.iter().map(Part::id).collect();
-    let signature = key(1).sign(&super::super::signed::message(&body, &ids));
+    let signature = key(1).sign(&super::super::signed::signing_input(&body, &ids));
     let signature = hex::encode(signature.to_bytes()).into();
     SignedManifest { body: body.into(), parts: ids, signature }
 }
 
-fn give(store: &mut Store, signed: &SignedManifest, parts: &[Part]) -> Offer {
-    assert_matches!(store.offer(signed.clone()), Offer::Missing(_));
+fn give(store: &mut ManifestStore, signed: &SignedManifest, parts: &[Part]) -> OfferOutcome {
+    assert_matches!(store.offer(signed.clone()), OfferOutcome::Missing(_));
     for part in parts {
         store.add_part(part.clone());
     }
@@ -54,7 +54,8 @@
         let parts: Vec<Part> = texts.iter().map(|text| part(text)).collect();
         let signed = signed(number, &parts);
         let refused = give(&mut store, &signed, &parts);
-        let why = assert_matches!(refused, Offer::Refused(Reason::Invalid(why)) => why);
+        let why =
+            assert_matches!(refused, OfferOutcome::Refused(ManifestError::Invalid(why)) => why);
         assert!(why.contains(expected), "{why}");
         assert_eq!(store.current(), held);
     }
@@ -68,11 +69,11 @@
     let parts = texts.map(part);
     let mut store = store();
     let before = give(&mut store, &signed(8, &parts), &parts);
-    let before = assert_matches!(before, Offer::Newer(manifest) => manifest);
+    let before = assert_matches!(before, OfferOutcome::Newer(manifest) => manifest);
     let changed = part("10.3.0.0/17 bagmati\n");
     let parts = [parts[0].clone(), changed.clone(), parts[2].clone()];
     let after = give(&mut store, &signed(9, &parts), &[changed]);
-    let after = assert_matches!(after, Offer::Newer(manifest) => manifest);
+    let after = assert_matches!(after, OfferOutcome::Newer(manifest) => manifest);
     let pairs: Vec<bool> = tables(&before)
         .iter()
         .zip(&tables(&after))
@@ -91,14 +92,13 @@
     store.offer(sign(&numbered(7), &key(1)).unwrap());
     let signed = signed(8, &parts);
     for _ in 0..2 {
-        let lacking =
-            assert_matches!(give(&mut store, &signed, &parts[..1]), Offer::Missing(ids) => ids);
+        let lacking = assert_matches!(give(&mut store, &signed, &parts[..1]), OfferOutcome::Missing(ids) => ids);
         assert_eq!(lacking, [parts[1].id()]);
         assert_eq!(store.sequence(), Some(7));
         parts.iter().skip(1).for_each(|part| assert!(store.part(&part.id()).is_none()));
     }
     assert!(store.add_part(parts[1].clone()));
-    assert_matches!(store.offer(signed), Offer::Newer(_));
+    assert_matches!(store.offer(signed), OfferOutcome::Newer(_));
 }
 
 // A manifest waits for its parts while a higher one without parts gets in force. When the parts come
@@ -108,10 +108,10 @@
     let parts = [part("10.2.0.0/16 bagmati\n")];
     let mut store = store();
     let waiting = signed(8, &parts);
-    assert_matches!(store.offer(waiting.clone()), Offer::Missing(_));
+    assert_matches!(store.offer(waiting.clone()), OfferOutcome::Missing(_));
     store.add_part(parts[0].clone());
-    assert_matches!(store.offer(sign(&numbered(9), &key(1)).unwrap()), Offer::Newer(_));
-    assert_eq!(store.offer(waiting), Offer::Older);
+    assert_matches!(store.offer(sign(&numbered(9), &key(1)).unwrap()), OfferOutcome::Newer(_));
+    assert_eq!(store.offer(waiting), OfferOutcome::Older);
     assert_eq!(store.sequence(), Some(9));
 }
 
@@ -122,10 +122,10 @@
     let parts = [part("10.2.0.0/16 bagmati\n")];
     let mut store = store();
     let waiting = signed(8, &parts);
-    assert_matches!(store.offer(waiting.clone()), Offer::Missing(_));
+    assert_matches!(store.offer(waiting.clone()), OfferOutcome::Missing(_));
     let body = waiting.body.replace("slots: 3", "slots: 9").into();
     let altered = SignedManifest { body, ..waiting };
-    assert_eq!(store.offer(altered), Offer::Refused(Reason::Signature));
+    assert_eq!(store.offer(altered), OfferOutcome::Refused(ManifestError::InvalidSignature));
 }
 
 // A trace holds the view as the decisions saw it. Read back, every caller has the same home.
@@ -134,7 +134,7 @@
     let parts = ["10.2.0.0/16 bagmati\n", "10.3.0.0/16 bagmati\n"].map(part);
     let mut store = store();
     let offer = give(&mut store, &signed(8, &parts), &parts);
-    let manifest = assert_matches!(offer, Offer::Newer(manifest) => manifest);
+    let manifest = assert_matches!(offer, OfferOutcome::Newer(manifest) => manifest);
     let text = serde_json::to_string(&*manifest).unwrap();
     let read: Manifest = serde_json::from_str(&text).unwrap();
     assert_eq!(read, *manifest);
--- a/src/measure/capacity/fleet.rs
+++ b/src/measure/capacity/fleet.rs
@@ -7,7 +7,9 @@
 use super::target::{REGIONS, SERVICES, ZONES};
 use crate::{
     lookup::BlockTable,
-    manifest::{ClientBlock, Manifest, Region, Service, ServiceKind, Target, Weighing, split},
+    manifest::{
+        ClientBlock, Manifest, Region, Service, ServiceKind, Target, Weighing, split_blocks,
+    },
     prelude::*,
     view::{HostView, Tenure, View},
 };
@@ -45,8 +47,8 @@
 
 /// Client blocks in parts, as hosts hold them.
 pub fn table(count: usize) -> BlockTable {
-    let parts = split(&blocks(count));
-    let read = parts.iter().map(|part| part.read().map(Arc::new));
+    let parts = split_blocks(&blocks(count));
+    let read = parts.iter().map(|part| part.build_table().map(Arc::new));
     let read: Vec<_> = read.collect::<Result<_, _>>().expect("the made-up blocks are valid");
     BlockTable::default().with_parts(&read).expect("the made-up blocks ascend")
 }
--- a/src/measure/capacity/gauge.rs
+++ b/src/measure/capacity/gauge.rs
@@ -6,7 +6,7 @@
 use rustix::time::{ClockId, clock_gettime};
 use serde::Serialize;
 
-use crate::peer::COMPRESSED_FROM;
+use crate::peer::MIN_COMPRESSED_BYTES;
 
 /// Processor time that one round of a measurement takes at least.
 const ROUND: Duration = Duration::from_millis(10);
@@ -55,7 +55,7 @@
 /// Bytes of a message between hosts that know each other, which is compressed past a small size.
 pub fn packed_len<T: Serialize>(message: &T) -> usize {
     let plain = serde_json::to_vec(message).unwrap_or_default();
-    if plain.len() < usize::from(COMPRESSED_FROM) {
+    if plain.len() < usize::from(MIN_COMPRESSED_BYTES) {
         return plain.len();
     }
     let mut encoder = GzEncoder::new(Vec::new(), Compression::default());
--- a/src/measure/capacity/manifests.rs
+++ b/src/measure/capacity/manifests.rs
@@ -11,7 +11,10 @@
     target,
 };
 use crate::{
-    manifest::{self, Acceptance, ClientBlock, Manifest, Part, SignedManifest, Store, sign_split},
+    manifest::{
+        self, Acceptance, ClientBlock, Manifest, ManifestStore, Part, SignedManifest,
+        sign_with_blocks,
+    },
     peer::{ManifestReply, PartReply},
     prelude::*,
     store::new_operation,
@@ -149,7 +152,8 @@
         let key = SigningKey::from_bytes(&[7; 32]);
         let manifest = fleet::manifest(sites, Vec::new());
         let text = serde_norway::to_string(&manifest).unwrap_or_default();
-        let (signed, _) = sign_split(&text, blocks, &key).expect("the made-up manifest is valid");
+        let (signed, _) =
+            sign_with_blocks(&text, blocks, &key).expect("the made-up manifest is valid");
         Self { key, signed }
     }
 
@@ -177,7 +181,7 @@
 }
 
 fn parts(blocks: usize) -> Vec<Part> {
-    crate::manifest::split(&fleet::blocks(blocks))
+    crate::manifest::split_blocks(&fleet::blocks(blocks))
 }
 
 /// Mean size of an answer with one part.
@@ -191,14 +195,14 @@
 /// text of a small head, the changed part and its place among the others.
 fn change_cost(blocks: usize) -> f64 {
     let key = SigningKey::from_bytes(&[7; 32]);
-    let mut store = Store::open("member".into(), key.verifying_key());
+    let mut store = ManifestStore::new("member".into(), key.verifying_key());
     let mut blocks = fleet::blocks(blocks);
     let mut next = |sequence: Sequence| {
         let middle = blocks.len() / 2;
         blocks[middle].home = fleet::region(sequence as usize);
         let manifest = Manifest { sequence, ..fleet::manifest(4, Vec::new()) };
         let text = serde_norway::to_string(&manifest).unwrap_or_default();
-        sign_split(&text, &blocks, &key).expect("the made-up manifest is valid")
+        sign_with_blocks(&text, &blocks, &key).expect("the made-up manifest is valid")
     };
     take_over(&mut store, next(1));
     let costs = (2..2 + CHANGES).map(|sequence| take_over(&mut store, next(sequence)));
@@ -206,7 +210,7 @@
 }
 
 /// Nanoseconds from the offer to in force, as a host does it.
-fn take_over(store: &mut Store, (signed, parts): (SignedManifest, Vec<Part>)) -> f64 {
+fn take_over(store: &mut ManifestStore, (signed, parts): (SignedManifest, Vec<Part>)) -> f64 {
     let new = parts.into_iter().filter(|part| store.part(&part.id()).is_none());
     let new: Vec<Part> = new.collect();
     let start = thread_time();
--- a/src/measure/capacity/memory.rs
+++ b/src/measure/capacity/memory.rs
@@ -15,7 +15,7 @@
 use crate::{
     ledger::LedgerLimits,
     lookup::BlockPart,
-    manifest::{Part, split},
+    manifest::{Part, split_blocks},
     membership::SimulatedFleet,
     prelude::*,
     timeline::DEFAULT_CAPACITY,
@@ -74,7 +74,7 @@
             BLOCKS.map(|size| scale.size(size)),
             target::BLOCKS,
             |size| {
-                let parts = split(&fleet::blocks(size));
+                let parts = split_blocks(&fleet::blocks(size));
                 keeper.bytes_of(move || read(&parts))
             },
         ),
@@ -91,7 +91,7 @@
 
 /// Every part as a host keeps it.
 fn read(parts: &[Part]) -> Vec<BlockPart> {
-    parts.iter().filter_map(|part| part.read().ok()).collect()
+    parts.iter().filter_map(|part| part.build_table().ok()).collect()
 }
 
 /// A fleet whose hosts all know each other.
--- a/src/measure/capacity/report.rs
+++ b/src/measure/capacity/report.rs
@@ -12,7 +12,7 @@
     memory::{self, Memory},
     operators, ownership, platform, requests, target, time_line,
 };
-use crate::manifest::MEAN_BLOCKS;
+use crate::manifest::MEAN_BLOCKS_PER_PART;
 
 /// What a run gives.
 #[derive(Clone, Debug, Serialize)]
@@ -68,7 +68,7 @@
             "relay and manifest in force",
             Load::worked_out(
                 Resource::Memory,
-                blocks.value * MEAN_BLOCKS as f64 / target::BLOCKS as f64,
+                blocks.value * MEAN_BLOCKS_PER_PART as f64 / target::BLOCKS as f64,
                 "while a change is taken over the old table of one part stands beside the new one",
             ),
             Vec::new(),
--- a/src/measure/capacity/rpc.rs
+++ b/src/measure/capacity/rpc.rs
@@ -7,7 +7,7 @@
 use super::{figure::Figure, gauge::thread_time};
 use crate::{
     membership::Digest,
-    peer::{PeerClient, PeerHandler, PeerKeys, PeerServer, Result},
+    peer::{PeerClient, PeerCredentials, PeerHandler, PeerServer, Result},
     prelude::*,
     settings::Secret,
 };
@@ -27,14 +27,14 @@
 fn call_cost(digest: &Digest) -> std::io::Result<f64> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        let keys = PeerKeys {
+        let keys = PeerCredentials {
             member: MEMBER.into(),
             operator: Secret::new("operators"),
             peer: Secret::new("peers"),
         };
         let handler = Arc::new(Echo(digest.clone()));
         let server = PeerServer::bind((Ipv4Addr::LOCALHOST, 0).into(), handler, keys).await?;
-        let client = PeerClient::open(Secret::new("peers"), MEMBER.into());
+        let client = PeerClient::new(Secret::new("peers"), MEMBER.into());
         let to = server.local_addr();
         // The first call opens the connection.
         let _ = client.exchange(to, digest).await;
--- a/src/measure/membership/mod.rs
+++ b/src/measure/membership/mod.rs
@@ -156,12 +156,12 @@
 /// Size of the message in its RPC call, and the work of both ends.
 fn on_the_wire(digest: &Digest) -> usize {
     let member: MemberId = "agency".into();
-    let text = Envelope::seal(&member, digest)
+    let text = Envelope::encode(&member, digest)
         .and_then(|envelope| {
             let text = serde_json::to_string(&envelope).unwrap_or_default();
             let read: Result<Envelope, _> = serde_json::from_str(&text);
             if let Ok(read) = read {
-                read.open::<Digest>(&member)?;
+                read.decode::<Digest>(&member)?;
             }
             Ok(text)
         })
--- a/src/measure/membership/rpc.rs
+++ b/src/measure/membership/rpc.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     membership::{Digest, SimulatedFleet},
-    peer::{Envelope, PeerClient, PeerHandler, PeerKeys, PeerServer, Result},
+    peer::{Envelope, PeerClient, PeerCredentials, PeerHandler, PeerServer, Result},
     prelude::*,
     settings::Secret,
 };
@@ -31,9 +31,10 @@
 pub async fn measure() -> eyre::Result<RpcCost> {
     let key = Secret::new("key");
     let member: MemberId = "agency".into();
-    let keys = PeerKeys { member: member.clone(), operator: Secret::new("o"), peer: key.clone() };
+    let keys =
+        PeerCredentials { member: member.clone(), operator: Secret::new("o"), peer: key.clone() };
     let server = PeerServer::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo), keys).await?;
-    let client = PeerClient::open(key, member.clone());
+    let client = PeerClient::new(key, member.clone());
     let fleet = SimulatedFleet::new(5, 2, 1);
     let digest = fleet.nodes[0].membership.digest(fleet.now);
     let around = bytes_around(&client, server.local_addr(), &member, &digest).await?;
@@ -76,7 +77,7 @@
     }
     stop.notify_one();
     let all = counter.await??;
-    let message = serde_json::to_string(&Envelope::seal(member, digest)?)?.len() as u64;
+    let message = serde_json::to_string(&Envelope::encode(member, digest)?)?.len() as u64;
     Ok((all / COUNTED).saturating_sub(2 * message))
 }
 
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -3,41 +3,41 @@
 use http::{HeaderMap, header::AUTHORIZATION};
 
 use super::{
+    credentials::PeerCredentials,
     error::{PeerError, Result},
-    keys::PeerKeys,
 };
 use crate::settings::Secret;
 
 /// Who calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Caller {
+pub(super) enum Principal {
     Operator,
     Peer,
-    Stranger,
+    Unauthenticated,
 }
 
-impl Caller {
-    pub fn of(headers: &HeaderMap, keys: &PeerKeys) -> Self {
+impl Principal {
+    pub fn identify(headers: &HeaderMap, keys: &PeerCredentials) -> Self {
         let value = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
         let Some(token) = value.and_then(|value| value.strip_prefix("Bearer ")) else {
-            return Caller::Stranger;
+            return Principal::Unauthenticated;
         };
         let token = Secret::new(token);
         // A missing setting opens no door: an empty secret proves nothing.
         if token.expose().is_empty() {
-            return Caller::Stranger;
+            return Principal::Unauthenticated;
         }
         if keys.peer == token {
-            Caller::Peer
+            Principal::Peer
         } else if keys.operator == token {
-            Caller::Operator
+            Principal::Operator
         } else {
-            Caller::Stranger
+            Principal::Unauthenticated
         }
     }
 
     /// Lets only the named callers through.
-    pub fn allow(self, allowed: &[Caller]) -> Result<()> {
+    pub fn authorize(self, allowed: &[Principal]) -> Result<()> {
         if allowed.contains(&self) { Ok(()) } else { Err(PeerError::Unauthorized) }
     }
 }
--- a/src/peer/keys.rs
+++ b/src/peer/credentials.rs
@@ -4,7 +4,7 @@
 
 /// What a host checks the callers of its RPC server against.
 #[derive(Clone, Debug)]
-pub struct PeerKeys {
+pub struct PeerCredentials {
     pub member: MemberId,
     /// Proves an operator.
     pub operator: Secret,
--- a/src/peer/envelope.rs
+++ b/src/peer/envelope.rs
@@ -21,17 +21,17 @@
 
 impl Envelope {
     /// Wraps a message.
-    pub fn seal<T: Serialize>(member: &MemberId, message: &T) -> Result<Self> {
+    pub fn encode<T: Serialize>(member: &MemberId, message: &T) -> Result<Self> {
         let text = serde_json::to_string(message).map_err(malformed)?;
         let body = RawValue::from_string(text).map_err(malformed)?;
         Ok(Self { body, member: member.clone(), version: PROTOCOL_VERSION })
     }
 
     /// Checks version and member, then reads the message.
-    pub fn open<T: DeserializeOwned>(&self, member: &MemberId) -> Result<T> {
+    pub fn decode<T: DeserializeOwned>(&self, member: &MemberId) -> Result<T> {
         if self.version != PROTOCOL_VERSION {
             let (ours, theirs) = (PROTOCOL_VERSION, self.version);
-            return Err(PeerError::UnknownVersion { ours, theirs });
+            return Err(PeerError::UnsupportedVersion { ours, theirs });
         }
         if self.member != *member {
             return Err(PeerError::OtherMember(self.member.clone()));
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -21,7 +21,7 @@
     #[error("no answer from {to}: {why}")]
     Unreachable { to: SocketAddr, why: String },
     #[error("protocol version {theirs} is unknown here, this host knows {ours}; upgrade it")]
-    UnknownVersion { ours: u32, theirs: u32 },
+    UnsupportedVersion { ours: u32, theirs: u32 },
     #[error("not now: {0}")]
     Unavailable(String),
 }
@@ -31,7 +31,7 @@
 const OTHER_MEMBER: i32 = -32003;
 const UNAUTHORIZED: i32 = -32004;
 const UNAVAILABLE: i32 = -32005;
-const UNKNOWN_VERSION: i32 = -32006;
+const UNSUPPORTED_VERSION: i32 = -32006;
 
 impl From<PeerError> for ErrorObjectOwned {
     fn from(error: PeerError) -> Self {
@@ -45,8 +45,8 @@
             PeerError::Unreachable { why, .. } | PeerError::Unavailable(why) => {
                 owned(UNAVAILABLE, why)
             }
-            PeerError::UnknownVersion { ours, theirs } => {
-                owned(UNKNOWN_VERSION, format!("{ours} {theirs}"))
+            PeerError::UnsupportedVersion { ours, theirs } => {
+                owned(UNSUPPORTED_VERSION, format!("{ours} {theirs}"))
             }
         }
     }
@@ -54,7 +54,7 @@
 
 impl PeerError {
     /// The error that the called host gave, or `Unreachable` if it gave none.
-    pub(super) fn from_client(to: SocketAddr, error: ClientError) -> Self {
+    pub(super) fn from_client_error(to: SocketAddr, error: ClientError) -> Self {
         let ClientError::Call(object) = error else {
             return PeerError::Unreachable { to, why: error.to_string() };
         };
@@ -68,10 +68,10 @@
             OTHER_MEMBER => PeerError::OtherMember(data.into()),
             UNAUTHORIZED => PeerError::Unauthorized,
             UNAVAILABLE => PeerError::Unavailable(data),
-            UNKNOWN_VERSION => {
+            UNSUPPORTED_VERSION => {
                 let mut parts = data.split(' ').map(|part| part.parse().unwrap_or_default());
                 let (ours, theirs) = (parts.next(), parts.next());
-                PeerError::UnknownVersion {
+                PeerError::UnsupportedVersion {
                     ours: ours.unwrap_or_default(),
                     theirs: theirs.unwrap_or_default(),
                 }
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -9,7 +9,7 @@
 
 /// An empty message.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Nothing {}
+pub struct EmptyRequest {}
 
 /// Asks what a host knows and does.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -9,28 +9,28 @@
 mod api;
 mod auth;
 mod client;
-mod compress;
+mod credentials;
 mod envelope;
 mod error;
 mod handler;
-mod keys;
 mod messages;
+mod request_compression;
 mod server;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
     client::PeerClient,
+    credentials::PeerCredentials,
     envelope::{Envelope, PROTOCOL_VERSION},
     error::{PeerError, Result},
     handler::PeerHandler,
-    keys::PeerKeys,
     messages::{
-        DrainOrder, ExplainRequest, HandoverAck, HandoverChunk, ManifestReply, Nothing, PartReply,
-        PartRequest, StatusRequest, UndrainOrder,
+        DrainOrder, EmptyRequest, ExplainRequest, HandoverAck, HandoverChunk, ManifestReply,
+        PartReply, PartRequest, StatusRequest, UndrainOrder,
     },
-    server::{COMPRESSED_FROM, PeerServer},
+    server::{MIN_COMPRESSED_BYTES, PeerServer},
 };
 
 /// Largest message in bytes, either way.
-pub const MAX_MESSAGE: u32 = 2 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: u32 = 2 * 1024 * 1024;
--- a/src/peer/compress.rs
+++ b/src/peer/request_compression.rs
@@ -19,7 +19,7 @@
 use jsonrpsee::http_client::{HttpBody, HttpRequest, HttpResponse};
 use tower::{Layer, Service};
 
-use super::COMPRESSED_FROM;
+use super::MIN_COMPRESSED_BYTES;
 
 const GZIP: HeaderValue = HeaderValue::from_static("gzip");
 
@@ -27,27 +27,27 @@
 /// before gives none and would not read them; one that is taken back to that release refuses, and
 /// the next question is plain again.
 #[derive(Clone, Debug, Default)]
-pub(super) struct CompressLayer {
+pub(super) struct GzipRequestLayer {
     /// Whether the host reads compressed questions.
     pub reads: Arc<AtomicBool>,
 }
 
-/// The service that `CompressLayer` makes.
+/// The service that `GzipRequestLayer` makes.
 #[derive(Clone, Debug)]
-pub(super) struct CompressService<S> {
+pub(super) struct GzipRequestService<S> {
     inner: S,
     reads: Arc<AtomicBool>,
 }
 
-impl<S> Layer<S> for CompressLayer {
-    type Service = CompressService<S>;
+impl<S> Layer<S> for GzipRequestLayer {
+    type Service = GzipRequestService<S>;
 
     fn layer(&self, inner: S) -> Self::Service {
-        CompressService { inner, reads: self.reads.clone() }
+        GzipRequestService { inner, reads: self.reads.clone() }
     }
 }
 
-impl<S, B> Service<HttpRequest> for CompressService<S>
+impl<S, B> Service<HttpRequest> for GzipRequestService<S>
 where
     S: Service<HttpRequest, Response = HttpResponse<B>> + Clone + Send + 'static,
     S::Future: Send,
@@ -82,7 +82,7 @@
     let (mut head, body) = req.into_parts();
     // The body is a text in memory: reading it cannot fail.
     let plain = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
-    if plain.len() < usize::from(COMPRESSED_FROM) {
+    if plain.len() < usize::from(MIN_COMPRESSED_BYTES) {
         return HttpRequest::from_parts(head, HttpBody::from(plain.to_vec()));
     }
     let mut encoder = GzEncoder::new(Vec::new(), Compression::default());
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -12,14 +12,14 @@
 };
 
 use super::{
-    MAX_MESSAGE,
+    MAX_MESSAGE_BYTES,
     api::PeerApiServer,
-    auth::Caller,
+    auth::Principal,
+    credentials::PeerCredentials,
     envelope::Envelope,
     error::Result,
     handler::PeerHandler,
-    keys::PeerKeys,
-    messages::{Nothing, StatusRequest},
+    messages::{EmptyRequest, StatusRequest},
 };
 use crate::{membership::Digest, prelude::*};
 
@@ -29,11 +29,11 @@
 /// Smallest answer in bytes that is compressed, for callers that ask for it: text and parts of a
 /// manifest shrink to a fraction, an answer to an exchange by a third or more. The heads that say
 /// that an answer is compressed outweigh what a shorter one would save.
-pub const COMPRESSED_FROM: u16 = 256;
+pub const MIN_COMPRESSED_BYTES: u16 = 256;
 
-const OPERATORS: &[Caller] = &[Caller::Operator];
-const PEERS: &[Caller] = &[Caller::Peer];
-const BOTH: &[Caller] = &[Caller::Operator, Caller::Peer];
+const OPERATOR_ONLY: &[Principal] = &[Principal::Operator];
+const PEER_ONLY: &[Principal] = &[Principal::Peer];
+const PEER_OR_OPERATOR: &[Principal] = &[Principal::Operator, Principal::Peer];
 
 /// A running RPC server; dropping it stops it.
 #[derive(Debug)]
@@ -47,23 +47,24 @@
     pub async fn bind(
         addr: SocketAddr,
         handler: Arc<dyn PeerHandler>,
-        keys: PeerKeys,
+        keys: PeerCredentials,
     ) -> std::io::Result<Self> {
         let cfg = ServerConfig::builder()
             .http_only()
             .max_connections(MAX_CONNECTIONS)
-            .max_request_body_size(MAX_MESSAGE)
-            .max_response_body_size(MAX_MESSAGE)
+            .max_request_body_size(MAX_MESSAGE_BYTES)
+            .max_response_body_size(MAX_MESSAGE_BYTES)
             .set_batch_request_config(BatchRequestConfig::Disabled)
             .set_tcp_no_delay(true)
             .build();
         let member = keys.member.clone();
         let identify = move |mut req: HttpRequest<HttpBody>| {
-            let caller = Caller::of(req.headers(), &keys);
+            let caller = Principal::identify(req.headers(), &keys);
             req.extensions_mut().insert(caller);
             req
         };
-        let compression = CompressionLayer::new().compress_when(SizeAbove::new(COMPRESSED_FROM));
+        let compression =
+            CompressionLayer::new().compress_when(SizeAbove::new(MIN_COMPRESSED_BYTES));
         // The limit on a question counts what comes out of the decompression.
         let middleware = tower::ServiceBuilder::new()
             .layer(compression)
@@ -72,7 +73,7 @@
         let server =
             Server::builder().set_config(cfg).set_http_middleware(middleware).build(addr).await?;
         let local = server.local_addr()?;
-        let handle = server.start(Methods { handler, member }.into_rpc());
+        let handle = server.start(RpcMethods { handler, member }.into_rpc());
         Ok(Self { handle, local })
     }
 
@@ -95,77 +96,77 @@
     }
 }
 
-struct Methods {
+struct RpcMethods {
     handler: Arc<dyn PeerHandler>,
     member: MemberId,
 }
 
-impl Methods {
-    fn open<T: DeserializeOwned>(
+impl RpcMethods {
+    fn decode<T: DeserializeOwned>(
         &self,
         ext: &Extensions,
-        allowed: &[Caller],
+        allowed: &[Principal],
         message: &Envelope,
     ) -> Result<T> {
-        ext.get::<Caller>().copied().unwrap_or(Caller::Stranger).allow(allowed)?;
-        message.open(&self.member)
+        ext.get::<Principal>().copied().unwrap_or(Principal::Unauthenticated).authorize(allowed)?;
+        message.decode(&self.member)
     }
 
-    fn seal<T: Serialize>(&self, answer: Result<T>) -> RpcResult<Envelope> {
-        Ok(Envelope::seal(&self.member, &answer?)?)
+    fn encode<T: Serialize>(&self, answer: Result<T>) -> RpcResult<Envelope> {
+        Ok(Envelope::encode(&self.member, &answer?)?)
     }
 }
 
 #[async_trait]
-impl PeerApiServer for Methods {
+impl PeerApiServer for RpcMethods {
     async fn exchange(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let digest: Digest = self.open(ext, PEERS, &message)?;
-        self.seal(self.handler.exchange(digest).await)
+        let digest: Digest = self.decode(ext, PEER_ONLY, &message)?;
+        self.encode(self.handler.exchange(digest).await)
     }
 
     async fn manifest(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let Nothing {} = self.open(ext, BOTH, &message)?;
-        self.seal(self.handler.manifest().await)
+        let EmptyRequest {} = self.decode(ext, PEER_OR_OPERATOR, &message)?;
+        self.encode(self.handler.manifest().await)
     }
 
     async fn part(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let request = self.open(ext, BOTH, &message)?;
-        self.seal(self.handler.part(request).await)
+        let request = self.decode(ext, PEER_OR_OPERATOR, &message)?;
+        self.encode(self.handler.part(request).await)
     }
 
     async fn handover(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let chunk = self.open(ext, PEERS, &message)?;
-        self.seal(self.handler.handover(chunk).await)
+        let chunk = self.decode(ext, PEER_ONLY, &message)?;
+        self.encode(self.handler.handover(chunk).await)
     }
 
     async fn events(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let request = self.open(ext, BOTH, &message)?;
-        self.seal(self.handler.events(request).await)
+        let request = self.decode(ext, PEER_OR_OPERATOR, &message)?;
+        self.encode(self.handler.events(request).await)
     }
 
     async fn status(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let request: StatusRequest = self.open(ext, OPERATORS, &message)?;
+        let request: StatusRequest = self.decode(ext, OPERATOR_ONLY, &message)?;
         let mut status = self.handler.status().await;
         if let Ok(status) = status.as_mut()
             && request.without_hosts
         {
             status.hosts.clear();
         }
-        self.seal(status)
+        self.encode(status)
     }
 
     async fn explain(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let request = self.open(ext, OPERATORS, &message)?;
-        self.seal(self.handler.explain(request).await)
+        let request = self.decode(ext, OPERATOR_ONLY, &message)?;
+        self.encode(self.handler.explain(request).await)
     }
 
     async fn drain(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let order = self.open(ext, OPERATORS, &message)?;
-        self.seal(self.handler.drain(order).await)
+        let order = self.decode(ext, OPERATOR_ONLY, &message)?;
+        self.encode(self.handler.drain(order).await)
     }
 
     async fn undrain(&self, ext: &Extensions, message: Envelope) -> RpcResult<Envelope> {
-        let order = self.open(ext, OPERATORS, &message)?;
-        self.seal(self.handler.undrain(order).await)
+        let order = self.decode(ext, OPERATOR_ONLY, &message)?;
+        self.encode(self.handler.undrain(order).await)
     }
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -90,7 +90,7 @@
 }
 
 async fn bind() -> PeerServer {
-    let keys = PeerKeys {
+    let keys = PeerCredentials {
         member: "agency".into(),
         operator: Secret::new("operator-token"),
         peer: Secret::new("peer-key\n"),
@@ -100,7 +100,7 @@
 }
 
 fn client(key: &str, member: &str) -> PeerClient {
-    PeerClient::open(Secret::new(key), member.into())
+    PeerClient::new(Secret::new(key), member.into())
 }
 
 #[tokio::test]
@@ -146,7 +146,7 @@
 #[tokio::test]
 async fn an_empty_key_proves_nothing() {
     let empty = Secret::new("");
-    let keys = PeerKeys { member: "agency".into(), operator: empty.clone(), peer: empty };
+    let keys = PeerCredentials { member: "agency".into(), operator: empty.clone(), peer: empty };
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     let handler = Arc::new(Host { view: host() });
     let server = PeerServer::bind(addr, handler, keys).await.unwrap();
@@ -167,18 +167,19 @@
     let raw = HttpClientBuilder::default().set_headers(headers).build(url).unwrap();
     let later = serde_json::json!({"body": ["other"], "member": "agency", "version": 9});
     let answer: std::result::Result<Envelope, _> = raw.request("exchange", [later]).await;
-    let error = PeerError::from_client(server.local_addr(), answer.unwrap_err());
-    assert_eq!(error, PeerError::UnknownVersion { ours: PROTOCOL_VERSION, theirs: 9 });
+    let error = PeerError::from_client_error(server.local_addr(), answer.unwrap_err());
+    assert_eq!(error, PeerError::UnsupportedVersion { ours: PROTOCOL_VERSION, theirs: 9 });
     let broken = serde_json::json!({"body": ["other"], "member": "agency", "version": 1});
     let answer: std::result::Result<Envelope, _> = raw.request("exchange", [broken]).await;
-    let error = PeerError::from_client(server.local_addr(), answer.unwrap_err());
+    let error = PeerError::from_client_error(server.local_addr(), answer.unwrap_err());
     assert_matches!(error, PeerError::Malformed(_));
 }
 
 #[tokio::test]
 async fn messages_over_the_limit_are_refused() {
     let server = bind().await;
-    let scope = crate::manifest::DrainScope::Zone("z".repeat(MAX_MESSAGE as usize + 1).into());
+    let scope =
+        crate::manifest::DrainScope::Zone("z".repeat(MAX_MESSAGE_BYTES as usize + 1).into());
     let order = DrainOrder { by: "ana".into(), id: "1".into(), scope };
     let operator = client("operator-token", "agency");
     let answer = operator.drain(server.local_addr(), &order).await;
--- a/src/peer/tests/compression.rs
+++ b/src/peer/tests/compression.rs
@@ -50,7 +50,7 @@
 /// Length of the whole answer to a call, as it comes over the wire.
 async fn raw_answer(to: SocketAddr, more_headers: &str) -> usize {
     let request = PartRequest { id: LARGE.into() };
-    let message = Envelope::seal(&"agency".into(), &request).unwrap();
+    let message = Envelope::encode(&"agency".into(), &request).unwrap();
     let call = serde_json::json!({
         "id": 1, "jsonrpc": "2.0", "method": "part", "params": { "message": message },
     });
@@ -104,7 +104,7 @@
 /// A right answer to the first call of a client, unpacked.
 fn raw_json() -> Vec<u8> {
     let reply = PartReply { part: part(LARGE) };
-    let result = Envelope::seal(&"agency".into(), &reply).unwrap();
+    let result = Envelope::encode(&"agency".into(), &reply).unwrap();
     serde_json::json!({ "id": 0, "jsonrpc": "2.0", "result": result }).to_string().into_bytes()
 }
 
@@ -118,7 +118,7 @@
         for answer in answers {
             let (mut stream, _) = listener.accept().await.unwrap();
             seen.push(read_question(&mut stream).await);
-            let result = Envelope::seal(&"agency".into(), &digest()).unwrap();
+            let result = Envelope::encode(&"agency".into(), &digest()).unwrap();
             let json = serde_json::json!({ "id": id, "jsonrpc": "2.0", "result": result });
             let plain = json.to_string().into_bytes();
             let (status, encoding, body) = match answer {
@@ -210,7 +210,7 @@
 }
 
 fn question(digest: &Digest) -> Vec<u8> {
-    let message = Envelope::seal(&"agency".into(), digest).unwrap();
+    let message = Envelope::encode(&"agency".into(), digest).unwrap();
     let params = serde_json::json!({ "message": message });
     let call = serde_json::json!({
         "id": 1, "jsonrpc": "2.0", "method": "exchange", "params": params,
--- a/src/routing/arrival.rs
+++ b/src/routing/arrival.rs
@@ -53,7 +53,7 @@
             Some(_) => None,
         };
         let kind = service.map_or(ServiceKind::Booking, |service| service.kind);
-        let booking = !kind.is_repeatable();
+        let booking = !kind.is_idempotent();
         // By this host's manifest the copy cannot run, but an earlier copy may have run under an
         // older manifest or that of the ledger's owner. So the ledger is still consulted; it says
         // `not run` only once its entry keeps every other copy from running.
@@ -99,7 +99,7 @@
     fn is_repeatable(&self, service: &ServiceId) -> bool {
         let view = self.view.as_ref();
         let service = view.and_then(|view| view.manifest.service(service));
-        service.is_some_and(|service| service.kind.is_repeatable())
+        service.is_some_and(|service| service.kind.is_idempotent())
     }
 
     fn refuse_before_admission(&mut self, arrival: &Arrival, error: ErrorKind, rng: &mut impl Rng) {
--- a/src/routing/call.rs
+++ b/src/routing/call.rs
@@ -46,7 +46,7 @@
 
 impl Call {
     pub fn is_booking(&self) -> bool {
-        !self.kind.is_repeatable()
+        !self.kind.is_idempotent()
     }
 
     /// Whether this is a repeatable request that came directly from its caller and was not shifted.
--- a/src/soak/control.rs
+++ b/src/soak/control.rs
@@ -10,7 +10,7 @@
     world::World,
 };
 use crate::{
-    manifest::{Offer, SignedManifest},
+    manifest::{OfferOutcome, SignedManifest},
     membership::Digest,
     prelude::*,
     routing::Event,
@@ -256,7 +256,7 @@
         self.checker.check(Promise::MemberKept, after <= accepted, || {
             format!("host {} took manifest {after}, which the member never accepted", to.host)
         });
-        if let Offer::Newer(_) = offer {
+        if let OfferOutcome::Newer(_) = offer {
             self.line(to.host, &format!("manifest {after}"));
             self.show(to.host);
         }
--- a/src/soak/fixture.rs
+++ b/src/soak/fixture.rs
@@ -151,7 +151,7 @@
 
 /// The target that a manifest retires.
 pub(super) fn drained(signed: &SignedManifest) -> Option<usize> {
-    let manifest = signed.verify_own(&key().verifying_key()).ok()?;
+    let manifest = signed.verify_any_member(&key().verifying_key()).ok()?;
     let scope = manifest.drains.into_iter().next()?;
     match scope {
         DrainScope::Target(id) => Some(target_number(&id)),
--- a/src/soak/host.rs
+++ b/src/soak/host.rs
@@ -11,7 +11,7 @@
 };
 use crate::{
     ledger::SealedLedger,
-    manifest::Store,
+    manifest::ManifestStore,
     membership::{BaselineEntry, Membership, MembershipLimits, Payload},
     prelude::*,
     routing::{AttemptId, CallId, Router},
@@ -64,7 +64,7 @@
     pub(super) rng: ChaCha8Rng,
     pub(super) steer: Router,
     pub(super) stop: Option<Stop>,
-    pub(super) store: Store,
+    pub(super) store: ManifestStore,
 }
 
 impl Running {
@@ -90,7 +90,7 @@
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
             steer: Router::new(host_id(host), incarnation, limits()),
             stop: None,
-            store: Store::open(MEMBER.into(), key().verifying_key()),
+            store: ManifestStore::new(MEMBER.into(), key().verifying_key()),
         }
     }
 
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -20,7 +20,7 @@
     forward::{ForwardLimits, HttpUpstream},
     ingress::IngressLimits,
     manifest::{
-        ASSUMED_LOAD, Accepted, ClientBlock, Loads, Manifest, Proposal, Region, Service,
+        AcceptOutcome, ClientBlock, DEFAULT_LOAD, LoadShares, Manifest, Proposal, Region, Service,
         ServiceKind, SignedManifest, Target, Weighing, accept, sign,
     },
     peer::PeerClient,
@@ -109,7 +109,8 @@
         place: &Place,
         peers: Vec<SocketAddr>,
     ) -> eyre::Result<Daemon> {
-        let link = PeerClient::open(Secret::new(PEER_KEY), MEMBER.into()).keeping(KEPT_CLIENTS);
+        let link =
+            PeerClient::new(Secret::new(PEER_KEY), MEMBER.into()).with_max_clients(KEPT_CLIENTS);
         let link = Linked::new(link, self.links.clone(), place.clone());
         let link = Arc::new(Metered::new(link, self.meter.clone()));
         self.start_over(link, name, place, peers).await
@@ -150,7 +151,7 @@
     }
 
     /// Has a pipeline with an undisturbed way to the platform apply the manifest of that number.
-    pub async fn apply(&self, sequence: Sequence) -> eyre::Result<Accepted> {
+    pub async fn apply(&self, sequence: Sequence) -> eyre::Result<AcceptOutcome> {
         let signed = self.signed(&self.manifest(sequence))?;
         let clock = Arc::new(BootClock);
         let platform = HttpPlatform::open_with(self.platform.address(), Limits::OPERATOR, clock)?;
@@ -162,9 +163,9 @@
         &self,
         platform: &dyn Platform,
         signed: SignedManifest,
-    ) -> std::result::Result<Accepted, crate::manifest::AcceptError> {
+    ) -> std::result::Result<AcceptOutcome, crate::manifest::AcceptError> {
         let proposal = Proposal { member: MEMBER.into(), parts: Vec::new(), signed };
-        let loads = Loads { known: Vec::new(), otherwise: ASSUMED_LOAD };
+        let loads = LoadShares { entries: Vec::new(), default: DEFAULT_LOAD };
         accept(platform, &proposal, &self.key.verifying_key(), &loads).await
     }
 
@@ -201,12 +202,12 @@
 
     /// A client with the operators' token.
     pub fn operator(&self) -> PeerClient {
-        PeerClient::open(Secret::new(OPERATOR_TOKEN), MEMBER.into())
+        PeerClient::new(Secret::new(OPERATOR_TOKEN), MEMBER.into())
     }
 
     /// A client with the key between the hosts.
     pub fn peer(&self) -> PeerClient {
-        PeerClient::open(Secret::new(PEER_KEY), MEMBER.into())
+        PeerClient::new(Secret::new(PEER_KEY), MEMBER.into())
     }
 
     /// A loopback address whose home is the host's region.
--- a/tests/acceptance_lag.rs
+++ b/tests/acceptance_lag.rs
@@ -20,8 +20,8 @@
 use lavenderplank::{
     base::Clock,
     manifest::{
-        Accepted, Head, Loads, Offer, Part, Proposal, SignedManifest, Store, accept, fetch_parts,
-        parse_blocks, sign_split,
+        AcceptOutcome, Head, LoadShares, ManifestStore, OfferOutcome, Part, Proposal,
+        SignedManifest, accept, fetch_parts, parse_blocks, sign_with_blocks,
     },
     standin::platform::{Door, Faults, Outage, PlatformStandin},
     store::{Expect, FollowPace, Followed, Follower, Platform, new_operation},
@@ -76,7 +76,7 @@
         let door = Arc::new(standin.open_door());
         door.set_faults(slow());
         let (in_force, staged) = (Arc::default(), Arc::default());
-        let store = Store::open(MEMBER.into(), key.verifying_key());
+        let store = ManifestStore::new(MEMBER.into(), key.verifying_key());
         let relay = relay(door.clone(), store, Arc::clone(&in_force), Arc::clone(&staged));
         Self { door, in_force, staged, task: tokio::spawn(relay) }
     }
@@ -92,7 +92,7 @@
 
 async fn relay(
     door: Arc<Door>,
-    mut store: Store,
+    mut store: ManifestStore,
     in_force: Arc<Mutex<BTreeMap<u64, Instant>>>,
     staged: Arc<Mutex<bool>>,
 ) {
@@ -126,12 +126,12 @@
 }
 
 fn take(
-    store: &mut Store,
+    store: &mut ManifestStore,
     signed: SignedManifest,
     kept: &BTreeMap<Arc<str>, Part>,
     in_force: &Mutex<BTreeMap<u64, Instant>>,
 ) {
-    if let Offer::Missing(ids) = store.offer(signed.clone()) {
+    if let OfferOutcome::Missing(ids) = store.offer(signed.clone()) {
         ids.iter().filter_map(|id| kept.get(id)).for_each(|part| {
             store.add_part(part.clone());
         });
@@ -146,7 +146,7 @@
     let line = |index: usize| format!("10.{}.{}.0/24 bagmati\n", index / 256, index % 256);
     let blocks = parse_blocks(&(0..blocks).map(line).collect::<String>()).unwrap();
     let text = MANIFEST.replace("sequence: 1", &format!("sequence: {sequence}"));
-    let (signed, parts) = sign_split(&text, &blocks, key).unwrap();
+    let (signed, parts) = sign_with_blocks(&text, &blocks, key).unwrap();
     Proposal { member: MEMBER.into(), parts, signed }
 }
 
@@ -189,7 +189,7 @@
     let key = SigningKey::from_bytes(&[1; 32]);
     let standin = PlatformStandin::in_memory();
     standin.set_faults(slow());
-    let loads = Loads::all(0.1);
+    let loads = LoadShares::uniform(0.1);
     let public = key.verifying_key();
     accept(standin.door(), &proposal(2, 0, &key), &public, &loads).await.unwrap();
     let zones: Vec<Zone> = (0..ZONES).map(|_| Zone::open(&standin, &key)).collect();
@@ -216,7 +216,7 @@
         cut();
     }
     let accepted = accept(standin.door(), &proposal, &public, &loads).await.unwrap();
-    assert!(matches!(accepted, Accepted::Now { .. }));
+    assert!(matches!(accepted, AcceptOutcome::Accepted { .. }));
     let accepted = Instant::now();
     let mut healed = accepted;
     if when != When::Never {
--- a/tests/apply_wait.rs
+++ b/tests/apply_wait.rs
@@ -12,7 +12,7 @@
     base::Sequence,
     manifest::{Manifest, Proposal, sign},
     operator::HostStatus,
-    peer::{PeerHandler, PeerKeys, PeerServer, Result},
+    peer::{PeerCredentials, PeerHandler, PeerServer, Result},
     settings::Secret,
     standin::platform::PlatformStandin,
     view::HostView,
@@ -52,7 +52,7 @@
     for (index, (region, zone)) in zones[..zones.len() - cut].iter().enumerate() {
         let sequence = if behind == Some(index) { 0 } else { 1 };
         let host = Host { fleet: fleet.clone(), index, sequence };
-        let keys = PeerKeys {
+        let keys = PeerCredentials {
             member: MEMBER.into(),
             operator: Secret::new("operators"),
             peer: Secret::new("peers"),
--- a/tests/combined_failures.rs
+++ b/tests/combined_failures.rs
@@ -15,7 +15,7 @@
 use lavenderplank::{
     base::{BootClock, Sequence},
     daemon::{Daemon, LookupBody},
-    manifest::{AcceptError, Accepted, Head, SignedManifest},
+    manifest::{AcceptError, AcceptOutcome, Head, SignedManifest},
     standin::{
         fleet::{BOOKING, Fleet, FleetPlan, READ},
         platform::{Door, Faults, Outage},
@@ -256,8 +256,8 @@
             Ok(told) => (told, one, told_other),
             Err(lost) => (told_other.unwrap(), other, Err(lost)),
         };
-        assert_matches!(won, Accepted::Now { .. });
-        assert_eq!(lost, Err(AcceptError::Conflict { held: sequence }));
+        assert_matches!(won, AcceptOutcome::Accepted { .. });
+        assert_eq!(lost, Err(AcceptError::Conflict { accepted: sequence }));
         all_hold(&fleet, &hosts, &winner).await;
     }
     for host in &hosts {
@@ -278,9 +278,9 @@
     let after: Step = Box::pin(async move { drop(on_top.apply(3).await.unwrap()) });
     let raced = Interposed::open(&fleet, None, Some(after)).await;
     let lost = fleet.signed(&fleet.manifest(2)).unwrap();
-    assert_eq!(fleet.accept(&raced, lost.clone()).await, Ok(Accepted::Superseded { by: 3 }));
+    assert_eq!(fleet.accept(&raced, lost.clone()).await, Ok(AcceptOutcome::Superseded { by: 3 }));
     let again = fleet.accept(&raced, lost).await;
-    assert_eq!(again, Err(AcceptError::Older { held: 3 }));
+    assert_eq!(again, Err(AcceptError::Older { accepted: 3 }));
     let latest = fleet.signed(&fleet.manifest(3)).unwrap();
     all_hold(&fleet, &hosts, &latest).await;
     for host in &hosts {
--- a/tests/fuzz_inputs.rs
+++ b/tests/fuzz_inputs.rs
@@ -2,7 +2,10 @@
 
 use ed25519_dalek::SigningKey;
 use lavenderplank::{
-    manifest::{Head, Manifest, Offer, Part, Proposal, SignedManifest, Store, parse_blocks, sign},
+    manifest::{
+        Head, Manifest, ManifestStore, OfferOutcome, Part, Proposal, SignedManifest, parse_blocks,
+        sign,
+    },
     settings::Settings,
 };
 use proptest::{
@@ -65,15 +68,15 @@
     let key = SigningKey::from_bytes(&[1; 32]);
     let signed = sign(MANIFEST, &key).unwrap();
     let check = |(body, signature, parts): (String, String, Vec<String>)| {
-        let mut store = Store::open("gradski-servis".into(), key.verifying_key());
+        let mut store = ManifestStore::new("gradski-servis".into(), key.verifying_key());
         let parts = parts.into_iter().map(Into::into).collect();
         let altered = SignedManifest { body: body.into(), parts, ..signed.clone() };
         // A damage that changes nothing is no forgery.
         let is_altered = altered != signed;
         let forged = SignedManifest { signature: signature.into(), ..signed.clone() };
-        prop_assert!(matches!(store.offer(forged), Offer::Refused(_)));
+        prop_assert!(matches!(store.offer(forged), OfferOutcome::Refused(_)));
         if is_altered {
-            prop_assert!(matches!(store.offer(altered), Offer::Refused(_)));
+            prop_assert!(matches!(store.offer(altered), OfferOutcome::Refused(_)));
         }
         prop_assert!(store.current().is_none());
         Ok(())
--- a/tests/fuzz_messages.rs
+++ b/tests/fuzz_messages.rs
@@ -180,7 +180,7 @@
     one::<SealedPart>(bytes);
     one::<UndrainOrder>(bytes);
     if let Ok(envelope) = serde_json::from_slice::<Envelope>(bytes) {
-        let _ = envelope.open::<Digest>(&"agency".into());
+        let _ = envelope.decode::<Digest>(&"agency".into());
     }
 }
 
--- a/tests/large_manifest.rs
+++ b/tests/large_manifest.rs
@@ -9,8 +9,8 @@
 use ed25519_dalek::SigningKey;
 use lavenderplank::{
     manifest::{
-        Accepted, Head, Loads, MAX_PART, Offer, Proposal, Store, accept, fetch, parse_blocks,
-        sign_split,
+        AcceptOutcome, Head, LoadShares, MAX_PART_BYTES, ManifestStore, OfferOutcome, Proposal,
+        accept, fetch, parse_blocks, sign_with_blocks,
     },
     standin::platform::PlatformStandin,
     store::Platform,
@@ -24,7 +24,7 @@
 
 fn proposal(sequence: u64, blocks: &str, key: &SigningKey) -> Proposal {
     let text = MANIFEST.replace("sequence: 1", &format!("sequence: {sequence}"));
-    let (signed, parts) = sign_split(&text, &parse_blocks(blocks).unwrap(), key).unwrap();
+    let (signed, parts) = sign_with_blocks(&text, &parse_blocks(blocks).unwrap(), key).unwrap();
     Proposal { member: MEMBER.into(), parts, signed }
 }
 
@@ -44,7 +44,7 @@
     let public = key.verifying_key();
     let standin = PlatformStandin::in_memory();
     let door = standin.door();
-    let mut store = Store::open(MEMBER.into(), public);
+    let mut store = ManifestStore::new(MEMBER.into(), public);
     let timed =
         |what: &str, begun: Instant| println!("{what}: {:.2} s", begun.elapsed().as_secs_f64());
 
@@ -52,11 +52,11 @@
     let begun = Instant::now();
     let first = proposal(1, &text, &key);
     timed("check, split and sign", begun);
-    assert!(first.parts.iter().all(|part| part.text.len() <= MAX_PART));
+    assert!(first.parts.iter().all(|part| part.text.len() <= MAX_PART_BYTES));
     let begun = Instant::now();
-    let accepted = accept(door, &first, &public, &Loads::all(0.1)).await;
+    let accepted = accept(door, &first, &public, &LoadShares::uniform(0.1)).await;
     timed("accept", begun);
-    assert!(matches!(accepted, Ok(Accepted::Now { .. })));
+    assert!(matches!(accepted, Ok(AcceptOutcome::Accepted { .. })));
     let head = door.get(&Head::key(MEMBER)).await.unwrap().unwrap();
     let bytes: usize = first.parts.iter().map(|part| part.text.len()).sum();
     println!(
@@ -67,7 +67,7 @@
     let begun = Instant::now();
     let offer = fetch(door, &MEMBER.into(), &mut store).await.unwrap();
     timed("fetch, verify and assemble at a host", begun);
-    assert!(matches!(offer, Some(Offer::Newer(_))));
+    assert!(matches!(offer, Some(OfferOutcome::Newer(_))));
 
     // One block added in the middle: hosts fetch the part that it falls into, and no other.
     let changed = format!("{text}17.5.5.128/25 lumbini\n");
@@ -78,12 +78,12 @@
     let new: Vec<_> = ids(&second).difference(&ids(&first)).cloned().collect();
     println!("one more block: {} of {} parts are new", new.len(), second.parts.len());
     assert!((1..=2).contains(&new.len()));
-    accept(door, &second, &public, &Loads::all(0.1)).await.unwrap();
+    accept(door, &second, &public, &LoadShares::uniform(0.1)).await.unwrap();
     let reads = door.counts().reads;
     let begun = Instant::now();
     let offer = fetch(door, &MEMBER.into(), &mut store).await.unwrap();
     timed("fetch, verify and assemble the change", begun);
-    let Some(Offer::Newer(manifest)) = offer else { panic!("{offer:?}") };
+    let Some(OfferOutcome::Newer(manifest)) = offer else { panic!("{offer:?}") };
     assert_eq!(manifest.client_blocks.len(), BLOCKS + 5);
     assert_eq!(door.counts().reads - reads, 1 + new.len() as u64);
 }
--- a/tests/lost_hosts.rs
+++ b/tests/lost_hosts.rs
@@ -40,7 +40,7 @@
 }
 
 fn client() -> PeerClient {
-    PeerClient::open(Secret::new(OPERATOR_TOKEN), MEMBER.into())
+    PeerClient::new(Secret::new(OPERATOR_TOKEN), MEMBER.into())
 }
 
 /// Two hosts that know each other. The first one owns the first target of the bookings.
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -14,8 +14,8 @@
     membership::Digest,
     operator::{DrainStatus, Explanation, HostStatus, gather},
     peer::{
-        DrainOrder, ExplainRequest, Nothing, PeerClient, PeerError, PeerHandler, PeerKeys,
-        PeerServer, Result, StatusRequest, UndrainOrder,
+        DrainOrder, EmptyRequest, ExplainRequest, PeerClient, PeerCredentials, PeerError,
+        PeerHandler, PeerServer, Result, StatusRequest, UndrainOrder,
     },
     settings::Secret,
     timeline::HybridTime,
@@ -105,7 +105,7 @@
 }
 
 async fn bind(hosts: Vec<HostView>) -> PeerServer {
-    let keys = PeerKeys {
+    let keys = PeerCredentials {
         member: "agency".into(),
         operator: Secret::new("token"),
         peer: Secret::new("peer-key"),
@@ -160,7 +160,7 @@
     let other = bind(vec![dead.clone()]).await;
     let hosts = vec![dead, view("c", "split-2", other.local_addr())];
     let server = bind(hosts.clone()).await;
-    let client = PeerClient::open(Secret::new("token"), "agency".into());
+    let client = PeerClient::new(Secret::new("token"), "agency".into());
     let fleet = gather(&client, server.local_addr()).await.expect("it answers");
     assert!(!fleet.is_whole());
     let listed: Vec<(&str, Option<Vec<HostView>>)> = fleet
@@ -176,13 +176,14 @@
 #[tokio::test]
 async fn hosts_and_clients_of_the_release_before_are_understood() {
     let server = bind(vec![view("b", "split-2", ([127, 0, 0, 1], 1).into())]).await;
-    let client = PeerClient::open(Secret::new("token"), "agency".into());
+    let client = PeerClient::new(Secret::new("token"), "agency".into());
     assert_eq!(serde_json::to_string(&StatusRequest::default()).expect("it encodes"), "{}");
     assert_eq!(client.status(server.local_addr()).await.expect("it answers").hosts.len(), 1);
     assert_eq!(client.own_status(server.local_addr()).await.expect("it answers").hosts.len(), 0);
     let request = serde_json::to_string(&StatusRequest { without_hosts: true });
-    let read_by_old: Nothing = serde_json::from_str(&request.expect("it encodes")).expect("read");
-    assert_eq!(read_by_old, Nothing {});
+    let read_by_old: EmptyRequest =
+        serde_json::from_str(&request.expect("it encodes")).expect("read");
+    assert_eq!(read_by_old, EmptyRequest {});
 }
 
 // Two operators drain one zone. The second is told who was first. The drain is waited for, and a
--- a/tests/served_calls.rs
+++ b/tests/served_calls.rs
@@ -29,8 +29,8 @@
     let mut member = Member::open().await;
     let host = member.host("zagreb-a-1", &[]).await;
     let to = host.rpc_addr();
-    let peer = PeerClient::open(Secret::new(PEER_KEY), MEMBER.into());
-    let operator = PeerClient::open(Secret::new(OPERATOR_TOKEN), MEMBER.into());
+    let peer = PeerClient::new(Secret::new(PEER_KEY), MEMBER.into());
+    let operator = PeerClient::new(Secret::new(OPERATOR_TOKEN), MEMBER.into());
     let scope = DrainScope::Target(format!("{READ}-0").into());
     let part = SealedPart { data: String::new(), digest: String::new(), index: 0, of: 1 };
     let chunk = HandoverChunk { from: "zagreb-a-2".into(), incarnation: 1, part };
--- a/tests/support/hosts.rs
+++ b/tests/support/hosts.rs
@@ -11,8 +11,8 @@
     forward::{ForwardLimits, HttpUpstream},
     ingress::IngressLimits,
     manifest::{
-        ASSUMED_LOAD, ClientBlock, Loads, Manifest, Proposal, Region, Service, ServiceKind, Target,
-        Weighing, accept, sign,
+        ClientBlock, DEFAULT_LOAD, LoadShares, Manifest, Proposal, Region, Service, ServiceKind,
+        Target, Weighing, accept, sign,
     },
     peer::PeerClient,
     routing::RouterLimits,
@@ -102,7 +102,7 @@
         let signed = sign(&text, &self.key).unwrap();
         let proposal = Proposal { member: MEMBER.into(), parts: Vec::new(), signed };
         let platform = HttpPlatform::open(self.platform.address()).unwrap();
-        let loads = Loads { known: Vec::new(), otherwise: ASSUMED_LOAD };
+        let loads = LoadShares { entries: Vec::new(), default: DEFAULT_LOAD };
         accept(&platform, &proposal, &self.key.verifying_key(), &loads).await.unwrap();
     }
 
@@ -134,7 +134,7 @@
         let host = Daemon::spawn(DaemonParts {
             clock: self.clock.clone(),
             limits: RouterLimits::default(),
-            link: Arc::new(PeerClient::open(key.clone(), MEMBER.into())),
+            link: Arc::new(PeerClient::new(key.clone(), MEMBER.into())),
             operator_token: Secret::new(OPERATOR_TOKEN),
             peer_key: key,
             peers: upstream(),
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -7,7 +7,7 @@
 
 use async_trait::async_trait;
 use lavenderplank::{
-    peer::{PeerClient, PeerError, PeerHandler, PeerKeys, PeerServer, Result},
+    peer::{PeerClient, PeerCredentials, PeerError, PeerHandler, PeerServer, Result},
     settings::Secret,
     timeline::{Event, EventKind, EventSink, Filter, Gatherer, Recorder},
 };
@@ -23,7 +23,7 @@
 
 async fn serve(host: &str) -> (Arc<Recorder>, PeerServer) {
     let recorder = Arc::new(Recorder::new("agency".into(), host.into(), 1, 20_000));
-    let keys = PeerKeys {
+    let keys = PeerCredentials {
         member: "agency".into(),
         operator: Secret::new("operators"),
         peer: Secret::new("peers"),
@@ -54,7 +54,7 @@
         first.observe(second.stamp());
     }
     let hosts = [first_server.local_addr(), gone, second_server.local_addr()];
-    let client = PeerClient::open(Secret::new("operators"), "agency".into());
+    let client = PeerClient::new(Secret::new("operators"), "agency".into());
     let mut gatherer = Gatherer::new(&hosts, Filter::default());
 
     let gathered = gatherer.gather(&client).await;
@@ -75,7 +75,7 @@
 #[tokio::test]
 async fn a_wrong_token_is_refused() {
     let (_, server) = serve("zg-1").await;
-    let client = PeerClient::open(Secret::new("guess"), "agency".into());
+    let client = PeerClient::new(Secret::new("guess"), "agency".into());
     let mut gatherer = Gatherer::new(&[server.local_addr()], Filter::default());
     let gathered = gatherer.gather(&client).await;
     assert_eq!(gathered.silent[0].1, PeerError::Unauthorized);
