--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -19,7 +19,7 @@
     ingress::{self, BodyMemory},
     ledger::SealedLedger,
     metrics::{self, MeteredSink},
-    peer::{HandoverChunk, PeerKeys, PeerServer},
+    peer::{HandoverChunk, PeerCredentials, PeerServer},
     prelude::*,
     routing::{Event, RouterLimits},
     settings::{Secret, Settings},
@@ -139,7 +139,7 @@
         let listener = listener.await.map_err(|_| Error::Stopped)??;
         let http = listener.local_addr().map_err(Error::Runtime)?;
         let handler = Arc::new(ControlHandler::default());
-        let keys = PeerKeys {
+        let keys = PeerCredentials {
             member: parts.settings.member.clone(),
             operator: parts.operator_token.clone(),
             peer: parts.peer_key.clone(),
@@ -243,7 +243,7 @@
         let notice = tokio::time::sleep(LEAVE_NOTICE);
         let cut = self.wait_for_requests().await;
         let sealed = self.traffic.seal();
-        let entries = sealed.entries();
+        let entries = sealed.entry_count();
         // An empty ledger is handed over too: that it holds no entry is proof that nothing ran. A
         // booking that was on its way to this host would otherwise be `unknown` to all others.
         let taken = self.hand_over(&sealed).await || entries == 0;
@@ -280,7 +280,7 @@
             if !self.give(&host, &parts).await {
                 continue;
             }
-            let entries = sealed.entries() as u64;
+            let entries = sealed.entry_count() as u64;
             self.recorder.record(None, EventKind::HandoverDone { entries, to: host.id });
             return true;
         }
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     forward::Upstream,
-    manifest::Store,
+    manifest::ManifestStore,
     membership::{Membership, MembershipLimits},
     metrics::{Metric, Metrics, Tags},
     prelude::*,
@@ -89,7 +89,7 @@
         recorder: recorder.clone(),
         rng,
         seeds: parts.settings.peers.clone(),
-        store: Store::open(parts.settings.member.clone(), key),
+        store: ManifestStore::new(parts.settings.member.clone(), key),
         traffic: traffic.clone(),
     }))
 }
@@ -129,7 +129,7 @@
 fn membership(own: &HostView) -> Membership {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let millis = u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or_default();
-    Membership::new(own.clone(), MembershipLimits::default()).started_at(millis)
+    Membership::new(own.clone(), MembershipLimits::default()).with_start_time(millis)
 }
 
 pub(super) fn subscribe(
