--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,25 +1,26 @@
-//! Which hosts of this member live, learnt from exchanges between the hosts themselves.
+//! Membership: which hosts of this member are live, learnt by gossip between the hosts.
 //!
-//! Inside a zone hosts tell each other every host's heartbeat. Between zones only a summary of each
-//! zone goes round (a beat that rises while any of its hosts lives, and a hash of its live hosts);
-//! the hosts of a zone are sent only to a host whose hash differs. So the cost for a host grows
-//! with the hosts of its own zone and the number of zones, not with the fleet.
+//! Within a zone, hosts exchange the heartbeat counter of every host. Between zones they exchange
+//! only a summary of each zone: a counter that increases while any of its hosts is live, and a hash
+//! of its live hosts. The list of a zone's hosts is sent only to a host whose hash differs, so the
+//! cost for a host grows with the size of its own zone and the number of zones, not with the fleet.
 //!
-//! The shell calls `tick` and then exchanges with each of `partners`, once a second: it sends
-//! `digest_for(partner)`, hands the answer to `merge`; the asked host answers with `receive`.
-//! What came along for other slices is fetched with `take_heard`.
+//! Once a second, the caller runs `tick` and then an exchange with each host that `choose_partners`
+//! returns: it sends `digest_for(partner)` and passes the response to `apply_response`. The partner
+//! computes its response with `receive`. `take_received` returns what exchanges carried for other
+//! modules.
 
 mod baselines;
+mod contacts;
 mod digest;
 mod event;
 mod exchange;
-mod fleet;
-mod hints;
 mod limits;
 mod machine;
-mod notes;
+mod payload;
 mod record;
 mod roster;
+mod simulation;
 #[cfg(test)]
 mod tests;
 mod zones;
@@ -28,8 +29,8 @@
     baselines::Baselines,
     digest::{Digest, HostEntry, ZoneEntry, ZoneSummary},
     event::MembershipEvent,
-    fleet::{Fleet, Node, zone_id},
     limits::MembershipLimits,
     machine::Membership,
-    notes::{BaselineNote, Heard, Notes},
+    payload::{BaselineEntry, Payload, ReceivedPayload},
+    simulation::{Node, SimulatedFleet, zone_id},
 };
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -1,27 +1,28 @@
-//! The hosts of the own zone, this one aside.
+//! The other hosts of the own zone.
 
 use super::{
-    digest::HostEntry, event::MembershipEvent, limits::MembershipLimits, notes::hash_of,
-    record::Record,
+    digest::HostEntry, event::MembershipEvent, limits::MembershipLimits, payload::hash_of,
+    record::HostRecord,
 };
 use crate::{prelude::*, view::HostView};
 
-/// Tombstones are kept this many times the silence after which a host is forgotten.
+/// Tombstones are kept for this multiple of the silence after which a host is forgotten.
 const TOMBSTONE_FACTOR: u32 = 6;
 
-/// A host that was forgotten. Without it, a peer that has not forgotten it yet would bring it back.
+/// Last state of a forgotten host. Without it, an entry from a peer that has not forgotten the host
+/// yet would add it again.
 #[derive(Clone, Debug)]
 struct Tombstone {
-    at: Moment,
+    forgotten_at: Moment,
     last: HostEntry,
 }
 
 /// The other hosts of the own zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Roster {
-    /// Whether anything but heartbeats has changed since the last `take_changed`.
+    /// Whether anything other than heartbeats has changed since the last `take_changed`.
     changed: bool,
-    records: BTreeMap<HostId, Record>,
+    records: BTreeMap<HostId, HostRecord>,
     tombstones: BTreeMap<HostId, Tombstone>,
 }
 
@@ -30,7 +31,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    pub fn get(&self, host: &str) -> Option<&Record> {
+    pub fn get(&self, host: &str) -> Option<&HostRecord> {
         self.records.get(host)
     }
 
@@ -42,7 +43,8 @@
         self.records.values().filter(|record| record.suspected).map(|record| &record.view)
     }
 
-    /// Hosts that were forgotten lately; a healed network is found out by asking them.
+    /// Returns the hosts that were forgotten recently. Contacting them detects the end of a network
+    /// partition.
     pub fn forgotten(&self) -> impl Iterator<Item = &HostView> {
         self.tombstones.values().map(|tombstone| &tombstone.last.view)
     }
@@ -51,7 +53,8 @@
         self.records.values().map(move |record| record.entry(now))
     }
 
-    /// Hash of the hosts including `own`, heartbeats aside: equal rosters list equal hosts.
+    /// Hashes the hosts including `own`, without heartbeats. Rosters of the same hosts have the
+    /// same hash.
     pub fn hash(&self, own: &HostEntry) -> u64 {
         let mut rows: Vec<_> = self
             .records
@@ -63,7 +66,7 @@
         hash_of(&rows)
     }
 
-    /// Heartbeats including the own one, sorted by host name.
+    /// Returns the heartbeat counters including the own one, sorted by host name.
     pub fn beats(&self, own: &HostEntry) -> Vec<u64> {
         let mut beats: Vec<_> = self.records.iter().map(|(id, record)| (id, record.beat)).collect();
         beats.push((&own.view.id, own.beat));
@@ -71,8 +74,8 @@
         beats.into_iter().map(|(_, beat)| beat).collect()
     }
 
-    /// Takes over heartbeats as `beats` lists them.
-    pub fn hear(
+    /// Applies the heartbeat counters that `beats` returned at a peer with the same roster.
+    pub fn apply_beats(
         &mut self,
         own: &HostId,
         beats: &[u64],
@@ -85,16 +88,16 @@
         let before_own = self.records.range::<HostId, _>(..own).count();
         let beats = beats.iter().enumerate().filter(|(at, _)| *at != before_own);
         for (record, (_, &beat)) in self.records.values_mut().zip(beats) {
-            if record.hear(beat, now) && std::mem::take(&mut record.suspected) {
+            if record.advance_beat(beat, now) && std::mem::take(&mut record.suspected) {
                 self.changed = true;
                 events.push(MembershipEvent::Returned(record.view.id.clone()));
             }
         }
     }
 
-    /// Takes over one host. Of two incarnations the one with the higher epoch stays, however often
-    /// the other is heard: a process that was paused since before its replacement started, and then
-    /// resumes on the same address, cannot push the new one out.
+    /// Merges the entry of one host. Of two incarnations the one with the higher epoch stays,
+    /// however often the other is heard: a process that was paused before its replacement started,
+    /// and then resumes on the same address, cannot displace the new one.
     pub fn merge(
         &mut self,
         entry: HostEntry,
@@ -104,7 +107,7 @@
     ) {
         let id = entry.view.id.clone();
         let Some(known) = self.records.get_mut(&id) else {
-            return self.join(entry, now, limits, events);
+            return self.insert_new(entry, now, limits, events);
         };
         let same = known.view.incarnation == entry.view.incarnation;
         if !same {
@@ -112,7 +115,7 @@
                 || (known.epoch == entry.epoch && known.suspected && entry.age_ms == 0);
             if newer {
                 self.changed = true;
-                let old = std::mem::replace(known, Record::new(entry, now));
+                let old = std::mem::replace(known, HostRecord::new(entry, now));
                 if !old.view.leaving {
                     events.push(MembershipEvent::Left(old.view));
                 }
@@ -130,13 +133,13 @@
             }
         }
         let heard = now.saturating_sub(Duration::from_millis(entry.age_ms));
-        if known.hear(entry.beat, heard) && std::mem::take(&mut known.suspected) {
+        if known.advance_beat(entry.beat, heard) && std::mem::take(&mut known.suspected) {
             self.changed = true;
             events.push(MembershipEvent::Returned(id));
         }
     }
 
-    /// Suspects and forgets by silence.
+    /// Suspects or forgets hosts that were silent for too long.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -144,14 +147,15 @@
         events: &mut Vec<MembershipEvent>,
     ) {
         let slack = limits.slack(self.records.len() + 1);
-        let (suspect, gone) = (limits.suspect_after + slack, limits.gone_after + slack);
+        let (suspect_after, forget_after) =
+            (limits.suspect_after + slack, limits.forget_after + slack);
         let mut forgotten = Vec::new();
         for (id, record) in &mut self.records {
-            let silence = now.saturating_sub(record.heard);
-            let patience = if record.view.leaving { suspect } else { gone };
-            if patience <= silence {
+            let silence = now.saturating_sub(record.last_heard);
+            let remove_after = if record.view.leaving { suspect_after } else { forget_after };
+            if remove_after <= silence {
                 forgotten.push(id.clone());
-            } else if suspect <= silence && !record.suspected {
+            } else if suspect_after <= silence && !record.suspected {
                 record.suspected = true;
                 self.changed = true;
                 events.push(MembershipEvent::Suspected(id.clone()));
@@ -160,20 +164,21 @@
         for id in forgotten {
             let Some(record) = self.records.remove(&id) else { continue };
             self.changed = true;
-            self.tombstones.insert(id, Tombstone { at: now, last: record.entry(now) });
+            self.tombstones.insert(id, Tombstone { forgotten_at: now, last: record.entry(now) });
             if !record.view.leaving {
                 events.push(MembershipEvent::Left(record.view));
             }
         }
-        self.tombstones.retain(|_, tombstone| now < tombstone.at + gone * TOMBSTONE_FACTOR);
+        self.tombstones
+            .retain(|_, tombstone| now < tombstone.forgotten_at + forget_after * TOMBSTONE_FACTOR);
     }
 
-    /// Moves the times of hearing on by a pause of this host.
-    pub fn skip(&mut self, pause: Duration) {
-        self.records.values_mut().for_each(|record| record.heard += pause);
+    /// Excludes a pause of this host from the silence of the others.
+    pub fn shift_last_heard(&mut self, pause: Duration) {
+        self.records.values_mut().for_each(|record| record.last_heard += pause);
     }
 
-    fn join(
+    fn insert_new(
         &mut self,
         entry: HostEntry,
         now: Moment,
@@ -186,13 +191,13 @@
                 return;
             }
         }
-        let gone = limits.gone_after + limits.slack(self.records.len() + 1);
-        if gone <= Duration::from_millis(entry.age_ms) {
+        let forget_after = limits.forget_after + limits.slack(self.records.len() + 1);
+        if forget_after <= Duration::from_millis(entry.age_ms) {
             return;
         }
         self.tombstones.remove(&entry.view.id);
         self.changed = true;
-        let record = Record::new(entry, now);
+        let record = HostRecord::new(entry, now);
         events.push(MembershipEvent::Joined(record.view.clone()));
         self.records.insert(record.view.id.clone(), record);
     }
--- a/src/membership/zones.rs
+++ b/src/membership/zones.rs
@@ -1,4 +1,4 @@
-//! The other zones, each as one of its own hosts last described it.
+//! The other zones, each as last described by one of its own hosts.
 
 use super::{
     digest::{Digest, ZoneEntry, ZoneSummary},
@@ -7,12 +7,13 @@
 };
 use crate::{prelude::*, view::HostView};
 
-/// One other zone.
+/// State of another zone.
 #[derive(Clone, Debug)]
 struct Zone {
-    heard: Moment,
+    last_heard: Moment,
     hosts: Vec<HostView>,
     region: RegionId,
+    /// Whether the zone was not heard within the suspicion time.
     silent: bool,
     summary: ZoneSummary,
 }
@@ -28,23 +29,23 @@
         self.zones.values().map(|zone| zone.summary.clone())
     }
 
-    /// Hosts of the zones that are heard.
+    /// Returns the hosts of the zones that are not silent.
     pub fn live(&self) -> impl Iterator<Item = &HostView> {
         self.zones.values().filter(|zone| !zone.silent).flat_map(|zone| &zone.hosts)
     }
 
-    /// The hosts of each zone that is silent, or of each that is heard.
+    /// Returns, by zone, the hosts of the zones whose silence is as given.
     pub fn hosts_where(&self, silent: bool) -> Vec<&[HostView]> {
         let zones = self.zones.values().filter(|zone| zone.silent == silent);
         zones.map(|zone| &zone.hosts[..]).filter(|hosts| !hosts.is_empty()).collect()
     }
 
-    /// Zones that are silent, and since when.
+    /// Returns the silent zones, and when each was last heard.
     pub fn silent(&self) -> impl Iterator<Item = (&ZoneId, Moment)> {
-        self.zones.iter().filter(|(_, zone)| zone.silent).map(|(id, zone)| (id, zone.heard))
+        self.zones.iter().filter(|(_, zone)| zone.silent).map(|(id, zone)| (id, zone.last_heard))
     }
 
-    /// Regions of which all known zones are silent.
+    /// Returns the regions of which all known zones are silent.
     pub fn silent_regions(&self) -> std::collections::BTreeSet<RegionId> {
         let mut regions = BTreeMap::new();
         for zone in self.zones.values() {
@@ -58,27 +59,37 @@
         Some(ZoneEntry { hosts: zone.hosts.clone(), summary: zone.summary.clone() })
     }
 
-    /// Whether `theirs` is newer and its hosts are not known here.
+    /// Whether `theirs` is newer than the known state of the zone and lists other hosts.
     pub fn lacks(&self, theirs: &ZoneSummary) -> bool {
         let Some(own) = self.zones.get(&theirs.zone) else { return true };
         own.summary.beat < theirs.beat && own.summary.hash != theirs.hash
     }
 
-    /// Takes over a newer beat of a zone whose hosts are as known.
-    pub fn hear(&mut self, theirs: &ZoneSummary, now: Moment, events: &mut Vec<MembershipEvent>) {
+    /// Applies a newer counter of a zone whose hosts have not changed.
+    pub fn apply_summary(
+        &mut self,
+        theirs: &ZoneSummary,
+        now: Moment,
+        events: &mut Vec<MembershipEvent>,
+    ) {
         let Some(zone) = self.zones.get_mut(&theirs.zone) else { return };
         if theirs.beat <= zone.summary.beat || theirs.hash != zone.summary.hash {
             return;
         }
         zone.summary.beat = theirs.beat;
-        zone.heard = now;
+        zone.last_heard = now;
         if std::mem::take(&mut zone.silent) {
             events.extend(zone.hosts.iter().map(|host| MembershipEvent::Returned(host.id.clone())));
         }
     }
 
-    /// Takes over a zone with its hosts, if it is newer than the known one.
-    pub fn adopt(&mut self, entry: ZoneEntry, now: Moment, events: &mut Vec<MembershipEvent>) {
+    /// Replaces the state of a zone, if `entry` is newer.
+    pub fn apply_entry(
+        &mut self,
+        entry: ZoneEntry,
+        now: Moment,
+        events: &mut Vec<MembershipEvent>,
+    ) {
         let ZoneEntry { hosts, summary } = entry;
         let Some(region) = hosts.first().map(|host| host.region.clone()) else { return };
         let old = self.zones.get(&summary.zone);
@@ -86,22 +97,23 @@
             return;
         }
         let old = old.map(|zone| zone.hosts.clone()).unwrap_or_default();
-        compare(&old, &hosts, events);
-        let zone = Zone { heard: now, hosts, region, silent: false, summary };
+        push_host_changes(&old, &hosts, events);
+        let zone = Zone { last_heard: now, hosts, region, silent: false, summary };
         self.zones.insert(zone.summary.zone.clone(), zone);
     }
 
-    /// Notes the zones that have become silent, and forgets those silent for very long.
+    /// Suspects the hosts of zones that have become silent, and forgets zones that were silent for
+    /// `forget_zone_after`.
     pub fn tick(
         &mut self,
         now: Moment,
         limits: &MembershipLimits,
         events: &mut Vec<MembershipEvent>,
     ) {
-        let fleet = self.zones.values().map(|zone| zone.hosts.len()).sum();
-        let silent_after = limits.zone_silent_after + limits.slack(fleet);
+        let host_count = self.zones.values().map(|zone| zone.hosts.len()).sum();
+        let suspect_after = limits.suspect_zone_after + limits.slack(host_count);
         for zone in self.zones.values_mut() {
-            if zone.silent || now.saturating_sub(zone.heard) < silent_after {
+            if zone.silent || now.saturating_sub(zone.last_heard) < suspect_after {
                 continue;
             }
             zone.silent = true;
@@ -109,7 +121,7 @@
             events.extend(hosts);
         }
         self.zones.retain(|_, zone| {
-            let keep = now.saturating_sub(zone.heard) < limits.zone_forgotten_after;
+            let keep = now.saturating_sub(zone.last_heard) < limits.forget_zone_after;
             if !keep {
                 events.extend(zone.hosts.drain(..).map(MembershipEvent::Left));
             }
@@ -117,34 +129,34 @@
         });
     }
 
-    /// Moves the times of hearing on by a pause of this host.
-    pub fn skip(&mut self, pause: Duration) {
-        self.zones.values_mut().for_each(|zone| zone.heard += pause);
+    /// Excludes a pause of this host from the silence of the zones.
+    pub fn shift_last_heard(&mut self, pause: Duration) {
+        self.zones.values_mut().for_each(|zone| zone.last_heard += pause);
     }
 
-    /// Adds to `answer` what the sender of `theirs` lacks of these zones.
+    /// Adds to `response` what the sender of `theirs`, a host of zone `from`, lacks of these zones.
     ///
-    /// Two hosts of one zone that do not know each other yet describe it differently, each as
-    /// newer than the other. The sender is told of any other description of its own zone, so that
-    /// the two find each other.
-    pub fn answer(&self, from: &ZoneId, theirs: &[ZoneSummary], answer: &mut Digest) {
+    /// Two hosts of one zone that do not know each other yet publish different descriptions of it,
+    /// and either may have the higher counter. The sender therefore gets any differing description
+    /// of its own zone, so that the two hosts find each other.
+    pub fn add_missing(&self, from: &ZoneId, theirs: &[ZoneSummary], response: &mut Digest) {
         let theirs: BTreeMap<_, _> = theirs.iter().map(|zone| (&zone.zone, zone)).collect();
         for (id, own) in &self.zones {
             match theirs.get(id) {
                 Some(theirs) if own.summary.hash != theirs.hash && id == from => {
-                    answer.zone_hosts.extend(self.entry(id));
+                    response.zone_hosts.extend(self.entry(id));
                 }
                 Some(theirs) if own.summary.beat <= theirs.beat => {}
                 Some(theirs) if own.summary.hash == theirs.hash => {
-                    answer.zones.push(own.summary.clone());
+                    response.zones.push(own.summary.clone());
                 }
-                _ => answer.zone_hosts.extend(self.entry(id)),
+                _ => response.zone_hosts.extend(self.entry(id)),
             }
         }
     }
 }
 
-fn compare(old: &[HostView], new: &[HostView], events: &mut Vec<MembershipEvent>) {
+fn push_host_changes(old: &[HostView], new: &[HostView], events: &mut Vec<MembershipEvent>) {
     let same = |a: &HostView, b: &HostView| a.id == b.id && a.incarnation == b.incarnation;
     let left = |view: &&HostView| match new.iter().find(|other| same(other, view)) {
         Some(other) => other.leaving && !view.leaving,
