--- a/src/ledger/digest.rs
+++ b/src/ledger/digest.rs
@@ -31,8 +31,8 @@
 }
 
 fn truncate(hash: Sha256) -> [u8; 16] {
-    let whole = hash.finalize();
-    let mut first = [0; 16];
-    first.copy_from_slice(&whole[..16]);
-    first
+    let digest = hash.finalize();
+    let mut prefix = [0; 16];
+    prefix.copy_from_slice(&digest[..16]);
+    prefix
 }
--- a/src/ledger/sealed.rs
+++ b/src/ledger/sealed.rs
@@ -87,9 +87,9 @@
 
     /// Splits the serialized ledger into parts of at most `max_bytes` each, before base64.
     pub fn split(&self, max_bytes: usize) -> Vec<SealedPart> {
-        let whole = serde_json::to_vec(self).unwrap_or_default();
-        let digest = hex::encode(Sha256::digest(&whole));
-        let chunks: Vec<&[u8]> = whole.chunks(max_bytes.max(1)).collect();
+        let bytes = serde_json::to_vec(self).unwrap_or_default();
+        let digest = hex::encode(Sha256::digest(&bytes));
+        let chunks: Vec<&[u8]> = bytes.chunks(max_bytes.max(1)).collect();
         let of = u32::try_from(chunks.len()).unwrap_or(u32::MAX);
         let numbered = (0..of).zip(chunks);
         numbered
@@ -116,29 +116,29 @@
         if !parts.keys().copied().eq(0..of) {
             return Err(Error::Damaged("a part is missing"));
         }
-        let mut whole = Vec::new();
+        let mut bytes = Vec::new();
         for part in parts.values() {
             STANDARD
-                .decode_vec(&part.data, &mut whole)
+                .decode_vec(&part.data, &mut bytes)
                 .map_err(|_| Error::Damaged("a part is not valid base64"))?;
         }
-        if hex::encode(Sha256::digest(&whole)) != digest {
+        if hex::encode(Sha256::digest(&bytes)) != digest {
             return Err(Error::Damaged("digest mismatch"));
         }
-        Self::decode(&whole)
+        Self::decode(&bytes)
     }
 
-    fn decode(whole: &[u8]) -> Result<Self> {
+    fn decode(bytes: &[u8]) -> Result<Self> {
         #[derive(Deserialize)]
         struct Header {
             version: u32,
         }
         let header: Header =
-            serde_json::from_slice(whole).map_err(|_| Error::Damaged("no format version"))?;
+            serde_json::from_slice(bytes).map_err(|_| Error::Damaged("no format version"))?;
         if header.version != FORMAT_VERSION {
             return Err(Error::UnsupportedVersion(header.version));
         }
-        serde_json::from_slice(whole).map_err(|_| Error::Damaged("cannot be parsed"))
+        serde_json::from_slice(bytes).map_err(|_| Error::Damaged("cannot be parsed"))
     }
 
     /// Rejects format versions other than this host's.
