--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,4 +1,5 @@
-//! The control side of an entry host: one actor that owns what the host believes.
+//! The control side of an entry host: an actor that owns the host's copy of the store's objects and
+//! its list of live hosts, exchanges both with other hosts, and publishes them to the traffic side.
 
 mod handlers;
 mod messages;
@@ -19,7 +20,7 @@
     StoreUpdate, Tick,
 };
 
-use self::peering::{FIRST_LIST_HOSTS_DELAY, FIRST_REGISTER_DELAY};
+use self::peering::{FIRST_READ_RECORDS_DELAY, FIRST_WRITE_RECORD_DELAY};
 use super::{
     EntrySettings, KnownState, LiveHost, Protocol, StorePart, View, ViewCell,
     peer_queries::PeerQueries,
@@ -35,22 +36,24 @@
     store::{FollowPace, Followed, Follower, Platform},
 };
 
-/// Messages that may wait for the actor; past it senders wait.
+/// Number of messages that may be queued for the actor; further senders wait.
 const MAILBOX_CAPACITY: usize = 256;
 
-/// Time between heartbeats to hosts of the own zone, and between reports of a zone: hosts of a region
-/// share targets, and what is in attempt there bounds the wait.
+/// Interval of heartbeats to hosts of the own zone, and of the reports of a zone. Hosts of a region
+/// share targets, so each has to know with little delay what the others have in flight there.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Updates of one part that may wait for the actor.
+/// Number of updates of one part that may be queued before they are sent to the actor.
 const MAX_QUEUED_UPDATES: usize = 16;
 
-/// How often the store is asked. Hosts tell each other when one of them has seen more, so nothing
-/// has to be compared. Each watch is a call; the wait bounds how long one is believed whose answer was
-/// lost on a connection that lives, which the client's keep-alive probes do not show.
+/// How often watchers call the store. Versions are compared only once a day, since heartbeats show
+/// when another host has newer data. Each watch counts as a call to the store. `wait` bounds how
+/// long a watch whose response was lost stays unnoticed: if its connection stays open, the client's
+/// keep-alive probes do not detect the loss.
 ///
-/// A new host lists at once, so that it can serve, but watches only when it has had time to hear of
-/// others that do: heartbeats come every 100 ms, a new host's probes every 200 ms.
+/// A new host lists at once, so that it can serve, but starts to watch only after `after_list`,
+/// when it has received messages of other hosts and knows whether it has to watch: heartbeats are
+/// sent every 100 ms, and the probes of a new host every 200 ms.
 const FOLLOW_PACE: FollowPace = FollowPace {
     after_list: Duration::from_millis(600),
     compare_every: Duration::from_secs(86_400),
@@ -59,11 +62,11 @@
     wait: Duration::from_secs(5),
 };
 
-/// Pause of a region's second watcher after a change. Targets come and go all the time in a large
-/// fleet, and what the first one has told already need not be fetched at once again.
+/// Pause of a standby watcher after a change. In a large fleet targets change all the time, and the
+/// standby need not fetch at once what the region's first watcher has already distributed.
 const STANDBY_SETTLE: Duration = Duration::from_secs(1);
 
-/// What the control side is built from.
+/// Dependencies and shared state of the control side.
 pub struct ControlParts {
     pub clock: Arc<dyn Clock>,
     pub events: Arc<dyn EventSink>,
@@ -73,12 +76,12 @@
     pub settings: Arc<EntrySettings>,
     pub socket: Arc<UdpSocket>,
     pub store: Arc<dyn Platform>,
-    /// Whether the traffic side gets too little of the processor.
+    /// Whether the traffic side gets too little CPU time.
     pub strained: Arc<AtomicBool>,
     pub view: ViewCell,
 }
 
-/// The actor's state.
+/// The control actor.
 pub struct EntryControl {
     fleet: Fleet,
     peer_client: PeerClient,
@@ -86,23 +89,26 @@
     /// When the store last confirmed to this host that its declaration is the latest.
     declaration_checked_at: Option<Moment>,
     response_cache: ResponseCache,
-    register_at: Option<Moment>,
-    /// The tasks that follow the store, while this host watches.
+    /// When this host's record is to be written; `None` once it is.
+    write_record_at: Option<Moment>,
+    /// The tasks that follow the store; empty while this host does not watch it.
     followers: Vec<FollowTask>,
+    /// Whether this host is shutting down.
     leaving: bool,
-    /// Parts of the store that do not answer, and since when.
+    /// Parts of the store that cannot be read, and since when.
     lost_parts: BTreeMap<StorePart, Moment>,
     parts: ControlParts,
     peer_queries: PeerQueries,
     raw_objects: RawObjects,
     stale_records: StaleRecordTracker,
-    list_hosts_at: Moment,
-    /// When the store's word last came, by itself or another host.
+    /// When the records of all hosts are to be read next.
+    read_records_at: Moment,
+    /// When the store or another host last responded with the store's state.
     state_received_at: Moment,
     election: WatcherElection,
 }
 
-/// A follower, and the task that passes on what it tells; both end when dropped.
+/// A follower, and the task that forwards its updates to the actor; both end when dropped.
 struct FollowTask {
     follower: Follower,
     forwarder: tokio::task::AbortHandle,
@@ -125,14 +131,14 @@
             known_state: KnownState::default(),
             declaration_checked_at: None,
             response_cache: ResponseCache::default(),
-            register_at: Some(now + FIRST_REGISTER_DELAY),
+            write_record_at: Some(now + FIRST_WRITE_RECORD_DELAY),
             followers: Vec::new(),
             leaving: false,
             lost_parts: BTreeMap::new(),
             peer_queries: PeerQueries::new(parts.settings.listen.control),
             raw_objects: BTreeMap::new(),
             stale_records: StaleRecordTracker::default(),
-            list_hosts_at: now + FIRST_LIST_HOSTS_DELAY,
+            read_records_at: now + FIRST_READ_RECORDS_DELAY,
             state_received_at: now,
             election: WatcherElection::new(now),
             parts,
@@ -140,7 +146,7 @@
         xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX_CAPACITY))
     }
 
-    /// Records an event of the host itself.
+    /// Records an event that belongs to no single request.
     fn record_event(&self, event: Event) {
         self.parts.events.record(None, event);
     }
@@ -149,7 +155,7 @@
         self.parts.clock.now()
     }
 
-    /// Publishes what the traffic side decides with.
+    /// Publishes the current state to the traffic side and to the metrics.
     fn publish_view(&mut self) {
         let now = self.now();
         let settings = &self.parts.settings;
@@ -214,8 +220,8 @@
         self.parts.view.store(Some(Arc::new(view)));
     }
 
-    /// When the store last confirmed the declaration as the latest, to this host or another one;
-    /// `None` if it never did, or a later declaration is known.
+    /// When the store last confirmed to this host or another one that the declaration is the
+    /// latest; `None` if it never did, or another host knows a later one.
     fn latest_declaration_check(&self, now: Moment) -> Option<Moment> {
         let version = self.known_state.declaration()?.version;
         let checks = self.fleet.declaration_checks(now);
@@ -242,7 +248,8 @@
         }
     }
 
-    /// Starts or ends following the store.
+    /// Starts or stops following the store: a host follows it while it is elected as a watcher, or
+    /// while hosts with newer data do not answer its queries.
     fn update_followers(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
         let settings = &self.parts.settings;
@@ -272,7 +279,7 @@
             (StorePart::Evacuations, prefixes.evacuations),
         ] {
             let (store, clock) = (self.parts.store.clone(), self.parts.clock.clone());
-            // What is known already must not be replaced by what was so some seconds ago.
+            // A first listing that may be some seconds old must not replace newer objects.
             let first_may_lag = self.known_state.revisions().of(part) == 0;
             let pace = FollowPace { first_may_lag, settle, ..FOLLOW_PACE };
             let (tx, rx) = mpsc::channel(MAX_QUEUED_UPDATES);
@@ -283,7 +290,7 @@
     }
 }
 
-/// Milliseconds of the time of day.
+/// Wall-clock time in milliseconds since the Unix epoch.
 fn unix_time_ms() -> u64 {
     let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
@@ -303,13 +310,14 @@
     }
 }
 
-/// Seeds name control listeners; datagrams go to the same port at all hosts.
+/// Gossip addresses of the seeds. The settings list their control listeners; all hosts receive
+/// datagrams on the same port.
 fn gossip_seeds(settings: &EntrySettings) -> Vec<SocketAddr> {
     let port = settings.listen.gossip.port();
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect()
 }
 
-/// Passes on what the store tells of one part.
+/// Forwards the updates of one part to the actor.
 async fn forward_updates(
     part: StorePart,
     mut rx: mpsc::Receiver<Followed>,
--- a/src/entry/control/handlers.rs
+++ b/src/entry/control/handlers.rs
@@ -1,4 +1,4 @@
-//! What the control actor does with each message.
+//! Message handlers of the control actor.
 
 use std::io;
 
@@ -32,7 +32,7 @@
     ) {
         if self.apply_update(part, update) {
             self.publish_view();
-            // Hosts that do not watch hear of it now, not with the next heartbeat.
+            // Hosts that do not watch learn of the change at once, not with the next heartbeat.
             self.announce();
         }
     }
@@ -44,7 +44,7 @@
     async fn handle(&mut self, Datagram(bytes): Datagram, cx: &mut xtra::Context<Self>) {
         let message: Message = match postcard::from_bytes(&bytes) {
             Ok(message) => message,
-            Err(error) => return log::debug!("a datagram can't be read: {error}"),
+            Err(error) => return log::debug!("cannot decode a datagram: {error}"),
         };
         let received = self.fleet.receive(message, self.now());
         for (peer, zone) in received.new_hosts {
@@ -164,7 +164,7 @@
                 self.fleet.replace_contacts(records.iter().map(|record| record.gossip), now);
                 self.reconcile_host_records(&records);
             }
-            None => self.list_hosts_at = self.now() + RECORD_RETRY_PAUSE,
+            None => self.read_records_at = self.now() + RECORD_RETRY_PAUSE,
         }
     }
 }
@@ -177,6 +177,7 @@
         HostRecordWritten(is_written): HostRecordWritten,
         _: &mut xtra::Context<Self>,
     ) {
-        self.register_at = if is_written { None } else { Some(self.now() + RECORD_RETRY_PAUSE) };
+        self.write_record_at =
+            if is_written { None } else { Some(self.now() + RECORD_RETRY_PAUSE) };
     }
 }
--- a/src/entry/control/messages.rs
+++ b/src/entry/control/messages.rs
@@ -10,35 +10,35 @@
     store::Followed,
 };
 
-/// News from the store.
+/// An update of one part from the store.
 pub struct StoreUpdate(pub StorePart, pub Followed);
 
-/// A datagram from another host.
+/// A datagram received from another host.
 pub struct Datagram(pub Vec<u8>);
 
-/// Time for a heartbeat, which was due at that moment.
+/// Triggers the periodic work, which was due at this time.
 pub struct Tick {
     pub due: Moment,
 }
 
-/// A planned stop begins.
+/// A graceful shutdown of this host begins.
 pub struct Leave;
 
-/// Settings that were read again.
+/// Settings that were reloaded.
 pub struct Reload(pub EntrySettings);
 
-/// Another host asks for what is newer than it knows.
+/// A query of another host for the changes since these revisions.
 pub struct StateQuery(pub Revisions);
 
-/// Answer of the host at `addr` to a query for what is newer than `since`.
+/// Result of a query to the host at `addr` for the changes since `since`.
 pub struct PeerQueryResult {
     pub addr: SocketAddr,
     pub since: Revisions,
     pub result: sync::Result<ReceivedState>,
 }
 
-/// The hosts' records were read, or could not be.
+/// Records of all hosts in the store; `None` if they could not be read.
 pub struct HostRecordsRead(pub Option<Vec<HostRecord>>);
 
-/// The own record was written, or could not be.
+/// Whether this host's record was written to the store.
 pub struct HostRecordWritten(pub bool);
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -1,4 +1,4 @@
-//! What this host tells others and asks of them and of the store.
+//! Heartbeats and state queries to other hosts, and the records of hosts in the store.
 
 use std::sync::atomic::Ordering;
 
@@ -16,26 +16,30 @@
     store::{Entry, Expect, Platform, PlatformError, new_operation},
 };
 
-/// Length of a turn at sending the zone's report, in milliseconds of the time of day.
-const REPORT_TURN_MS: u64 = HEARTBEAT_INTERVAL.as_millis() as u64;
+/// Length of the time slots into which the wall clock is divided. The hosts of a zone take turns,
+/// by slot, to send the zone's report.
+const REPORT_SLOT_MS: u64 = HEARTBEAT_INTERVAL.as_millis() as u64;
 
-/// Pause before the own record is written again after a failure.
+/// Pause after a failure to write this host's record, or to read the records of all hosts.
 pub(super) const RECORD_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Time from the start to the writing of the own record: by then a host knows whether its zone has
-/// enough of them.
-pub(super) const FIRST_REGISTER_DELAY: Duration = Duration::from_millis(1_500);
+/// Time from the start until this host's record is written. By then the host knows whether enough
+/// hosts of its zone have records.
+pub(super) const FIRST_WRITE_RECORD_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Hosts of a zone that keep records. Who starts needs one living host to find all others; with
-/// records of all, each start of a fleet would write to the store once a host.
+/// Number of hosts in a zone that keep records in the store. A host that starts needs one live host
+/// to find all others; if all hosts had records, the start of a fleet would need as many writes as
+/// it has hosts.
 const RECORDED_HOSTS_PER_ZONE: usize = 3;
 
-/// Pause between two readings of the hosts' records, and the time from the start to the first:
-/// heartbeats tell the rest, and a host that was heard by then tells of the others.
-const LIST_HOSTS_INTERVAL: Duration = Duration::from_secs(60);
-/// Pause between two readings while nobody is heard.
-const ISOLATED_LIST_HOSTS_INTERVAL: Duration = Duration::from_secs(2);
-pub(super) const FIRST_LIST_HOSTS_DELAY: Duration = Duration::from_millis(1_000);
+/// Interval at which the records of all hosts are read. Between the reads, heartbeats carry the
+/// addresses of other hosts.
+const READ_RECORDS_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval of the reads while no other host is live.
+const ISOLATED_READ_RECORDS_INTERVAL: Duration = Duration::from_secs(2);
+/// Time from the start until the first read. By then another host may have sent the addresses of
+/// the others, which makes the read unnecessary.
+pub(super) const FIRST_READ_RECORDS_DELAY: Duration = Duration::from_millis(1_000);
 
 impl EntryControl {
     fn own_state(&self) -> OwnState {
@@ -49,17 +53,17 @@
         }
     }
 
-    /// Tells other hosts what is due now.
+    /// Sends the heartbeats, reports and probes that are due.
     pub(super) fn send_heartbeats(&mut self) {
         let messages =
-            self.fleet.tick(self.own_state(), unix_time_ms() / REPORT_TURN_MS, self.now());
+            self.fleet.tick(self.own_state(), unix_time_ms() / REPORT_SLOT_MS, self.now());
         self.send(messages);
     }
 
-    /// Tells other hosts what they must know at once.
+    /// Sends a change to other hosts at once.
     pub(super) fn announce(&mut self) {
         let messages =
-            self.fleet.announce(self.own_state(), unix_time_ms() / REPORT_TURN_MS, self.now());
+            self.fleet.announce(self.own_state(), unix_time_ms() / REPORT_SLOT_MS, self.now());
         self.send(messages);
     }
 
@@ -67,17 +71,17 @@
         for Outgoing { message, to } in messages {
             let bytes = match postcard::to_allocvec(&message) {
                 Ok(bytes) => bytes,
-                Err(error) => return log::error!("a datagram can't be encoded: {error}"),
+                Err(error) => return log::error!("cannot encode a datagram: {error}"),
             };
             for addr in to {
                 if let Err(error) = self.parts.socket.try_send_to(&bytes, addr) {
-                    log::debug!("datagram to {addr}: {error}");
+                    log::debug!("cannot send a datagram to {addr}: {error}");
                 }
             }
         }
     }
 
-    /// Asks another host that knows more.
+    /// Queries another host that has newer data, if a query is due.
     pub(super) fn query_peer(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
         let own_stamp = self.known_state.stamp();
@@ -104,7 +108,8 @@
         });
     }
 
-    /// Writes this host's record, or reads all.
+    /// Writes this host's record and reads the records of all hosts when due. Does nothing if
+    /// enough other hosts of the zone keep records.
     pub(super) fn sync_host_records(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
         let prefixes = self.parts.protocol.store_prefixes();
@@ -112,8 +117,8 @@
         if RECORDED_HOSTS_PER_ZONE <= self.fleet.rank_in_zone(now) {
             return;
         }
-        if self.register_at.is_some_and(|at| at <= now) {
-            self.register_at = Some(now + RECORD_RETRY_PAUSE * 4);
+        if self.write_record_at.is_some_and(|at| at <= now) {
+            self.write_record_at = Some(now + RECORD_RETRY_PAUSE * 4);
             let key = format!("{}{}", prefixes.hosts, self.parts.settings.host);
             let value = self.parts.protocol.encode_host(self.parts.settings.listen.gossip);
             let own = own.clone();
@@ -121,26 +126,26 @@
             tokio::spawn(async move {
                 let result = write_record(&*store, &key, value).await;
                 if let Err(error) = &result {
-                    log::info!("this host's record is not written: {error}");
+                    log::info!("cannot write this host's record to the store: {error}");
                 }
                 let _ = own.send(HostRecordWritten(result.is_ok())).await;
             });
         }
-        if self.list_hosts_at <= now {
-            self.list_hosts_at = now + LIST_HOSTS_INTERVAL;
+        if self.read_records_at <= now {
+            self.read_records_at = now + READ_RECORDS_INTERVAL;
             let is_alone = self.fleet.live(now).next().is_none();
             if self.fleet.is_new() && !is_alone {
                 return;
             }
             if is_alone {
-                self.list_hosts_at = now + ISOLATED_LIST_HOSTS_INTERVAL;
+                self.read_records_at = now + ISOLATED_READ_RECORDS_INTERVAL;
             }
             let protocol = self.parts.protocol.clone();
             let own = own.clone();
             tokio::spawn(async move {
                 let hosts = store.list_lagging(prefixes.hosts).await;
                 if let Err(error) = &hosts {
-                    log::info!("the hosts' records are not read: {error}");
+                    log::info!("cannot read the records of hosts from the store: {error}");
                 }
                 let record = |entry: &Entry| decode_record(&*protocol, entry);
                 let hosts =
@@ -150,12 +155,13 @@
         }
     }
 
-    /// Removes records of hosts that are gone, and writes the own one again if it is missing.
+    /// Removes records of hosts that have been silent for long, and has this host's record written
+    /// again if it is missing.
     pub(super) fn reconcile_host_records(&mut self, records: &[HostRecord]) {
         let now = self.now();
         let own = self.parts.settings.listen.gossip;
         if !records.iter().any(|record| record.gossip == own) {
-            self.register_at.get_or_insert(now);
+            self.write_record_at.get_or_insert(now);
         }
         let live = self.fleet.live(now).map(|peer| peer.info.gossip).collect();
         for record in self.stale_records.find_stale(records, &live, own, now) {
@@ -163,26 +169,28 @@
             tokio::spawn(async move {
                 let expect = Expect::Version(record.version);
                 match store.delete(&record.key, expect, new_operation()).await {
-                    Ok(_) => log::info!("{} is gone for long; its record is removed", record.key),
-                    Err(error) => log::info!("{} is not removed: {error}", record.key),
+                    Ok(_) => log::info!("removed the record {} of a silent host", record.key),
+                    Err(error) => log::info!("cannot remove the record {}: {error}", record.key),
                 }
             });
         }
     }
 }
 
+/// Decodes a host's record; an invalid one is logged and ignored.
 fn decode_record(protocol: &dyn Protocol, entry: &Entry) -> Option<HostRecord> {
     match protocol.decode_host(&entry.object.value) {
         Ok(gossip) => {
             Some(HostRecord { gossip, key: entry.key.clone(), version: entry.object.version })
         }
         Err(error) => {
-            log::warn!("{} is left out: {error}", entry.key);
+            log::warn!("ignoring the host record {}: {error}", entry.key);
             None
         }
     }
 }
 
+/// Creates a host's record, or replaces an existing one.
 async fn write_record(
     store: &dyn Platform,
     key: &str,
@@ -190,7 +198,7 @@
 ) -> crate::store::Result<()> {
     match store.put(key, Expect::Absent, value.clone(), new_operation()).await {
         Err(PlatformError::Conflict { current: Some(version) }) => {
-            // The record of this host's last start.
+            // The record was written by an earlier process of this host.
             store.put(key, Expect::Version(version), value, new_operation()).await.map(|_| ())
         }
         other => other.map(|_| ()),
--- a/src/entry/control/store_updates.rs
+++ b/src/entry/control/store_updates.rs
@@ -1,4 +1,4 @@
-//! What the store and other hosts tell, taken into what this host believes.
+//! Applies updates from the store and from other hosts to this host's copy of the store's objects.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 };
 
 impl EntryControl {
-    /// Decodes and keeps one object; true when something that matters changed.
+    /// Stores and decodes one written object; returns whether the usable state changed.
     fn apply_object(
         &mut self,
         part: StorePart,
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Replaces callers' keys by digests, since hosts neither keep nor exchange keys.
+    /// Replaces the callers' keys in a declaration by digests, since hosts neither keep nor
+    /// exchange keys. Returns other objects unchanged, and `None` for an invalid declaration.
     fn replace_keys_by_digests(
         &self,
         part: StorePart,
@@ -121,7 +122,9 @@
         self.raw_objects.remove(&(part, key.clone()));
         match part {
             StorePart::Declared => {
-                log::warn!("the declaration was removed; the one in force stands");
+                log::warn!(
+                    "the declaration was removed from the store; the last known one stays in force"
+                );
                 false
             }
             StorePart::Evacuations => {
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Takes all objects of a part in place of those known before.
+    /// Replaces all objects of a part; returns whether the usable state changed.
     pub(super) fn apply_listing(
         &mut self,
         part: StorePart,
@@ -202,10 +205,10 @@
 
     fn apply_changes(&mut self, part: StorePart, changes: Vec<Change>) -> bool {
         let mut changed = false;
-        // Another host may have told this and more already; taken in again, it would go back to
-        // what was.
-        let known = self.known_state.revisions().of(part);
-        for change in changes.into_iter().filter(|change| known < change.version) {
+        // Another host may already have sent this change and later ones; applying it again would
+        // restore the old state.
+        let known_revision = self.known_state.revisions().of(part);
+        for change in changes.into_iter().filter(|change| known_revision < change.version) {
             self.known_state.record_revision(part, change.version);
             let key = object_name(&change.key);
             changed |= match change.object {
@@ -216,6 +219,7 @@
         changed
     }
 
+    /// Applies an update from the store; returns whether the usable state changed.
     pub(super) fn apply_update(&mut self, part: StorePart, update: Followed) -> bool {
         match update {
             Followed::Changed(changes) => {
@@ -231,7 +235,7 @@
             }
             Followed::Listed(Listing { entries, version }) => {
                 self.store_answered(part);
-                // The first listing may be out of date.
+                // The first listing may be some seconds old.
                 let may_lag = self.known_state.revisions().of(part) == 0;
                 self.known_state.record_revision(part, version);
                 let object = |entry: Entry| {
@@ -253,8 +257,8 @@
         }
     }
 
-    /// Records that the store has just returned its latest declaration or confirmed that there is no
-    /// later one.
+    /// Records that the store has just returned its latest declaration or confirmed that there is
+    /// no later one. Ignores other parts.
     fn record_declaration_check(&mut self, part: StorePart) {
         if part == StorePart::Declared {
             self.declaration_checked_at = Some(self.now());
@@ -276,7 +280,7 @@
 
     fn store_failed(&mut self, part: StorePart, error: &PlatformError) {
         if matches!(error, PlatformError::TooOld { .. }) {
-            log::info!("the store forgot what {part:?} was watched from; it is listed anew");
+            log::info!("the store no longer has the watched version of {part:?}; listing it again");
             return;
         }
         let now = self.now();
@@ -315,7 +319,7 @@
         });
     }
 
-    /// Tells that a target's entry is gone.
+    /// Records that a target was dropped.
     pub(super) fn record_target_gone(&self, target: TargetId, source: Source) {
         let store_version = self.known_state.revisions().targets;
         self.record_event(Event::TargetGone { source, store_version, target });
@@ -339,11 +343,12 @@
     }
 }
 
+/// Number of routes in a declaration.
 fn route_count(declaration: &Declaration) -> usize {
     declaration.routes.values().map(Vec::len).sum()
 }
 
-/// The name of an object, without its prefix.
+/// Name of an object: its key without the prefix.
 fn object_name(key: &Arc<str>) -> Arc<str> {
     key.rsplit_once('/').map_or_else(|| key.clone(), |(_, name)| name.into())
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,9 +1,10 @@
-//! Entry hosts on a platform whose callers know nothing of owners or bindings.
+//! Entry hosts: reverse proxies that forward callers' requests to targets.
 //!
-//! Every host accepts any request and forwards it to a target itself. Hosts agree on a choice by
-//! hashing data that all of them know; durable data is kept in the platform's store. The decision
-//! logic (`crash_suspects`, `known_state`, and the modules `fleet` and `placement`) neither reads
-//! clocks nor does I/O; the other submodules carry the decisions out.
+//! Every host accepts any request and forwards it to a target itself; callers need not know which
+//! host is responsible for what. Where hosts have to agree on a choice, each computes it by hashing
+//! data that all of them have; durable data is kept in the platform's store. The decision logic
+//! (`crash_suspects`, `known_state`, and the modules `fleet` and `placement`) neither reads clocks
+//! nor does I/O; the other submodules carry the decisions out.
 
 mod access;
 mod attempt;
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision logic, without clocks and sockets.
+//! Unit tests of entry hosts, without clocks and sockets, and helpers that they share.
 
 mod access;
 mod body_memory;
--- a/src/entry/tests/propagation.rs
+++ b/src/entry/tests/propagation.rs
@@ -1,7 +1,8 @@
-//! Propagation of a change to the hosts of a region: a replay of their queries, without sockets.
+//! Simulation of how a change propagates to the hosts of a region by their state queries, without
+//! sockets.
 //!
-//! All hosts are of the smallest size. The model charges compression to their processors and answers
-//! to their links; sizes and rates are a tenth of real ones.
+//! All hosts have the smallest supported size. The model accounts for the CPU time of compression
+//! and for the time that responses take on a host's link; sizes and rates are a tenth of real ones.
 
 use std::collections::VecDeque;
 
@@ -16,25 +17,26 @@
     prelude::*,
 };
 
-/// Step of the model's time.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Bytes of objects that a tenth of a core compresses in a second.
-const PACKED_PER_S: f64 = 100_000.0;
+/// Bytes of objects that a tenth of a CPU core compresses per second.
+const COMPRESSED_BYTES_PER_S: f64 = 100_000.0;
 
-/// Bandwidth of a link, in bytes a second.
-const LINK_PER_S: f64 = 125_000.0;
+/// Bandwidth of a link.
+const LINK_BYTES_PER_S: f64 = 125_000.0;
 
-/// Routes of a declaration close to the store's largest object.
+/// Number of routes of a declaration that is close to the store's maximum object size.
 const ROUTES: u32 = 400;
 
-/// Time within which a change is to be in force and a retiring target gets nothing more.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// Time within which a change must be in force at all hosts, and a target that shuts down must get
+/// no more requests.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Delays with which the two watchers of the region receive a change.
-const WATCHERS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
+const WATCHER_DELAYS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
 
-/// A change at the store.
+/// A change of an object in the store.
 #[derive(Clone)]
 struct Change {
     at: Moment,
@@ -44,33 +46,34 @@
     revision: u64,
 }
 
+/// A query that waits at the queried host.
 struct Query {
     from: usize,
     since: Revisions,
 }
 
-/// An answer in transit; without content where the query was rejected.
-struct Answer {
-    at: Moment,
+/// A response in transit; without content if the query was rejected.
+struct Response {
+    arrives_at: Moment,
     from: usize,
     since: Revisions,
-    packed: Option<bytes::Bytes>,
+    encoded: Option<bytes::Bytes>,
 }
 
 struct Host {
-    answers: ResponseCache,
+    response_cache: ResponseCache,
     busy_until: Moment,
-    incoming: VecDeque<Answer>,
-    link_free: Moment,
+    incoming: VecDeque<Response>,
+    link_busy_until: Moment,
     queries: VecDeque<Query>,
-    questions: PeerQueries,
-    /// Arrival times of its answers in transit.
-    sending: Vec<Moment>,
-    raw: RawObjects,
+    peer_queries: PeerQueries,
+    /// Arrival times of this host's responses that are in transit.
+    response_arrivals: Vec<Moment>,
+    raw_objects: RawObjects,
     revisions: Revisions,
-    /// The stamp of its last heartbeat.
-    announced: Stamp,
-    /// The host that it has queried, and when.
+    /// The stamp in its last heartbeat.
+    announced_stamp: Stamp,
+    /// The host that was queried, and when; `None` if no query is in flight.
     pending: Option<(usize, Moment)>,
 }
 
@@ -80,13 +83,13 @@
         Stamp { declared, evacuations: 0, revisions: self.revisions, targets }
     }
 
-    fn take(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         let key = (change.part, change.name.clone());
-        self.raw.insert(key, (change.revision, change.object.clone()));
-        self.saw(change.part, change.revision);
+        self.raw_objects.insert(key, (change.revision, change.object.clone()));
+        self.record_revision(change.part, change.revision);
     }
 
-    fn saw(&mut self, part: StorePart, revision: u64) {
+    fn record_revision(&mut self, part: StorePart, revision: u64) {
         match part {
             StorePart::Declared => self.revisions.declared = revision,
             StorePart::Evacuations => self.revisions.evacuations = revision,
@@ -94,33 +97,38 @@
         }
     }
 
-    fn learn(&mut self, received: &ReceivedState, since: Revisions) {
-        for difference in &received.diff.parts {
-            let (part, revision) = (difference.part, difference.revision);
+    fn apply_response(&mut self, received: &ReceivedState, since: Revisions) {
+        for diff in &received.diff.parts {
+            let (part, revision) = (diff.part, diff.revision);
             if revision <= self.revisions.of(part) {
                 continue;
             }
-            let objects = difference.apply_to(&self.raw);
-            self.raw.retain(|(kept, _), _| *kept != part);
+            let objects = diff.apply_to(&self.raw_objects);
+            self.raw_objects.retain(|(kept, _), _| *kept != part);
             for (name, version, object) in objects {
-                self.raw.insert((part, name), (version, object));
+                self.raw_objects.insert((part, name), (version, object));
             }
-            self.saw(part, revision);
-            self.answers.cache_received(received, part, &self.raw, since);
+            self.record_revision(part, revision);
+            self.response_cache.cache_received(received, part, &self.raw_objects, since);
         }
     }
 
-    /// Answers the next query; returns it with the answer and the time of its arrival.
-    fn answer_next(&mut self, now: Moment) -> Option<(Query, Moment, bytes::Bytes)> {
+    /// Responds to the next query; returns the query, the arrival time of the response, and the
+    /// response.
+    fn respond_to_next(&mut self, now: Moment) -> Option<(Query, Moment, bytes::Bytes)> {
         let query = self.queries.pop_front()?;
-        let before = self.answers.compressed_bytes();
-        let packed = self.answers.response(&self.raw, self.revisions, query.since).expect("packed");
-        let work = (self.answers.compressed_bytes() - before) as f64 / PACKED_PER_S;
-        self.busy_until = now + Duration::from_secs_f64(work);
-        let sent = Duration::from_secs_f64(packed.len() as f64 / LINK_PER_S);
-        self.link_free = self.link_free.max(self.busy_until) + sent;
-        self.sending.push(self.link_free);
-        Some((query, self.link_free, packed))
+        let bytes_before = self.response_cache.compressed_bytes();
+        let encoded = self
+            .response_cache
+            .response(&self.raw_objects, self.revisions, query.since)
+            .expect("it can be encoded");
+        let compress_s =
+            (self.response_cache.compressed_bytes() - bytes_before) as f64 / COMPRESSED_BYTES_PER_S;
+        self.busy_until = now + Duration::from_secs_f64(compress_s);
+        let transfer = Duration::from_secs_f64(encoded.len() as f64 / LINK_BYTES_PER_S);
+        self.link_busy_until = self.link_busy_until.max(self.busy_until) + transfer;
+        self.response_arrivals.push(self.link_busy_until);
+        Some((query, self.link_busy_until, encoded))
     }
 }
 
@@ -128,7 +136,7 @@
     SocketAddr::from(([127, 0, 0, 1], host as u16 + 1))
 }
 
-/// Two zones of a region, in turn.
+/// A region whose hosts alternate between two zones.
 struct Region {
     changes: Vec<Change>,
     hosts: Vec<Host>,
@@ -138,39 +146,40 @@
 impl Region {
     fn new(count: usize, changes: Vec<Change>) -> Self {
         let host = |at| Host {
-            answers: ResponseCache::default(),
+            response_cache: ResponseCache::default(),
             busy_until: Moment::ZERO,
             incoming: VecDeque::new(),
-            link_free: Moment::ZERO,
+            link_busy_until: Moment::ZERO,
             queries: VecDeque::new(),
-            questions: PeerQueries::new(addr(at)),
-            raw: RawObjects::new(),
+            peer_queries: PeerQueries::new(addr(at)),
+            raw_objects: RawObjects::new(),
             revisions: Revisions::default(),
-            sending: Vec::new(),
-            announced: Stamp::default(),
+            response_arrivals: Vec::new(),
+            announced_stamp: Stamp::default(),
             pending: None,
         };
         Self { changes, hosts: (0..count).map(host).collect(), now: secs(1.0) }
     }
 
-    /// The stamps that a host receives: of each host of its zone, and of the other zone's most
-    /// up-to-date host for each part.
-    fn informed(&self, of: usize) -> Vec<StateSource> {
-        let informed_host =
-            |at: usize| StateSource { control: addr(at), stamp: self.hosts[at].announced };
+    /// The stamps that a host receives: of each other host of its zone, and, for each part, of the
+    /// host of the other zone with the newest data.
+    fn state_sources(&self, host: usize) -> Vec<StateSource> {
+        let source =
+            |at: usize| StateSource { control: addr(at), stamp: self.hosts[at].announced_stamp };
         let (near, far): (Vec<usize>, Vec<usize>) =
-            (0..self.hosts.len()).filter(|at| *at != of).partition(|at| at % 2 == of % 2);
-        let mut informed: Vec<StateSource> = near.into_iter().map(informed_host).collect();
+            (0..self.hosts.len()).filter(|at| *at != host).partition(|at| at % 2 == host % 2);
+        let mut sources: Vec<StateSource> = near.into_iter().map(source).collect();
         for part in [StorePart::Declared, StorePart::Targets] {
-            let most = far.iter().max_by_key(|at| self.hosts[**at].announced.revisions.of(part));
-            informed.extend(most.map(|at| informed_host(*at)));
+            let newest =
+                far.iter().max_by_key(|at| self.hosts[**at].announced_stamp.revisions.of(part));
+            sources.extend(newest.map(|at| source(*at)));
         }
-        informed
+        sources
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        for (watcher, delay) in WATCHERS.into_iter().enumerate() {
+        for (watcher, delay) in WATCHER_DELAYS.into_iter().enumerate() {
             self.watch(watcher, self.now.saturating_sub(delay));
         }
         for at in 0..self.hosts.len() {
@@ -182,7 +191,7 @@
         }
     }
 
-    /// A watcher takes in changes only while its control thread is free.
+    /// Applies the changes until `until` to a watcher, unless its control thread is busy.
     fn watch(&mut self, at: usize, until: Moment) {
         let host = &mut self.hosts[at];
         if self.now < host.busy_until {
@@ -190,7 +199,7 @@
         }
         for change in self.changes.iter().filter(|change| change.at <= until) {
             if host.revisions.of(change.part) < change.revision {
-                host.take(change);
+                host.apply_change(change);
             }
         }
     }
@@ -198,35 +207,43 @@
     fn receive(&mut self, at: usize) {
         let now = self.now;
         let host = &mut self.hosts[at];
-        while host.incoming.front().is_some_and(|answer| answer.at <= now) {
-            let Some(answer) = host.incoming.pop_front() else { break };
-            if host.pending.is_none_or(|(queried, _)| queried != answer.from) {
+        while host.incoming.front().is_some_and(|response| response.arrives_at <= now) {
+            let Some(response) = host.incoming.pop_front() else { break };
+            if host.pending.is_none_or(|(queried, _)| queried != response.from) {
                 continue;
             }
             host.pending = None;
-            let end = match answer.packed {
+            let outcome = match response.encoded {
                 Some(_) => QueryOutcome::Answered,
                 None => QueryOutcome::Busy,
             };
-            host.questions.record_outcome(addr(answer.from), end, now);
-            if let Some(packed) = answer.packed {
-                host.learn(&ReceivedState::decode(&packed).expect("an answer"), answer.since);
+            host.peer_queries.record_outcome(addr(response.from), outcome, now);
+            if let Some(encoded) = response.encoded {
+                host.apply_response(
+                    &ReceivedState::decode(&encoded).expect("a valid response"),
+                    response.since,
+                );
             }
         }
         if let Some((queried, since)) = host.pending
             && QUERY_TIMEOUT <= now.saturating_sub(since)
         {
             host.pending = None;
-            host.questions.record_outcome(addr(queried), QueryOutcome::Failed, now);
+            host.peer_queries.record_outcome(addr(queried), QueryOutcome::Failed, now);
         }
     }
 
     fn serve(&mut self, at: usize) {
         let host = &mut self.hosts[at];
-        host.announced = host.stamp();
-        if let Some((query, arrives, packed)) = host.answer_next(self.now) {
-            let answer = Answer { at: arrives, from: at, since: query.since, packed: Some(packed) };
-            self.hosts[query.from].incoming.push_back(answer);
+        host.announced_stamp = host.stamp();
+        if let Some((query, arrives, encoded)) = host.respond_to_next(self.now) {
+            let response = Response {
+                arrives_at: arrives,
+                from: at,
+                since: query.since,
+                encoded: Some(encoded),
+            };
+            self.hosts[query.from].incoming.push_back(response);
         }
     }
 
@@ -235,34 +252,36 @@
             return;
         }
         let region = RegionId::from("north");
-        let informed = self.informed(at);
-        let others = informed.into_iter().map(|informed| (&region, informed));
-        let (mine, watches, now) = (self.hosts[at].stamp(), at < WATCHERS.len(), self.now);
+        let sources = self.state_sources(at);
+        let others = sources.into_iter().map(|source| (&region, source));
+        let (own_stamp, is_watcher, now) =
+            (self.hosts[at].stamp(), at < WATCHER_DELAYS.len(), self.now);
         let Some(queried) =
-            self.hosts[at].questions.next_peer(&mine, others, &region, watches, now)
+            self.hosts[at].peer_queries.next_peer(&own_stamp, others, &region, is_watcher, now)
         else {
             return;
         };
         let queried = usize::from(queried.port()) - 1;
         self.hosts[at].pending = Some((queried, now));
         let other = &mut self.hosts[queried];
-        other.sending.retain(|arrives| now < *arrives);
-        if MAX_CONCURRENT_RESPONSES <= other.queries.len() + other.sending.len() {
-            let since = mine.revisions;
-            let refusal = Answer { at: now + STEP, from: queried, since, packed: None };
-            return self.hosts[at].incoming.push_back(refusal);
+        other.response_arrivals.retain(|arrives| now < *arrives);
+        if MAX_CONCURRENT_RESPONSES <= other.queries.len() + other.response_arrivals.len() {
+            let since = own_stamp.revisions;
+            let rejection =
+                Response { arrives_at: now + STEP, from: queried, since, encoded: None };
+            return self.hosts[at].incoming.push_back(rejection);
         }
-        other.queries.push_back(Query { from: at, since: mine.revisions });
+        other.queries.push_back(Query { from: at, since: own_stamp.revisions });
     }
 
-    /// The longest time from a change until the last host knew it.
-    fn latest(&mut self, until: Moment) -> Duration {
+    /// Runs until `until`; returns the longest time from a change until all hosts had it.
+    fn max_propagation_time(&mut self, until: Moment) -> Duration {
         let mut latest = Duration::ZERO;
         while self.now < until {
             self.step();
             for change in self.changes.iter().filter(|change| change.at <= self.now) {
-                let knows = |host: &Host| change.revision <= host.revisions.of(change.part);
-                if !self.hosts.iter().all(knows) {
+                let is_known = |host: &Host| change.revision <= host.revisions.of(change.part);
+                if !self.hosts.iter().all(is_known) {
                     latest = latest.max(self.now - change.at);
                 }
             }
@@ -271,7 +290,7 @@
     }
 }
 
-fn declared(revision: u64) -> bytes::Bytes {
+fn declaration(revision: u64) -> bytes::Bytes {
     let route = |at: u32| {
         let name = at.wrapping_mul(2_654_435_761);
         format!(
@@ -282,9 +301,10 @@
     format!(r#"{{"version":"{revision:08x}","rules":[{}]}}"#, routes.join(",")).into()
 }
 
-/// Targets are replaced every half second while two large declarations come in a row.
+/// A target is replaced every half second; meanwhile two large declarations are written shortly
+/// after each other.
 fn release_with_declarations() -> Vec<Change> {
-    let target = |at: u64| Change {
+    let replace_target = |at: u64| Change {
         at: secs(2.0) + Duration::from_millis(500 * at),
         name: format!("t-{at}").into(),
         object: format!(r#"{{"name":"t-{at}","state":"ready","slots":4}}"#).into(),
@@ -294,25 +314,30 @@
     let declare = |at: f64, revision| Change {
         at: secs(at),
         name: "main".into(),
-        object: declared(revision),
+        object: declaration(revision),
         part: StorePart::Declared,
         revision,
     };
-    (0..30).map(target).chain([declare(1.0, 1), declare(6.25, 22), declare(8.6, 27)]).collect()
+    (0..30)
+        .map(replace_target)
+        .chain([declare(1.0, 1), declare(6.25, 22), declare(8.6, 27)])
+        .collect()
 }
 
-/// Hosts that compress a declaration for each querying host miss later changes meanwhile.
+/// Hosts that compress a declaration again for each querying host are busy and get later changes
+/// too late.
 #[test]
 fn a_large_declaration_is_in_force_in_time_during_a_release() {
     let mut region = Region::new(22, release_with_declarations());
-    let latest = region.latest(secs(22.0));
-    assert!(latest < IN_FORCE, "a host knew of a change after {latest:?}");
+    let latest = region.max_propagation_time(secs(22.0));
+    assert!(latest < MAX_PROPAGATION_TIME, "a change reached the last host after {latest:?}");
 }
 
-/// The few hosts that know a change answer queries that have timed out, and most hosts learn it late.
+/// If the few hosts that have a change respond to queries that have timed out already, most hosts
+/// get it too late.
 #[test]
 fn a_large_declaration_is_in_force_in_time_in_a_large_region() {
     let mut region = Region::new(170, release_with_declarations());
-    let latest = region.latest(secs(22.0));
-    assert!(latest < IN_FORCE, "a host knew of a change after {latest:?}");
+    let latest = region.max_propagation_time(secs(22.0));
+    assert!(latest < MAX_PROPAGATION_TIME, "a change reached the last host after {latest:?}");
 }
