--- a/src/entry/access.rs
+++ b/src/entry/access.rs
@@ -28,17 +28,17 @@
     ///
     /// A public route needs no key, but a known key still identifies the team.
     pub fn check(
-        declared: &Declaration,
+        declaration: &Declaration,
         route: &Route,
         key: &CallerKey,
         age: Option<Duration>,
         bounds: &Bounds,
     ) -> Self {
-        if declared.teams.is_empty() {
+        if declaration.teams.is_empty() {
             return Self::Granted(None);
         }
         let team = match key {
-            CallerKey::One(key) => declared.teams.find_by_key(key),
+            CallerKey::One(key) => declaration.teams.find_by_key(key),
             CallerKey::Missing | CallerKey::Multiple => None,
         };
         let within = |max_age: Duration| age.is_some_and(|age| age <= max_age);
--- a/src/entry/known_state.rs
+++ b/src/entry/known_state.rs
@@ -217,7 +217,7 @@
         let mut evacuations = Xxh3Default::new();
         self.evacuated_zones.iter().for_each(|zone| evacuations.update(zone.as_bytes()));
         Stamp {
-            declared: self.declaration.as_ref().map_or(0, |declared| declared.version),
+            declared: self.declaration.as_ref().map_or(0, |declaration| declaration.version),
             evacuations: evacuations.digest(),
             targets: self.targets_digest,
             revisions: self.revisions,
--- a/src/entry/service_state.rs
+++ b/src/entry/service_state.rs
@@ -82,12 +82,12 @@
     /// Logs the shares if any of them has changed enough since they were last logged.
     pub fn report_shares(&mut self, events: &dyn EventSink, service: &ServiceId) {
         let Some(shares) = &self.shares else { return };
-        let rounded = |part: f64| (part * 1e3).round() / 1e3;
+        let rounded = |share: f64| (share * 1e3).round() / 1e3;
         let now: BTreeMap<RegionId, f64> =
-            shares.iter().map(|(region, part)| (region.clone(), rounded(part))).collect();
-        let moved = |(region, part): (&RegionId, &f64)| {
+            shares.iter().map(|(region, share)| (region.clone(), rounded(share))).collect();
+        let moved = |(region, share): (&RegionId, &f64)| {
             let reported = self.reported_shares.get(region).copied().unwrap_or_default();
-            MIN_REPORTED_SHARE_CHANGE <= (part - reported).abs()
+            MIN_REPORTED_SHARE_CHANGE <= (share - reported).abs()
         };
         if now.iter().any(moved) {
             self.reported_shares = now.clone();
--- a/src/entry/tests/access.rs
+++ b/src/entry/tests/access.rs
@@ -23,7 +23,7 @@
     CallerKey::One(KeyDigest::of(text.as_bytes()))
 }
 
-fn declared() -> Declaration {
+fn declaration() -> Declaration {
     let keys = |all: &[&str]| all.iter().map(|key| KeyDigest::of(key.as_bytes())).collect();
     let teams = vec![(team("lyra"), keys(&["k-1", "k-2"])), (team("vega"), keys(&["k-3"]))];
     Declaration { teams: Teams::new(teams).expect("distinct keys"), ..Declaration::default() }
@@ -46,7 +46,7 @@
 }
 
 fn access(key: &CallerKey, age: Option<f64>) -> Access {
-    Access::check(&declared(), &route(false), key, age.map(secs), &bounds())
+    Access::check(&declaration(), &route(false), key, age.map(secs), &bounds())
 }
 
 /// Guards against attributing a caller to the wrong team or accepting it without a key.
@@ -81,7 +81,7 @@
 fn known_keys_work_without_the_store_unless_revocation_is_strict() {
     assert_matches!(access(&key("k-1"), None), Access::Granted(Some(_)));
     let strict = Bounds { revoke: Some(secs(3.0)), strict_revocation: Some(true), ..bounds() };
-    let access = |age| Access::check(&declared(), &route(false), &key("k-1"), age, &strict);
+    let access = |age| Access::check(&declaration(), &route(false), &key("k-1"), age, &strict);
     assert_matches!(access(Some(secs(3.0))), Access::Granted(Some(_)));
     assert_eq!(access(Some(secs(3.1))), Access::Unchecked);
     assert_eq!(access(None), Access::Unchecked);
@@ -90,7 +90,8 @@
 /// Guards against requiring a key on public routes or in deployments without teams.
 #[test]
 fn public_routes_and_deployments_without_teams_need_no_key() {
-    let public = |key: &CallerKey| Access::check(&declared(), &route(true), key, None, &bounds());
+    let public =
+        |key: &CallerKey| Access::check(&declaration(), &route(true), key, None, &bounds());
     assert_eq!(public(&CallerKey::Missing), Access::Granted(None));
     assert_eq!(public(&key("k-4")), Access::Granted(None));
     assert_matches!(public(&key("k-3")), Access::Granted(Some(team)) if &*team.name == "vega");
@@ -139,8 +140,8 @@
     let view = |version, limit| {
         let teams = Teams::new(vec![(Team { limit, ..team("lyra") }, Vec::new())]);
         let teams = teams.expect("one team");
-        let declared = Declaration { teams, version, ..Declaration::default() };
-        View { declaration: Some(Arc::new(declared)), ..View::default() }
+        let declaration = Declaration { teams, version, ..Declaration::default() };
+        View { declaration: Some(Arc::new(declaration)), ..View::default() }
     };
     let older = view(1, Some(TeamLimit { burst: 0.0, rate: 0.001 }));
     let newer = view(2, None);
