--- a/src/membership/digest.rs
+++ b/src/membership/digest.rs
@@ -64,7 +64,7 @@
 const MAX_COUNTER: u64 = 1 << 62;
 
 impl Digest {
-    /// Whether every counter is below `MAX_COUNTER`.
+    /// Whether all heartbeat counters, zone counters and epochs are below `MAX_COUNTER`.
     pub(super) fn is_plausible(&self) -> bool {
         let entries = std::iter::once(&self.from).chain(&self.hosts);
         let zones = self.zones.iter().chain(self.zone_hosts.iter().map(|entry| &entry.summary));
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -154,9 +154,9 @@
             Some(theirs) if theirs.hash == own.hash => response.zones.push(own),
             _ => response.zone_hosts.push(self.zone_entry()),
         }
-        let lacked = digest.zones.iter().filter(|zone| zone.zone != self.own.view.zone);
-        let lacked = lacked.filter(|zone| self.zones.lacks(zone));
-        response.wants = lacked.map(|zone| zone.zone.clone()).collect();
+        let missing = digest.zones.iter().filter(|zone| zone.zone != self.own.view.zone);
+        let missing = missing.filter(|zone| self.zones.lacks(zone));
+        response.wants = missing.map(|zone| zone.zone.clone()).collect();
     }
 
     fn apply(&mut self, digest: &Digest, now: Moment) {
--- a/src/membership/machine.rs
+++ b/src/membership/machine.rs
@@ -112,8 +112,8 @@
         self
     }
 
-    /// Adds hosts that may be live, such as those on the platform's list. They are contacted, but
-    /// not counted as live before they respond.
+    /// Adds hosts that may be live, learnt from another source than their own heartbeats. They are
+    /// contacted, but not counted as live before they are heard.
     pub fn add_contacts(&mut self, hosts: impl IntoIterator<Item = HostView>) {
         let unknown = hosts.into_iter().filter(|host| !self.is_live(host)).collect::<Vec<_>>();
         self.contacts.add(unknown);
--- a/src/membership/simulation.rs
+++ b/src/membership/simulation.rs
@@ -27,7 +27,7 @@
     pub now: Moment,
     by_address: BTreeMap<SocketAddr, Vec<usize>>,
     partitions: BTreeSet<(ZoneId, ZoneId)>,
-    due: BinaryHeap<Reverse<(Moment, usize, Round)>>,
+    due: BinaryHeap<Reverse<(Moment, usize, Wakeup)>>,
     limits: MembershipLimits,
     rng: ChaCha8Rng,
     last_start_ms: u64,
@@ -48,8 +48,9 @@
     phase: Duration,
 }
 
+/// Why a host starts exchanges: a changed payload or a tick.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Round {
+enum Wakeup {
     Push,
     Tick,
 }
@@ -87,7 +88,7 @@
         }
         self.by_address.entry(view.rpc).or_default().push(self.nodes.len());
         let phase = Duration::from_micros(self.rng.random_range(0..1_000_000));
-        self.due.push(Reverse((self.now + phase, self.nodes.len(), Round::Tick)));
+        self.due.push(Reverse((self.now + phase, self.nodes.len(), Wakeup::Tick)));
         self.nodes.push(Node {
             bytes: 0,
             events: Vec::new(),
@@ -115,7 +116,7 @@
     pub fn publish(&mut self, node: usize, payload: Payload) {
         self.nodes[node].payload = payload.clone();
         self.nodes[node].membership.set_payload(payload);
-        self.due.push(Reverse((self.now, node, Round::Push)));
+        self.due.push(Reverse((self.now, node, Wakeup::Push)));
     }
 
     /// Runs the simulation for `time`.
@@ -165,15 +166,15 @@
     }
 
     fn step(&mut self) {
-        let Some(Reverse((due, at, round))) = self.due.pop() else { return };
+        let Some(Reverse((due, at, wakeup))) = self.due.pop() else { return };
         self.now = self.now.max(due);
-        if round == Round::Tick {
-            self.due.push(Reverse((due + self.limits.tick, at, Round::Tick)));
+        if wakeup == Wakeup::Tick {
+            self.due.push(Reverse((due + self.limits.tick, at, Wakeup::Tick)));
         }
         if self.nodes[at].paused {
             return;
         }
-        if round == Round::Tick {
+        if wakeup == Wakeup::Tick {
             let events = self.nodes[at].membership.tick(self.now);
             self.record_events(at, events);
         }
@@ -243,7 +244,7 @@
         if payload != node.payload {
             node.payload = payload.clone();
             node.membership.set_payload(payload);
-            self.due.push(Reverse((self.now + FORWARD_DELAY, at, Round::Push)));
+            self.due.push(Reverse((self.now + FORWARD_DELAY, at, Wakeup::Push)));
         }
     }
 }
