--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -110,7 +110,7 @@
     fn add(&mut self, waiting: Waiting) {
         self.waiting.push_back(waiting);
         let len = self.waiting.len();
-        invariant::hold(len <= self.capacity, "queue-bounded", || format!("{len} waiting"));
+        invariant::check(len <= self.capacity, "queue-bounded", || format!("{len} waiting"));
     }
 
     fn is_expired(&self, waiting: &Waiting, now: Moment) -> bool {
--- a/src/admission/retry_budget.rs
+++ b/src/admission/retry_budget.rs
@@ -90,7 +90,7 @@
         }
         self.bucket(now).retries += 1;
         let (_, retries) = self.window_totals(now);
-        invariant::hold(f64::from(retries) <= allowed, "retry-budget", || {
+        invariant::check(f64::from(retries) <= allowed, "retry-budget", || {
             format!("{retries} retries of {first}")
         });
         true
--- a/src/admission/slots.rs
+++ b/src/admission/slots.rs
@@ -111,11 +111,11 @@
     /// Releases a slot.
     pub fn release(&mut self, target: &TargetId, slot: SlotId, _now: Moment) {
         let Some(usage) = self.targets.get_mut(target) else {
-            return invariant::hold(false, "slot-released-once", || format!("{target}: {slot}"));
+            return invariant::check(false, "slot-released-once", || format!("{target}: {slot}"));
         };
         let was_held = usage.in_use.remove(&slot);
         usage.exclusive = usage.exclusive.filter(|&exclusive| exclusive != slot);
-        invariant::hold(was_held, "slot-released-once", || format!("{target}: {slot}"));
+        invariant::check(was_held, "slot-released-once", || format!("{target}: {slot}"));
         if !usage.owned && usage.in_use.is_empty() {
             self.targets.remove(target);
         }
@@ -178,11 +178,11 @@
 
     fn check_invariants(&self, target: &TargetId, now: Moment) {
         let (occupied, slots) = (self.occupied(now), self.slots);
-        invariant::hold(occupied <= slots, "slots-within-target", || {
+        invariant::check(occupied <= slots, "slots-within-target", || {
             format!("{target}: {occupied} of {slots}")
         });
         let is_alone = self.exclusive.is_none() || self.in_use.len() == 1;
-        invariant::hold(is_alone, "exclusive-slot-alone", || format!("{target}"));
+        invariant::check(is_alone, "exclusive-slot-alone", || format!("{target}"));
     }
 
     fn in_flight(&self) -> u32 {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -76,7 +76,8 @@
 #[test]
 fn broken_invariants_are_reported() {
     let target: TargetId = "a".into();
-    let names = || invariant::take().iter().map(|broken| broken.name).collect::<Vec<_>>();
+    let names =
+        || invariant::take_violations().iter().map(|broken| broken.name).collect::<Vec<_>>();
     let mut slots = Slots::new(secs(5));
     slots.set_owned(&[owned(false, false)], secs(0));
     let slot = slots.acquire_exclusive(&target, 3, secs(0)).unwrap();
--- a/src/base/cause.rs
+++ b/src/base/cause.rs
@@ -3,7 +3,7 @@
 use std::{error::Error, sync::Arc};
 
 /// The innermost cause of an error: the outer ones say little.
-pub fn cause_of(error: &dyn Error) -> Arc<str> {
+pub fn root_cause(error: &dyn Error) -> Arc<str> {
     let mut cause = error;
     while let Some(inner) = cause.source() {
         cause = inner;
@@ -12,7 +12,7 @@
 }
 
 /// The error with its innermost cause, such as `connection error: connection reset`.
-pub fn with_cause(error: &dyn Error) -> Arc<str> {
-    let (outer, cause) = (error.to_string(), cause_of(error));
+pub fn with_root_cause(error: &dyn Error) -> Arc<str> {
+    let (outer, cause) = (error.to_string(), root_cause(error));
     if outer == *cause { cause } else { format!("{outer}: {cause}").into() }
 }
--- a/src/base/error_kind.rs
+++ b/src/base/error_kind.rs
@@ -33,7 +33,7 @@
 
 /// One row of the table: what the caller is told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct AnswerRow {
+pub struct ErrorResponse {
     /// Whether the request ran.
     pub ran: Ran,
     /// Whether the caller may send it again.
@@ -178,47 +178,47 @@
     ];
 
     /// The row of the table for this kind.
-    pub fn row(self) -> AnswerRow {
+    pub fn response(self) -> ErrorResponse {
         use ErrorKind::*;
         use Ran::{No, Unknown, Yes};
         use Resend::{Fresh, Never, Same};
         match self {
-            AnswerBroken => row(502, Unknown, Same, None),
-            AnswerNotKept => row(409, Yes, Never, None),
-            ApiKeyUnchecked => row(503, No, Same, Some(1)),
-            ApiKeyUnknown => row(401, No, Never, None),
-            BadRequest => row(400, No, Never, None),
-            BindingClosed => row(503, No, Fresh, None),
-            BindingMissing => row(428, No, Fresh, None),
-            BodyTooLarge => row(413, No, Never, None),
-            BookingIncomplete => row(428, Unknown, Same, None),
-            BookingMalformed => row(400, Unknown, Same, None),
-            BookingMisdirected => row(403, Unknown, Never, None),
-            BookingTooLarge => row(413, Unknown, Never, None),
-            CapReached => row(503, No, Same, Some(2)),
-            ConnectFailed => row(502, No, Same, Some(1)),
-            DeadlinePassed => row(504, No, Same, Some(1)),
-            DispatchLost => row(502, Unknown, Same, None),
-            DispatchTimeout => row(504, Unknown, Same, None),
-            GenerationDropped => row(410, Unknown, Never, None),
-            HostBusy => row(503, No, Same, Some(1)),
-            HostLeaving => row(503, No, Same, None),
-            KeyConflict => row(422, No, Never, None),
-            KeyMissing => row(428, No, Fresh, None),
-            KeyRefused => row(503, No, Fresh, Some(1)),
-            LedgerFull => row(503, No, Fresh, Some(2)),
-            LoopDetected => row(508, No, Same, Some(1)),
-            NoManifest => row(503, No, Same, Some(1)),
-            NoSlots => row(503, No, Same, Some(1)),
-            NoTarget => row(503, No, Same, Some(1)),
-            OtherMember => row(403, No, Never, None),
-            OwnerGone => row(502, Unknown, Never, None),
-            OwnerUnreachable => row(503, Unknown, Same, Some(1)),
-            Quarantined => row(403, No, Never, Some(60)),
-            QuotaExceeded => row(429, No, Same, Some(1)),
-            ServiceUnknown => row(404, No, Never, None),
-            Shed => row(503, No, Same, Some(1)),
-            StreamCut => row(502, Unknown, Same, None),
+            AnswerBroken => response(502, Unknown, Same, None),
+            AnswerNotKept => response(409, Yes, Never, None),
+            ApiKeyUnchecked => response(503, No, Same, Some(1)),
+            ApiKeyUnknown => response(401, No, Never, None),
+            BadRequest => response(400, No, Never, None),
+            BindingClosed => response(503, No, Fresh, None),
+            BindingMissing => response(428, No, Fresh, None),
+            BodyTooLarge => response(413, No, Never, None),
+            BookingIncomplete => response(428, Unknown, Same, None),
+            BookingMalformed => response(400, Unknown, Same, None),
+            BookingMisdirected => response(403, Unknown, Never, None),
+            BookingTooLarge => response(413, Unknown, Never, None),
+            CapReached => response(503, No, Same, Some(2)),
+            ConnectFailed => response(502, No, Same, Some(1)),
+            DeadlinePassed => response(504, No, Same, Some(1)),
+            DispatchLost => response(502, Unknown, Same, None),
+            DispatchTimeout => response(504, Unknown, Same, None),
+            GenerationDropped => response(410, Unknown, Never, None),
+            HostBusy => response(503, No, Same, Some(1)),
+            HostLeaving => response(503, No, Same, None),
+            KeyConflict => response(422, No, Never, None),
+            KeyMissing => response(428, No, Fresh, None),
+            KeyRefused => response(503, No, Fresh, Some(1)),
+            LedgerFull => response(503, No, Fresh, Some(2)),
+            LoopDetected => response(508, No, Same, Some(1)),
+            NoManifest => response(503, No, Same, Some(1)),
+            NoSlots => response(503, No, Same, Some(1)),
+            NoTarget => response(503, No, Same, Some(1)),
+            OtherMember => response(403, No, Never, None),
+            OwnerGone => response(502, Unknown, Never, None),
+            OwnerUnreachable => response(503, Unknown, Same, Some(1)),
+            Quarantined => response(403, No, Never, Some(60)),
+            QuotaExceeded => response(429, No, Same, Some(1)),
+            ServiceUnknown => response(404, No, Never, None),
+            Shed => response(503, No, Same, Some(1)),
+            StreamCut => response(502, Unknown, Same, None),
         }
     }
 
@@ -234,12 +234,12 @@
             BindingMissing | KeyMissing => BookingIncomplete,
             BodyTooLarge => BookingTooLarge,
             OtherMember => BookingMisdirected,
-            other if other.row().ran == Ran::No => OwnerUnreachable,
+            other if other.response().ran == Ran::No => OwnerUnreachable,
             other => other,
         }
     }
 }
 
-fn row(status: u16, ran: Ran, resend: Resend, retry_secs: Option<u64>) -> AnswerRow {
-    AnswerRow { ran, resend, retry_after: retry_secs.map(Duration::from_secs), status }
+fn response(status: u16, ran: Ran, resend: Resend, retry_secs: Option<u64>) -> ErrorResponse {
+    ErrorResponse { ran, resend, retry_after: retry_secs.map(Duration::from_secs), status }
 }
--- a/src/base/invariant.rs
+++ b/src/base/invariant.rs
@@ -8,25 +8,25 @@
 
 /// One invariant that did not hold.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub detail: Arc<str>,
     pub name: &'static str,
 }
 
 thread_local! {
-    static BROKEN: RefCell<Vec<Broken>> = const { RefCell::new(Vec::new()) };
+    static VIOLATIONS: RefCell<Vec<Violation>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Records `name` as broken unless `held`.
-pub fn hold(held: bool, name: &'static str, detail: impl FnOnce() -> String) {
+pub fn check(held: bool, name: &'static str, detail: impl FnOnce() -> String) {
     if held {
         return;
     }
-    let broken = Broken { detail: detail().into(), name };
-    BROKEN.with_borrow_mut(|list| list.push(broken));
+    let broken = Violation { detail: detail().into(), name };
+    VIOLATIONS.with_borrow_mut(|list| list.push(broken));
 }
 
 /// Takes what this thread has recorded since the last call.
-pub fn take() -> Vec<Broken> {
-    BROKEN.with_borrow_mut(std::mem::take)
+pub fn take_violations() -> Vec<Violation> {
+    VIOLATIONS.with_borrow_mut(std::mem::take)
 }
--- a/src/base/mod.rs
+++ b/src/base/mod.rs
@@ -3,20 +3,20 @@
 mod binding;
 mod cause;
 mod clock;
+pub mod duration_text;
 mod error_kind;
 mod header_line;
 mod ids;
 pub mod invariant;
 mod ran;
-pub mod span_text;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
     binding::{Binding, BindingError},
-    cause::{cause_of, with_cause},
+    cause::{root_cause, with_root_cause},
     clock::{BootClock, Clock, ManualClock, Moment},
-    error_kind::{AnswerRow, ErrorKind, Resend},
+    error_kind::{ErrorKind, ErrorResponse, Resend},
     header_line::{HeaderLine, header},
     ids::{
         Generation, HostId, Incarnation, MemberId, RegionId, RequestId, Sequence, ServiceId,
--- a/src/base/tests.rs
+++ b/src/base/tests.rs
@@ -32,7 +32,7 @@
     names.dedup();
     assert_eq!(names.len(), ErrorKind::ALL.len());
     for kind in ErrorKind::ALL {
-        let row = kind.row();
+        let row = kind.response();
         assert!((400..600).contains(&row.status), "{kind:?}");
         let fresh_after_doubt = row.ran != Ran::No && row.resend == Resend::Fresh;
         assert!(!fresh_after_doubt, "{kind:?}: a new binding after doubt could run it twice");
@@ -45,7 +45,7 @@
 /// where the old one can never run that key.
 #[test]
 fn a_new_binding_is_offered_only_where_the_old_one_is_closed_for_good() {
-    let fresh = ErrorKind::ALL.into_iter().filter(|kind| kind.row().resend == Resend::Fresh);
+    let fresh = ErrorKind::ALL.into_iter().filter(|kind| kind.response().resend == Resend::Fresh);
     let closed = [
         ErrorKind::BindingClosed,
         ErrorKind::BindingMissing,
@@ -63,10 +63,10 @@
 fn nothing_is_known_of_a_booking_before_its_ledger_is_asked() {
     for kind in ErrorKind::ALL {
         let told = kind.before_ledger();
-        assert_ne!(told.row().ran, Ran::No, "{kind:?}");
-        assert_ne!(told.row().resend, Resend::Fresh, "{kind:?}");
+        assert_ne!(told.response().ran, Ran::No, "{kind:?}");
+        assert_ne!(told.response().resend, Resend::Fresh, "{kind:?}");
         assert_eq!(told.before_ledger(), told, "{kind:?}");
-        if kind.row().ran != Ran::No {
+        if kind.response().ran != Ran::No {
             assert_eq!(told, kind);
         }
     }
@@ -79,7 +79,7 @@
     ];
     for (cause, told) in refused {
         assert_eq!(cause.before_ledger(), told);
-        assert_eq!(cause.row().status, told.row().status, "{cause:?}");
+        assert_eq!(cause.response().status, told.response().status, "{cause:?}");
     }
 }
 
@@ -90,8 +90,8 @@
     #[error("connection error")]
     struct Outer(#[source] std::io::Error);
     let reset = std::io::Error::other("reset by peer");
-    assert_eq!(&*with_cause(&reset), "reset by peer");
+    assert_eq!(&*with_root_cause(&reset), "reset by peer");
     let outer = Outer(reset);
-    assert_eq!(&*cause_of(&outer), "reset by peer");
-    assert_eq!(&*with_cause(&outer), "connection error: reset by peer");
+    assert_eq!(&*root_cause(&outer), "reset by peer");
+    assert_eq!(&*with_root_cause(&outer), "connection error: reset by peer");
 }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -10,7 +10,7 @@
     manifest::Manifest,
     prelude::*,
     settings::Settings,
-    yaml::{self, MAX_FILE, Problem},
+    yaml::{self, MAX_FILE_BYTES, Problem},
 };
 
 /// Checks settings of hosts and manifests; tells which by their fields.
@@ -57,7 +57,7 @@
 
 fn check(path: &Path) -> std::result::Result<String, Vec<Problem>> {
     let file = path.display().to_string();
-    let text = yaml::read_file(path, MAX_FILE).map_err(|problem| vec![problem])?;
+    let text = yaml::read_file(path, MAX_FILE_BYTES).map_err(|problem| vec![problem])?;
     if serde_norway::from_str::<Kind>(&text).is_ok_and(|kind| kind.listen.is_some()) {
         let settings: EntrySettings =
             yaml::decode(&text, &file).map_err(|problem| vec![problem])?;
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -91,7 +91,7 @@
 }
 
 fn load(path: &std::path::Path) -> std::result::Result<Scenario, String> {
-    let text = crate::yaml::read_file(path, crate::yaml::MAX_FILE)
+    let text = crate::yaml::read_file(path, crate::yaml::MAX_FILE_BYTES)
         .map_err(|problem| problem.to_string())?;
     Scenario::parse(&text, &path.display().to_string())
 }
--- a/src/cmd/run.rs
+++ b/src/cmd/run.rs
@@ -37,7 +37,7 @@
             return Ok(Exit::BadInput);
         }
     };
-    let _log = crate::logging::start_for(&settings.log)?;
+    let _log = crate::logging::start_with_settings(&settings.log)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(serve(settings, args.threads))
 }
@@ -52,12 +52,12 @@
         link: Arc::new(PeerClient::new(peer_key.clone(), member)),
         operator_token: settings.operator_token()?,
         peer_key,
-        peers: Arc::new(HttpUpstream::open(ForwardLimits::default())?),
+        peers: Arc::new(HttpUpstream::new(ForwardLimits::default())?),
         platform: Arc::new(HttpPlatform::open(settings.platform)?),
         seed: rand::random(),
         settings,
         record: None,
-        targets: Arc::new(HttpUpstream::open(ForwardLimits::default())?),
+        targets: Arc::new(HttpUpstream::new(ForwardLimits::default())?),
         timeline: crate::timeline::DEFAULT_CAPACITY,
         traffic_threads: threads.unwrap_or(cores),
     })
--- a/src/cmd/sign.rs
+++ b/src/cmd/sign.rs
@@ -7,7 +7,7 @@
 use super::{Exit, Result, key, output};
 use crate::{
     manifest::{ClientBlock, Proposal, SignError, parse_blocks, sign_with_blocks},
-    yaml::{self, MAX_FILE, Problem},
+    yaml::{self, MAX_FILE_BYTES, Problem},
 };
 
 /// Largest list of client blocks, in bytes: room for over a million.
@@ -37,7 +37,7 @@
 pub fn run(args: Args) -> Result {
     let signing = key::load(&args.key_file)?;
     let file = args.file.display().to_string();
-    let text = match yaml::read_file(&args.file, MAX_FILE) {
+    let text = match yaml::read_file(&args.file, MAX_FILE_BYTES) {
         Ok(text) => text,
         Err(problem) => return bad_input(&problem),
     };
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -180,7 +180,7 @@
         let follow = follow_platform(control.clone(), parts.platform, member, leaving.clone());
         control_rt.spawn(follow);
         let limits = parts.settings.ingress;
-        let memory = BodyMemory::open(limits);
+        let memory = BodyMemory::new(limits);
         let app = warp::service(routes(traffic.clone(), parts.settings.member.clone(), memory));
         traffic_rt.spawn(ingress::serve(listener, app, limits, metrics.clone()));
         let mut subscriptions =
--- a/src/daemon/http.rs
+++ b/src/daemon/http.rs
@@ -17,7 +17,7 @@
     traffic::Traffic,
 };
 use crate::{
-    ingress::{BodyMemory, Remote, read_body},
+    ingress::{BodyMemory, RemoteAddr, read_body},
     lookup::LookupResponse,
     prelude::*,
 };
@@ -59,11 +59,11 @@
         .and(warp::path::full())
         .and(query)
         .and(warp::header::headers_cloned())
-        .and(warp::ext::optional::<Remote>())
+        .and(warp::ext::optional::<RemoteAddr>())
         .and(warp::body::stream())
-        .then(move |method, path: FullPath, query, headers, remote: Option<Remote>, body| {
+        .then(move |method, path: FullPath, query, headers, remote: Option<RemoteAddr>, body| {
             let path = path.as_str().to_owned();
-            let remote = remote.map(|Remote(address)| address);
+            let remote = remote.map(|RemoteAddr(address)| address);
             let raw = Raw { headers, method, path, query, remote };
             answer(traffic.clone(), member.clone(), memory.clone(), raw, body)
         })
--- a/src/daemon/incoming.rs
+++ b/src/daemon/incoming.rs
@@ -8,7 +8,7 @@
 use super::headers;
 use crate::{
     base::HeaderLine,
-    ingress::BodyHold,
+    ingress::BodyReservation,
     ledger::request_digest,
     prelude::*,
     quarantine::{Fingerprint, QuarantineMark, fingerprint},
@@ -42,7 +42,7 @@
     pub body: Bytes,
     pub headers: HeaderMap,
     /// The memory that the body takes.
-    pub hold: BodyHold,
+    pub hold: BodyReservation,
     pub method: Method,
     /// Path and query behind the service's name, with the leading slash.
     pub path: Arc<str>,
--- a/src/daemon/order.rs
+++ b/src/daemon/order.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::{HeaderLine, header},
-    forward::{Attempt, Reply, ReplyBody},
+    forward::{Attempt, TargetBody, TargetResponse},
     ledger::KeptAnswer,
     manifest::ServiceKind,
     prelude::*,
@@ -61,22 +61,22 @@
         &self,
         order: &Order,
         rest: &[HeaderLine],
-    ) -> crate::forward::Result<Reply> {
+    ) -> crate::forward::Result<TargetResponse> {
         let view = self.view();
         let service = view.as_ref().and_then(|view| view.manifest.service(&order.incoming.service));
-        let repeatable = service.is_some_and(|service| service.kind.is_idempotent());
+        let is_idempotent = service.is_some_and(|service| service.kind.is_idempotent());
         let streams = service.is_some_and(|service| service.kind == ServiceKind::File);
         let attempt = Attempt {
             address: order.address,
             body: order.incoming.body.clone(),
-            connections: service.map_or(1, |service| service.connections),
-            deadline: order.timeout,
+            max_connections: service.map_or(1, |service| service.connections),
+            timeout: order.timeout,
             headers: self.lines(order, rest),
             method: order.incoming.method.clone(),
             path: order.path(),
-            repeatable,
+            is_idempotent,
             request: order.request.clone(),
-            whole: !streams,
+            buffer_response: !streams,
         };
         match order.hop {
             Some(_) => self.parts.peers.send(attempt).await,
@@ -103,7 +103,7 @@
         lines
     }
 
-    async fn reply(self: &Arc<Self>, order: Order, reply: Reply, latency: Duration) {
+    async fn reply(self: &Arc<Self>, order: Order, reply: TargetResponse, latency: Duration) {
         if order.hop.is_some() {
             let text = header(&reply.headers, headers::MARK);
             self.learn(text.and_then(|text| read_mark(text, order.fingerprint)));
@@ -112,11 +112,11 @@
             return self.end(order.attempt, Outcome::Refused { error, latency });
         }
         match reply.body {
-            ReplyBody::Stream(body) => {
+            TargetBody::Stream(body) => {
                 let head = Head { headers: reply.headers, status: reply.status };
                 self.stream(order, head, body, latency).await;
             }
-            ReplyBody::Whole(body) => {
+            TargetBody::Whole(body) => {
                 let status = reply.status;
                 let kept = Arc::new(KeptAnswer { body, headers: reply.headers, status });
                 if let Some(pending) = lock(&self.pending).get_mut(&order.call) {
@@ -130,7 +130,7 @@
 }
 
 /// The error kind that another host answered with, if it did.
-pub(super) fn refusal(order: &Order, reply: &Reply) -> Option<ErrorKind> {
+pub(super) fn refusal(order: &Order, reply: &TargetResponse) -> Option<ErrorKind> {
     order.hop?;
     let line = reply.headers.iter().find(|line| &*line.name == headers::ERROR)?;
     let name = serde_json::Value::String(line.value.to_string());
--- a/src/daemon/outgoing.rs
+++ b/src/daemon/outgoing.rs
@@ -15,7 +15,7 @@
     detail: Option<&str>,
     retry: Option<Duration>,
 ) -> Response {
-    let row = error.row();
+    let row = error.response();
     let name = serde_json::to_value(error).unwrap_or_default();
     let name = name.as_str().unwrap_or_default().to_owned();
     let text = detail.map_or_else(|| error.to_string(), |detail| format!("{error}: {detail}"));
@@ -34,7 +34,7 @@
 /// Advises a new key where the old one was told `not run`: the ledger refuses that key from then
 /// on, so that a copy still under way cannot run after all, and the same key would be sent in vain.
 pub fn close_key(res: &mut Response, error: ErrorKind) {
-    let row = error.row();
+    let row = error.response();
     if row.ran == Ran::No && row.resend == Resend::Same {
         let fresh = HeaderValue::from_static(Resend::Fresh.as_str());
         res.headers_mut().insert(headers::RESEND, fresh);
--- a/src/daemon/probe.rs
+++ b/src/daemon/probe.rs
@@ -4,7 +4,7 @@
 
 use super::traffic::Traffic;
 use crate::{
-    forward::{Attempt, Reply, ReplyBody, Upstream},
+    forward::{Attempt, TargetBody, TargetResponse, Upstream},
     manifest::Target,
     prelude::*,
     routing::Event,
@@ -32,17 +32,18 @@
     let attempt = Attempt {
         address: target.address,
         body: Bytes::new(),
-        connections: 1,
-        deadline: PROBE_TIMEOUT,
+        max_connections: 1,
+        timeout: PROBE_TIMEOUT,
         headers: Vec::new(),
         method: http::Method::GET,
         path: LOAD_PATH.into(),
-        repeatable: true,
+        is_idempotent: true,
         request: "load".into(),
-        whole: true,
+        buffer_response: true,
     };
     // No answer changes nothing: the last report loses its weight with time.
-    let Ok(Reply { body: ReplyBody::Whole(body), status: 200, .. }) = targets.send(attempt).await
+    let Ok(TargetResponse { body: TargetBody::Whole(body), status: 200, .. }) =
+        targets.send(attempt).await
     else {
         return;
     };
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -56,7 +56,7 @@
         peer_key: parts.peer_key.clone(),
         peers: parts.peers.clone(),
         seed,
-        silence: parts.settings.ingress.silence(),
+        silence: parts.settings.ingress.idle_timeout(),
         sink,
         steer: Router::new(own.id.clone(), own.incarnation, parts.limits.clone()),
         tape: tape(parts, own, seed),
@@ -139,8 +139,8 @@
     traffic: &Arc<Traffic>,
     targets: Arc<dyn Upstream>,
 ) -> Vec<Subscription> {
-    let control_timer = TokioTimer::open(control_rt.handle().clone());
-    let traffic_timer = TokioTimer::open(traffic_rt.handle().clone());
+    let control_timer = TokioTimer::new(control_rt.handle().clone());
+    let traffic_timer = TokioTimer::new(traffic_rt.handle().clone());
     let (control, ticked, probed) = (control.clone(), traffic.clone(), traffic.clone());
     vec![
         control_timer.every(
@@ -163,7 +163,7 @@
     metrics: Arc<dyn Metrics>,
 ) -> Subscription {
     let traffic = traffic.clone();
-    let timer = TokioTimer::open(control_rt.handle().clone());
+    let timer = TokioTimer::new(control_rt.handle().clone());
     let send = move || {
         let (busy, usage) =
             traffic.with_steer(|steer, _| (steer.pending_calls(), steer.slot_usage()));
--- a/src/daemon/stream.rs
+++ b/src/daemon/stream.rs
@@ -23,7 +23,10 @@
 };
 use crate::{
     base::HeaderLine,
-    forward::{Alternatives, Edition, Failure, Reply, ResumedBody, asks_for_whole},
+    forward::{
+        FallbackTargets, FileVersion, ForwardError, ResumableBody, TargetResponse,
+        requests_whole_file,
+    },
     prelude::*,
     routing::{AttemptId, CallId, Event, Outcome, Via},
 };
@@ -105,11 +108,11 @@
         if let Some(caller) = self.take_caller(call) {
             let _ = caller.send(res);
         }
-        let whole = asks_for_whole(&order.incoming.method, &order.incoming.headers);
-        let edition = Edition::of(head.status, &head.headers).filter(|_| whole);
+        let whole = requests_whole_file(&order.incoming.method, &order.incoming.headers);
+        let edition = FileVersion::from_response(head.status, &head.headers).filter(|_| whole);
         let elsewhere = Elsewhere { ended: false, latency, order, rests, traffic: self.clone() };
         let silence = self.silence();
-        carry(ResumedBody::new(body, edition, elsewhere), head.status, tx, silence).await;
+        carry(ResumableBody::new(body, edition, elsewhere), head.status, tx, silence).await;
     }
 
     /// The caller of a file is gone.
@@ -126,26 +129,28 @@
 /// ever, and three of them the whole target. After `silence` it counts as gone: the target's
 /// connection is closed, which frees the slot there as well.
 async fn carry(
-    mut body: ResumedBody<Elsewhere>,
+    mut body: ResumableBody<Elsewhere>,
     status: u16,
     tx: mpsc::Sender<Piece>,
     silence: Duration,
 ) {
     let last = loop {
-        match body.chunk().await {
+        match body.next_chunk().await {
             Some(Ok(chunk)) => {
                 let sent = tx.send_timeout(Piece::Chunk(chunk), silence).await;
                 match sent {
                     Ok(()) => {}
-                    Err(SendTimeoutError::Closed(_)) => break Piece::Cut(Failure::Lost),
-                    Err(SendTimeoutError::Timeout(_)) => return body.alternatives().leave(),
+                    Err(SendTimeoutError::Closed(_)) => {
+                        break Piece::Cut(ForwardError::ConnectionLost);
+                    }
+                    Err(SendTimeoutError::Timeout(_)) => return body.fallbacks().leave(),
                 }
             }
             Some(Err(failure)) => break Piece::Cut(failure),
             None => break Piece::End,
         }
     };
-    let elsewhere = body.alternatives();
+    let elsewhere = body.fallbacks();
     let latency = elsewhere.latency;
     elsewhere.end(match &last {
         Piece::Cut(_) if tx.is_closed() => cut(ErrorKind::StreamCut, latency),
@@ -196,8 +201,12 @@
 }
 
 #[async_trait]
-impl Alternatives for Elsewhere {
-    async fn next(&mut self, failure: Failure, lines: &[HeaderLine]) -> Option<Reply> {
+impl FallbackTargets for Elsewhere {
+    async fn next_response(
+        &mut self,
+        failure: ForwardError,
+        lines: &[HeaderLine],
+    ) -> Option<TargetResponse> {
         let (error, latency) = (failure.kind(), self.latency);
         self.end(Outcome::Interrupted { error, latency });
         loop {
@@ -222,7 +231,7 @@
 #[derive(Debug)]
 enum Piece {
     Chunk(Bytes),
-    Cut(Failure),
+    Cut(ForwardError),
     /// Every byte came before it.
     End,
 }
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -125,7 +125,7 @@
         let settings = self.settings(name, place, peers.take(4).collect());
         drop(seats);
         let link = PeerClient::new(self.peer_key.clone(), self.plan.name.into());
-        let upstream = || HttpUpstream::open(ForwardLimits::default());
+        let upstream = || HttpUpstream::new(ForwardLimits::default());
         let platform = HttpPlatform::open(self.platform)?;
         let daemon = Daemon::spawn(DaemonParts {
             clock: Arc::new(BootClock),
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -17,7 +17,7 @@
     upstream::{SendError, TargetConnection, connect, keep_alive_timeout},
 };
 use crate::{
-    base::with_cause,
+    base::with_root_cause,
     event_log::{AttemptEnd, Event, RequestKey},
     placement::{Forecast, HealthSignal},
     prelude::*,
@@ -274,7 +274,8 @@
         let bytes = match body.collect().await {
             Ok(bytes) => bytes.to_bytes(),
             Err(error) => {
-                return self.lost(&format!("the response was cut off: {}", with_cause(&error)));
+                return self
+                    .lost(&format!("the response was cut off: {}", with_root_cause(&error)));
             }
         };
         let now = self.state.clock.now();
--- a/src/entry/request_handler.rs
+++ b/src/entry/request_handler.rs
@@ -363,11 +363,11 @@
             return self.log.record_answered(target_error, outcome);
         }
         let error = progress.error.unwrap_or(ErrorKind::NoSlots);
-        let error = match error.row().ran {
+        let error = match error.response().ran {
             Ran::No if progress.maybe_ran => ErrorKind::DispatchLost,
             _ => error,
         };
-        if let (Some(admission), Ran::No) = (&self.admission, error.row().ran) {
+        if let (Some(admission), Ran::No) = (&self.admission, error.response().ran) {
             admission.mark_not_run();
         }
         let jitter = 0.75 + rand::random::<f64>() / 2.0;
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -28,7 +28,7 @@
 
     /// The outcome of a request that the host answers by itself.
     pub fn from_host(error: ErrorKind, sent: u32, retry_after: Option<Duration>) -> Self {
-        let ran = error.row().ran;
+        let ran = error.response().ran;
         let retry_after = retry_after.filter(|_| ran == Ran::No);
         Self { error: Some(error), ran, retry_after, sent, target: None }
     }
--- a/src/entry/response.rs
+++ b/src/entry/response.rs
@@ -130,7 +130,7 @@
     kind: ErrorKind,
     retry_after: Option<Duration>,
 ) -> CallerResponse {
-    let row = kind.row();
+    let row = kind.response();
     let status = match kind {
         ErrorKind::ApiKeyUnknown
         | ErrorKind::BadRequest
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -3,11 +3,11 @@
 use std::path::Path;
 
 use crate::{
-    base::span_text,
+    base::duration_text,
     event_log::EventLogSettings,
     prelude::*,
     settings::LogSettings,
-    yaml::{self, MAX_FILE, Result},
+    yaml::{self, MAX_FILE_BYTES, Result},
 };
 
 /// Settings of one entry host. Unknown fields are ignored, so that one file may serve hosts of
@@ -56,16 +56,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Bounds {
     /// Time between the stop signal and the forced end of the process.
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     pub grace: Duration,
     /// Maximum share of a region's requests that may move to other regions from one window of two
     /// seconds to the next.
     pub max_shift: f64,
     /// Maximum time for which callers keep the response to a look-up.
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     pub lookup_ttl: Duration,
     /// Time within which a revoked key stops working; 5 s by default.
-    #[serde(default, with = "span_text::optional")]
+    #[serde(default, with = "duration_text::optional")]
     pub revoke: Option<Duration>,
     /// Retries allowed as a share of requests, over all hosts.
     pub retry_ratio: f64,
@@ -91,7 +91,7 @@
 impl EntrySettings {
     /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Self> {
-        let text = yaml::read_file(path, MAX_FILE)?;
+        let text = yaml::read_file(path, MAX_FILE_BYTES)?;
         yaml::decode(&text, &path.display().to_string())
     }
 
--- a/src/entry/settings_file.rs
+++ b/src/entry/settings_file.rs
@@ -5,7 +5,7 @@
 use super::EntrySettings;
 use crate::{
     event_log::{Event, ReloadEnd},
-    yaml::{self, MAX_FILE, Result},
+    yaml::{self, MAX_FILE_BYTES, Result},
 };
 
 /// The settings file and its last text.
@@ -30,14 +30,14 @@
 impl SettingsFile {
     /// Reads and validates the initial settings.
     pub fn open(path: &Path) -> Result<(Self, EntrySettings)> {
-        let text = yaml::read_file(path, MAX_FILE)?;
+        let text = yaml::read_file(path, MAX_FILE_BYTES)?;
         let settings = yaml::decode(&text, &path.display().to_string())?;
         Ok((Self { path: path.to_owned(), last_error: None, text }, settings))
     }
 
     /// Checks whether the text has changed. Each error is reported only once.
     pub fn check(&mut self) -> SettingsChange {
-        let text = match yaml::read_file(&self.path, MAX_FILE) {
+        let text = match yaml::read_file(&self.path, MAX_FILE_BYTES) {
             Ok(text) => text,
             Err(error) => return self.report_read_error(error.to_string()),
         };
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 
 use super::KnownTarget;
-use crate::{base::with_cause, prelude::*};
+use crate::{base::with_root_cause, prelude::*};
 
 /// A round trip between regions takes 110 ms, and a lost packet is sent again after 200 ms or more.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
@@ -134,8 +134,8 @@
         match self.sender.try_send_request(req).await {
             Ok(response) => Ok(response),
             Err(mut failed) => match failed.take_message() {
-                Some(_) => Err(SendError::NotSent(with_cause(failed.error()))),
-                None => Err(SendError::Lost(with_cause(failed.error()))),
+                Some(_) => Err(SendError::NotSent(with_root_cause(failed.error()))),
+                None => Err(SendError::Lost(with_root_cause(failed.error()))),
             },
         }
     }
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -11,17 +11,17 @@
     pub address: SocketAddr,
     pub body: Bytes,
     /// Most connections to this address at the same time.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Time left for the whole exchange.
-    pub deadline: Duration,
+    pub timeout: Duration,
     /// Lines of the caller's head; those that concern one connection only are left out.
     pub headers: Vec<HeaderLine>,
     pub method: Method,
     /// Path and query, with the leading slash.
     pub path: Arc<str>,
     /// Whether it may run twice. If not, it goes over a connection of its own.
-    pub repeatable: bool,
+    pub is_idempotent: bool,
     pub request: RequestId,
     /// Whether the answer is held whole before it is given back; else its body is a stream.
-    pub whole: bool,
+    pub buffer_response: bool,
 }
--- a/src/forward/connect_note.rs
+++ b/src/forward/connect_tracking.rs
@@ -21,7 +21,7 @@
 }
 
 /// Runs `exchange` and gives its output together with whether a connection was made in it.
-pub(super) async fn noting<T>(exchange: impl Future<Output = T>) -> (T, bool) {
+pub(super) async fn track_connect<T>(exchange: impl Future<Output = T>) -> (T, bool) {
     let connected = Arc::new(AtomicBool::new(false));
     let output = CONNECTED.scope(connected.clone(), exchange).await;
     (output, connected.load(Ordering::Acquire))
@@ -29,23 +29,23 @@
 
 /// Adds the note to a connector.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ConnectNoteLayer;
+pub(super) struct ConnectTrackingLayer;
 
-impl<S> Layer<S> for ConnectNoteLayer {
-    type Service = ConnectNote<S>;
+impl<S> Layer<S> for ConnectTrackingLayer {
+    type Service = ConnectTracker<S>;
 
     fn layer(&self, inner: S) -> Self::Service {
-        ConnectNote { inner }
+        ConnectTracker { inner }
     }
 }
 
 /// A connector that sets the flag of its exchange.
 #[derive(Clone, Debug)]
-pub(super) struct ConnectNote<S> {
+pub(super) struct ConnectTracker<S> {
     inner: S,
 }
 
-impl<S, Req> Service<Req> for ConnectNote<S>
+impl<S, Req> Service<Req> for ConnectTracker<S>
 where
     S: Service<Req, Error = BoxError>,
     S::Future: Send + 'static,
--- a/src/forward/failure.rs
+++ b/src/forward/error.rs
@@ -3,18 +3,18 @@
 use crate::prelude::*;
 
 /// Result of an attempt.
-pub type Result<T> = std::result::Result<T, Failure>;
+pub type Result<T> = std::result::Result<T, ForwardError>;
 
 /// Why there is no whole answer. `Connect`, `Shed` and `Timeout { sent: false }` prove that the
 /// target did not run the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum Failure {
+pub enum ForwardError {
     #[error("the target's answer was not whole, or not for this request")]
-    Broken,
+    InvalidResponse,
     #[error("no connection to the target could be made")]
-    Connect,
+    ConnectFailed,
     #[error("the connection to the target was lost after the request was sent")]
-    Lost,
+    ConnectionLost,
     #[error("the target shed the request")]
     Shed { retry_after: Option<Duration> },
     #[error("the target did not answer in time")]
@@ -24,16 +24,16 @@
     },
 }
 
-impl Failure {
+impl ForwardError {
     /// The error kind for the caller.
     pub fn kind(self) -> ErrorKind {
         match self {
-            Failure::Broken => ErrorKind::AnswerBroken,
-            Failure::Connect => ErrorKind::ConnectFailed,
-            Failure::Lost => ErrorKind::DispatchLost,
-            Failure::Shed { .. } => ErrorKind::Shed,
-            Failure::Timeout { sent: false } => ErrorKind::DeadlinePassed,
-            Failure::Timeout { sent: true } => ErrorKind::DispatchTimeout,
+            ForwardError::InvalidResponse => ErrorKind::AnswerBroken,
+            ForwardError::ConnectFailed => ErrorKind::ConnectFailed,
+            ForwardError::ConnectionLost => ErrorKind::DispatchLost,
+            ForwardError::Shed { .. } => ErrorKind::Shed,
+            ForwardError::Timeout { sent: false } => ErrorKind::DeadlinePassed,
+            ForwardError::Timeout { sent: true } => ErrorKind::DispatchTimeout,
         }
     }
 }
--- a/src/forward/head.rs
+++ b/src/forward/head.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method, header};
 
-use super::{Attempt, Failure, Result};
+use super::{Attempt, ForwardError, Result};
 use crate::base::{self, HeaderLine};
 
 /// Time left for the target, in milliseconds.
@@ -32,7 +32,7 @@
 ];
 
 /// The head that goes to the target.
-pub(super) fn request_head(attempt: &Attempt) -> HeaderMap {
+pub(super) fn request_headers(attempt: &Attempt) -> HeaderMap {
     let mut head = HeaderMap::new();
     for line in forwarded(&attempt.headers) {
         if &*line.name == REQUEST_ID {
@@ -45,18 +45,18 @@
     if let Ok(id) = HeaderValue::from_str(&attempt.request) {
         head.insert(HeaderName::from_static(REQUEST_ID), id);
     }
-    let millis = u64::try_from(attempt.deadline.as_millis()).unwrap_or(u64::MAX);
+    let millis = u64::try_from(attempt.timeout.as_millis()).unwrap_or(u64::MAX);
     head.insert(HeaderName::from_static(DEADLINE), millis.into());
     head
 }
 
 /// The lines of the answer that go on to the caller. A streamed body's length goes with them, so
 /// that the caller, too, sees when it is cut short.
-pub(super) fn reply_lines(attempt: &Attempt, head: &HeaderMap) -> Vec<HeaderLine> {
+pub(super) fn response_headers(attempt: &Attempt, head: &HeaderMap) -> Vec<HeaderLine> {
     let lines: Vec<_> =
         head.iter().map(|(name, value)| HeaderLine::from_http(name, value)).collect();
     let mut kept: Vec<_> = forwarded(&lines).cloned().collect();
-    if !attempt.whole {
+    if !attempt.buffer_response {
         let length = lines.into_iter().find(|line| &*line.name == "content-length");
         kept.extend(length);
     }
@@ -67,13 +67,13 @@
 pub(super) fn check(attempt: &Attempt, status: u16, head: &HeaderMap) -> Result<()> {
     let mut echoes = head.get_all(REQUEST_ID).iter();
     if echoes.any(|echo| echo.as_bytes() != attempt.request.as_bytes()) {
-        return Err(Failure::Broken);
+        return Err(ForwardError::InvalidResponse);
     }
     if status == 503 && head.get(SHED).is_some_and(|value| value == "1") {
-        return Err(Failure::Shed { retry_after: retry_after(head) });
+        return Err(ForwardError::Shed { retry_after: retry_after(head) });
     }
     if status < 200 || !has_certain_end(attempt, status, head) {
-        return Err(Failure::Broken);
+        return Err(ForwardError::InvalidResponse);
     }
     Ok(())
 }
--- a/src/forward/http_upstream.rs
+++ b/src/forward/http_upstream.rs
@@ -8,9 +8,9 @@
 use reqwest::{Client, ClientBuilder, Response, redirect};
 
 use super::{
-    Attempt, Failure, ForwardLimits, Reply, ReplyBody, Result, Upstream,
-    connect_note::{ConnectNoteLayer, noting},
-    gates::{Gates, Permit},
+    Attempt, ForwardError, ForwardLimits, Result, TargetBody, TargetResponse, Upstream,
+    connect_tracking::{ConnectTrackingLayer, track_connect},
+    connection_limits::{ConnectionLimits, Permit},
     head,
 };
 use crate::prelude::*;
@@ -22,71 +22,82 @@
 /// costs one connection each, about 1 ms, and spares the caller the doubt.
 #[derive(Debug)]
 pub struct HttpUpstream {
-    fresh: Client,
-    gates: Gates,
+    unpooled: Client,
+    connection_limits: ConnectionLimits,
     limits: ForwardLimits,
     pooled: Client,
 }
 
 impl HttpUpstream {
     /// Opens the client. It connects on first use.
-    pub fn open(limits: ForwardLimits) -> reqwest::Result<Self> {
-        let fresh = builder(&limits).pool_max_idle_per_host(0).connector_layer(ConnectNoteLayer);
+    pub fn new(limits: ForwardLimits) -> reqwest::Result<Self> {
+        let unpooled =
+            builder(&limits).pool_max_idle_per_host(0).connector_layer(ConnectTrackingLayer);
         let pooled = builder(&limits)
             .pool_idle_timeout(limits.idle_timeout)
             .pool_max_idle_per_host(limits.idle_connections.max(1));
-        Ok(Self { fresh: fresh.build()?, gates: Gates::default(), limits, pooled: pooled.build()? })
+        Ok(Self {
+            unpooled: unpooled.build()?,
+            connection_limits: ConnectionLimits::default(),
+            limits,
+            pooled: pooled.build()?,
+        })
     }
 
-    async fn exchange(&self, attempt: Attempt, permit: Permit) -> Result<Reply> {
-        let deadline = attempt.deadline;
-        if attempt.repeatable {
-            let exchanged = self.run(&self.pooled, &attempt, permit);
-            let timed = tokio::time::timeout(deadline, exchanged).await;
-            return timed.unwrap_or(Err(Failure::Timeout { sent: true }));
+    async fn send_permitted(&self, attempt: Attempt, permit: Permit) -> Result<TargetResponse> {
+        let timeout = attempt.timeout;
+        if attempt.is_idempotent {
+            let response = self.send_with(&self.pooled, &attempt, permit);
+            let result = tokio::time::timeout(timeout, response).await;
+            return result.unwrap_or(Err(ForwardError::Timeout { sent: true }));
         }
-        let exchanged = self.run(&self.fresh, &attempt, permit);
-        let (timed, connected) = noting(tokio::time::timeout(deadline, exchanged)).await;
-        match timed {
-            Ok(Err(_)) if !connected => Err(Failure::Connect),
+        let response = self.send_with(&self.unpooled, &attempt, permit);
+        let (result, connected) = track_connect(tokio::time::timeout(timeout, response)).await;
+        match result {
+            Ok(Err(_)) if !connected => Err(ForwardError::ConnectFailed),
             Ok(result) => result,
-            Err(_) => Err(Failure::Timeout { sent: connected }),
+            Err(_) => Err(ForwardError::Timeout { sent: connected }),
         }
     }
 
-    async fn run(&self, client: &Client, attempt: &Attempt, permit: Permit) -> Result<Reply> {
+    async fn send_with(
+        &self,
+        client: &Client,
+        attempt: &Attempt,
+        permit: Permit,
+    ) -> Result<TargetResponse> {
         let url = format!("http://{}{}", attempt.address, attempt.path);
         let req = client
             .request(attempt.method.clone(), url)
-            .headers(head::request_head(attempt))
+            .headers(head::request_headers(attempt))
             .body(attempt.body.clone());
-        let response = req.send().await.map_err(|error| failure_of(&error))?;
+        let response = req.send().await.map_err(|error| send_error(&error))?;
         let status = response.status().as_u16();
         head::check(attempt, status, response.headers())?;
-        let headers = head::reply_lines(attempt, response.headers());
-        let body = if attempt.whole {
-            ReplyBody::Whole(read_whole(response, self.limits.whole_bytes).await?)
+        let headers = head::response_headers(attempt, response.headers());
+        let body = if attempt.buffer_response {
+            TargetBody::Whole(read_whole(response, self.limits.whole_bytes).await?)
         } else {
             let chunks = read_stream(response, self.limits.stream_silence, permit);
-            ReplyBody::Stream(chunks.boxed())
+            TargetBody::Stream(chunks.boxed())
         };
-        Ok(Reply { body, headers, status })
+        Ok(TargetResponse { body, headers, status })
     }
 }
 
 #[async_trait]
 impl Upstream for HttpUpstream {
-    async fn send(&self, mut attempt: Attempt) -> Result<Reply> {
+    async fn send(&self, mut attempt: Attempt) -> Result<TargetResponse> {
         let started = Instant::now();
-        let entering = self.gates.enter(attempt.address, attempt.connections);
-        let permit = tokio::time::timeout(attempt.deadline, entering)
+        let acquire = self.connection_limits.acquire(attempt.address, attempt.max_connections);
+        let permit = tokio::time::timeout(attempt.timeout, acquire)
             .await
-            .map_err(|_| Failure::Timeout { sent: false })?;
-        attempt.deadline = attempt.deadline.saturating_sub(started.elapsed());
-        if attempt.deadline.is_zero() {
-            return Err(Failure::Timeout { sent: false });
+            .map_err(|_| ForwardError::Timeout { sent: false })?;
+        attempt.timeout = attempt.timeout.saturating_sub(started.elapsed());
+        if attempt.timeout.is_zero() {
+            return Err(ForwardError::Timeout { sent: false });
         }
-        self.exchange(attempt, permit).await
+        self.send_permitted(attempt, permit).await
     }
 }
 
@@ -102,18 +113,18 @@
 }
 
 /// Only an error of the connector proves that no byte was written.
-fn failure_of(error: &reqwest::Error) -> Failure {
+fn send_error(error: &reqwest::Error) -> ForwardError {
     if error.is_connect() || error.is_builder() {
-        return Failure::Connect;
+        return ForwardError::ConnectFailed;
     }
-    Failure::Lost
+    ForwardError::ConnectionLost
 }
 
 async fn read_whole(mut response: Response, limit: usize) -> Result<Bytes> {
     let mut body = BytesMut::new();
-    while let Some(chunk) = response.chunk().await.map_err(|_| Failure::Broken)? {
+    while let Some(chunk) = response.chunk().await.map_err(|_| ForwardError::InvalidResponse)? {
         if limit < body.len() + chunk.len() {
-            return Err(Failure::Broken);
+            return Err(ForwardError::InvalidResponse);
         }
         body.extend_from_slice(&chunk);
     }
@@ -123,16 +134,16 @@
 /// The chunks of a body; holds the connection's permit until the last. After an error it ends.
 fn read_stream(
     response: Response,
-    silence: Duration,
+    idle_timeout: Duration,
     permit: Permit,
 ) -> impl Stream<Item = Result<Bytes>> + Send + 'static {
     stream::unfold(Some((response, permit)), move |state| async move {
         let (mut response, permit) = state?;
-        match tokio::time::timeout(silence, response.chunk()).await {
+        match tokio::time::timeout(idle_timeout, response.chunk()).await {
             Ok(Ok(Some(chunk))) => Some((Ok(chunk), Some((response, permit)))),
             Ok(Ok(None)) => None,
-            Ok(Err(_)) => Some((Err(Failure::Broken), None)),
-            Err(_) => Some((Err(Failure::Timeout { sent: true }), None)),
+            Ok(Err(_)) => Some((Err(ForwardError::InvalidResponse), None)),
+            Err(_) => Some((Err(ForwardError::Timeout { sent: true }), None)),
         }
     })
 }
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -5,22 +5,22 @@
 //! run; every failure after that leaves it open.
 
 mod attempt;
-mod connect_note;
-mod failure;
-mod gates;
+mod connect_tracking;
+mod connection_limits;
+mod error;
 mod head;
 mod http_upstream;
 mod limits;
-mod reply;
+mod response;
 mod resume;
 mod upstream;
 
 pub use self::{
     attempt::Attempt,
-    failure::{Failure, Result},
+    error::{ForwardError, Result},
     http_upstream::HttpUpstream,
     limits::ForwardLimits,
-    reply::{Reply, ReplyBody},
-    resume::{Alternatives, Edition, ResumedBody, asks_for_whole},
+    response::{TargetBody, TargetResponse},
+    resume::{FallbackTargets, FileVersion, ResumableBody, requests_whole_file},
     upstream::Upstream,
 };
--- a/src/forward/reply.rs
+++ b/src/forward/response.rs
@@ -10,24 +10,24 @@
 
 /// The head of an answer, and its body or the way to it.
 #[derive(Debug)]
-pub struct Reply {
-    pub body: ReplyBody,
+pub struct TargetResponse {
+    pub body: TargetBody,
     pub headers: Vec<HeaderLine>,
     pub status: u16,
 }
 
 /// The body of an answer.
-pub enum ReplyBody {
+pub enum TargetBody {
     /// Ends with an error unless it came whole. Dropping it closes the target's connection.
     Stream(BoxStream<'static, Result<Bytes>>),
     Whole(Bytes),
 }
 
-impl fmt::Debug for ReplyBody {
+impl fmt::Debug for TargetBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReplyBody::Stream(_) => f.write_str("Stream"),
-            ReplyBody::Whole(body) => write!(f, "Whole({} bytes)", body.len()),
+            TargetBody::Stream(_) => f.write_str("Stream"),
+            TargetBody::Whole(body) => write!(f, "Whole({} bytes)", body.len()),
         }
     }
 }
--- a/src/forward/resume.rs
+++ b/src/forward/resume.rs
@@ -2,7 +2,7 @@
 //!
 //! Two targets may hold different editions of a file. Joining parts of both gives a file that
 //! never was, and a dome would run it. So a part is joined only when the other target proves that
-//! it is of the same edition: an equal strong ETag, and exactly the range that is missing. Else the
+//! it is of the same version: an equal strong ETag, and exactly the range that is missing. Else the
 //! stream ends with an error, and the caller's connection is ended uncleanly.
 
 use async_trait::async_trait;
@@ -10,7 +10,7 @@
 use futures::{StreamExt, stream::BoxStream};
 use http::{HeaderMap, Method};
 
-use super::{Failure, Reply, ReplyBody, Result};
+use super::{ForwardError, Result, TargetBody, TargetResponse};
 use crate::{
     base::{HeaderLine, header},
     prelude::*,
@@ -18,117 +18,124 @@
 
 /// Where an interrupted file may go on.
 #[async_trait]
-pub trait Alternatives: Send {
-    /// The answer of another target to the same request with these lines added, or `None` when no
-    /// target may be asked any more. `failure` is why the answer before it was of no use.
-    async fn next(&mut self, failure: Failure, lines: &[HeaderLine]) -> Option<Reply>;
+pub trait FallbackTargets: Send {
+    /// The answer of another target to the same request with these headers added, or `None` when no
+    /// target may be asked any more. `error` is why the answer before it was of no use.
+    async fn next_response(
+        &mut self,
+        error: ForwardError,
+        headers: &[HeaderLine],
+    ) -> Option<TargetResponse>;
 }
 
 /// Whether a request asks for a whole file. Only its answer can be told from a part: the rest of a
 /// part that the caller asked for would need another range than the missing one.
-pub fn asks_for_whole(method: &Method, headers: &HeaderMap) -> bool {
+pub fn requests_whole_file(method: &Method, headers: &HeaderMap) -> bool {
     method == Method::GET && !headers.contains_key(http::header::RANGE)
 }
 
-/// What names one edition of a file.
+/// What names one version of a file.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Edition {
+pub struct FileVersion {
     etag: Arc<str>,
     length: u64,
 }
 
-impl Edition {
-    /// The edition of a whole file with a strong validator.
-    pub fn of(status: u16, headers: &[HeaderLine]) -> Option<Self> {
-        let etag = strong(header(headers, "etag")?)?;
+impl FileVersion {
+    /// The version of a whole file with a strong validator.
+    pub fn from_response(status: u16, headers: &[HeaderLine]) -> Option<Self> {
+        let etag = strong_etag(header(headers, "etag")?)?;
         let length = header(headers, "content-length")?.parse().ok()?;
         (status == 200).then(|| Self { etag: etag.into(), length })
     }
 
-    /// The lines that ask for the rest of this edition from `start` on.
-    fn ask(&self, start: u64) -> [HeaderLine; 2] {
+    /// The headers that ask for the rest of this version from `start` on.
+    fn range_request(&self, start: u64) -> [HeaderLine; 2] {
         let range = HeaderLine::new("range", format!("bytes={start}-"));
         [range, HeaderLine::new("if-range", self.etag.clone())]
     }
 
-    /// Whether the reply is the rest of this edition from `start` on.
-    fn is_rest(&self, reply: &Reply, start: u64) -> bool {
+    /// Whether the response is the rest of this version from `start` on.
+    fn is_remainder(&self, response: &TargetResponse, start: u64) -> bool {
         let range = format!("bytes {start}-{}/{}", self.length.saturating_sub(1), self.length);
-        reply.status == 206
-            && header(&reply.headers, "etag").and_then(strong) == Some(&self.etag)
-            && header(&reply.headers, "content-range") == Some(&range)
+        response.status == 206
+            && header(&response.headers, "etag").and_then(strong_etag) == Some(&self.etag)
+            && header(&response.headers, "content-range") == Some(&range)
     }
 }
 
 /// An ETag that promises equal bytes; a weak one does not.
-fn strong(etag: &str) -> Option<&str> {
+fn strong_etag(etag: &str) -> Option<&str> {
     (etag.starts_with('"') && etag.ends_with('"') && 2 < etag.len()).then_some(etag)
 }
 
-/// The body of a streamed answer; it goes on from other targets where its edition allows it.
-pub struct ResumedBody<A> {
-    alternatives: A,
+/// The body of a streamed answer; it goes on from other targets where its version allows it.
+pub struct ResumableBody<A> {
+    fallbacks: A,
     chunks: BoxStream<'static, Result<Bytes>>,
-    edition: Option<Edition>,
+    version: Option<FileVersion>,
     received: u64,
 }
 
-impl<A: Alternatives> ResumedBody<A> {
-    /// A body that has not begun; without an edition it never goes on elsewhere.
+impl<A: FallbackTargets> ResumableBody<A> {
+    /// A body that has not begun; without an version it never goes on elsewhere.
     pub fn new(
         chunks: BoxStream<'static, Result<Bytes>>,
-        edition: Option<Edition>,
-        alternatives: A,
+        version: Option<FileVersion>,
+        fallbacks: A,
     ) -> Self {
-        Self { alternatives, chunks, edition, received: 0 }
+        Self { fallbacks, chunks, version, received: 0 }
     }
 
     /// What the body goes on from.
-    pub fn alternatives(&mut self) -> &mut A {
-        &mut self.alternatives
+    pub fn fallbacks(&mut self) -> &mut A {
+        &mut self.fallbacks
     }
 
     /// The next chunk; `None` only behind the last byte of a whole body. An error is final.
-    pub async fn chunk(&mut self) -> Option<Result<Bytes>> {
+    pub async fn next_chunk(&mut self) -> Option<Result<Bytes>> {
         loop {
-            let failure = match self.chunks.next().await {
-                Some(Ok(chunk)) => return Some(self.count(chunk)),
-                Some(Err(failure)) => failure,
-                None if self.is_whole() => return None,
-                None => Failure::Broken,
+            let error = match self.chunks.next().await {
+                Some(Ok(chunk)) => return Some(self.record_chunk(chunk)),
+                Some(Err(error)) => error,
+                None if self.is_complete() => return None,
+                None => ForwardError::InvalidResponse,
             };
-            match self.rest(failure).await {
+            match self.resume(error).await {
                 Some(chunks) => self.chunks = chunks,
-                None => return Some(Err(failure)),
+                None => return Some(Err(error)),
             }
         }
     }
 
     /// A target that sends more than it announced is not to be trusted with the rest either.
-    fn count(&mut self, chunk: Bytes) -> Result<Bytes> {
+    fn record_chunk(&mut self, chunk: Bytes) -> Result<Bytes> {
         self.received += chunk.len() as u64;
-        match &self.edition {
-            Some(edition) if edition.length < self.received => Err(Failure::Broken),
+        match &self.version {
+            Some(version) if version.length < self.received => Err(ForwardError::InvalidResponse),
             _ => Ok(chunk),
         }
     }
 
-    /// Without an edition the upstream alone tells a whole body from a short one.
-    fn is_whole(&self) -> bool {
-        self.edition.as_ref().is_none_or(|edition| edition.length == self.received)
+    /// Without an version the upstream alone tells a whole body from a short one.
+    fn is_complete(&self) -> bool {
+        self.version.as_ref().is_none_or(|version| version.length == self.received)
     }
 
-    /// The missing rest from the first target that has the same edition.
-    async fn rest(&mut self, mut failure: Failure) -> Option<BoxStream<'static, Result<Bytes>>> {
-        let edition = self.edition.as_ref()?;
-        let lines = edition.ask(self.received);
+    /// The missing rest from the first target that has the same version.
+    async fn resume(
+        &mut self,
+        mut error: ForwardError,
+    ) -> Option<BoxStream<'static, Result<Bytes>>> {
+        let version = self.version.as_ref()?;
+        let headers = version.range_request(self.received);
         loop {
-            let reply = self.alternatives.next(failure, &lines).await?;
-            failure = Failure::Broken;
-            if !edition.is_rest(&reply, self.received) {
+            let response = self.fallbacks.next_response(error, &headers).await?;
+            error = ForwardError::InvalidResponse;
+            if !version.is_remainder(&response, self.received) {
                 continue;
             }
-            if let ReplyBody::Stream(chunks) = reply.body {
+            if let TargetBody::Stream(chunks) = response.body {
                 return Some(chunks);
             }
         }
--- a/src/forward/upstream.rs
+++ b/src/forward/upstream.rs
@@ -2,12 +2,12 @@
 
 use async_trait::async_trait;
 
-use super::{Attempt, Reply, Result};
+use super::{Attempt, Result, TargetResponse};
 
 /// Sends one request to one target, once.
 #[async_trait]
 pub trait Upstream: Send + Sync {
     /// Gives the target's answer. Dropping the future cancels the request, which may then have
     /// run or not.
-    async fn send(&self, attempt: Attempt) -> Result<Reply>;
+    async fn send(&self, attempt: Attempt) -> Result<TargetResponse>;
 }
--- a/src/ingress/body.rs
+++ b/src/ingress/body.rs
@@ -14,7 +14,7 @@
 pub type Result<T> = std::result::Result<T, ErrorKind>;
 
 /// Bytes that one permit stands for.
-const GRAIN: u64 = 1024;
+const BYTES_PER_PERMIT: u64 = 1024;
 
 /// Memory for the bodies of all requests of a host.
 #[derive(Clone, Debug)]
@@ -25,12 +25,12 @@
 
 /// Memory that one body takes; dropping it gives the memory back.
 #[derive(Debug, Default)]
-pub struct BodyHold(Option<OwnedSemaphorePermit>);
+pub struct BodyReservation(Option<OwnedSemaphorePermit>);
 
 impl BodyMemory {
     /// All of it free.
-    pub fn open(limits: IngressLimits) -> Self {
-        let grains = usize::try_from(limits.body_bytes / GRAIN).unwrap_or(usize::MAX);
+    pub fn new(limits: IngressLimits) -> Self {
+        let grains = usize::try_from(limits.body_bytes / BYTES_PER_PERMIT).unwrap_or(usize::MAX);
         Self { limits, room: Arc::new(Semaphore::new(grains.min(Semaphore::MAX_PERMITS))) }
     }
 
@@ -39,9 +39,9 @@
     /// A burst of large bodies would otherwise end the process for want of memory, with every
     /// request in flight. The one that finds no room is refused at once: waiting for it, while
     /// holding some, could leave all of them waiting for each other.
-    fn cover(&self, hold: &mut BodyHold, bytes: usize) -> Result<()> {
+    fn cover(&self, hold: &mut BodyReservation, bytes: usize) -> Result<()> {
         let held = hold.0.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-        let lacking = bytes.div_ceil(GRAIN as usize).saturating_sub(held);
+        let lacking = bytes.div_ceil(BYTES_PER_PERMIT as usize).saturating_sub(held);
         let lacking = u32::try_from(lacking).map_err(|_| ErrorKind::HostBusy)?;
         let more = self.room.clone().try_acquire_many_owned(lacking);
         let more = more.map_err(|_| ErrorKind::HostBusy)?;
@@ -63,17 +63,17 @@
     limit: u64,
     time: Duration,
     memory: &BodyMemory,
-) -> Result<(Bytes, BodyHold)>
+) -> Result<(Bytes, BodyReservation)>
 where
     S: Stream<Item = std::result::Result<B, E>> + Send,
     B: Buf,
 {
     let limit = limit.min(memory.limits.body_bytes);
     let end = Instant::now() + time;
-    let (mut hold, mut whole) = (BodyHold::default(), BytesMut::new());
+    let (mut hold, mut whole) = (BodyReservation::default(), BytesMut::new());
     let mut body = std::pin::pin!(body);
     loop {
-        let silent = (Instant::now() + memory.limits.silence()).min(end);
+        let silent = (Instant::now() + memory.limits.idle_timeout()).min(end);
         let next = tokio::time::timeout_at(silent, body.next()).await;
         let Some(chunk) = next.map_err(|_| ErrorKind::DeadlinePassed)? else { break };
         let mut chunk = chunk.map_err(|_| ErrorKind::BadRequest)?;
--- a/src/ingress/connections.rs
+++ b/src/ingress/connections.rs
@@ -18,11 +18,11 @@
 };
 
 /// Pause after a connection could not be accepted, for want of descriptors most likely.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Who is at the other end of a connection; an extension of each of its requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Remote(pub SocketAddr);
+pub struct RemoteAddr(pub SocketAddr);
 
 /// Serves the connections of a listener until it is dropped.
 ///
@@ -41,7 +41,7 @@
     let room = Arc::new(Semaphore::new(limits.connections));
     loop {
         let Ok((stream, remote)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Ok(permit) = room.clone().try_acquire_owned() else {
@@ -68,7 +68,7 @@
     {
         // A caller waits for each answer: held back to fill a packet, it would only come late.
         let _ = self.stream.set_nodelay(true);
-        let remote = Remote(self.remote);
+        let remote = RemoteAddr(self.remote);
         let service = service_fn(move |mut req: http::Request<Incoming>| {
             req.extensions_mut().insert(remote);
             app.clone().call(req)
@@ -76,7 +76,7 @@
         // The time for a head counts from the last answer on, so it also ends idle connections.
         let served = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.silence())
+            .header_read_timeout(limits.idle_timeout())
             .serve_connection(TokioIo::new(self.stream), service);
         if let Err(error) = served.await {
             log::debug!("connection of {}: {error}", self.remote);
--- a/src/ingress/limits.rs
+++ b/src/ingress/limits.rs
@@ -17,7 +17,7 @@
 
 impl IngressLimits {
     /// Longest silence of one caller.
-    pub fn silence(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 }
--- a/src/ingress/mod.rs
+++ b/src/ingress/mod.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 pub use self::{
-    body::{BodyHold, BodyMemory, read_body},
-    connections::{Remote, serve},
+    body::{BodyMemory, BodyReservation, read_body},
+    connections::{RemoteAddr, serve},
     limits::IngressLimits,
 };
--- a/src/ingress/tests.rs
+++ b/src/ingress/tests.rs
@@ -22,7 +22,7 @@
 }
 
 async fn told(body: impl Stream<Item = Chunk> + Send, time: Duration) -> ErrorKind {
-    let memory = BodyMemory::open(LIMITS);
+    let memory = BodyMemory::new(LIMITS);
     read_body(body, 4096, time, &memory).await.unwrap_err()
 }
 
@@ -34,7 +34,7 @@
     assert_eq!(told(silent, TIME).await, ErrorKind::DeadlinePassed);
     let trickle = paced(1_000_000, Duration::from_millis(40));
     assert_eq!(told(trickle, TIME).await, ErrorKind::DeadlinePassed);
-    let memory = BodyMemory::open(LIMITS);
+    let memory = BodyMemory::new(LIMITS);
     let slow = paced(100, Duration::from_millis(40));
     let (body, _hold) = read_body(slow, 4096, TIME, &memory).await.unwrap();
     assert_eq!(body.len(), 100);
@@ -44,7 +44,7 @@
 // host runs out of memory, and is served as soon as one of the others is.
 #[tokio::test]
 async fn bodies_share_one_memory() {
-    let memory = BodyMemory::open(LIMITS);
+    let memory = BodyMemory::new(LIMITS);
     let send = || read_body(stream::iter([chunk(1000), chunk(3000)]), 4096, TIME, &memory);
     let (_, first) = send().await.unwrap();
     let (_, _second) = send().await.unwrap();
@@ -60,7 +60,7 @@
     let whole = [chunk(4000), chunk(96)];
     assert_eq!(told(stream::iter([chunk(9), torn]), TIME).await, ErrorKind::BadRequest);
     assert_eq!(told(stream::iter(large), TIME).await, ErrorKind::BodyTooLarge);
-    let memory = BodyMemory::open(LIMITS);
+    let memory = BodyMemory::new(LIMITS);
     let (body, _hold) = read_body(stream::iter(whole), 4096, TIME, &memory).await.unwrap();
     assert_eq!(body.len(), 4096);
     // Larger than all the memory: it would be refused as busy for ever.
--- a/src/ledger/ledger.rs
+++ b/src/ledger/ledger.rs
@@ -149,7 +149,7 @@
         let is_own = self.is_own(binding);
         let state = self.own.state_mut(binding.generation, &key).filter(|_| is_own);
         let running = state.as_ref().is_some_and(|state| matches!(state, EntryState::Running));
-        invariant::hold(running, "ledger-end-follows-begin", || format!("{binding}: {outcome:?}"));
+        invariant::check(running, "ledger-end-follows-begin", || format!("{binding}: {outcome:?}"));
         let Some(state) = state.filter(|_| running) else { return };
         match outcome {
             ExecutionOutcome::Answered(answer) => {
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -25,7 +25,7 @@
 }
 
 /// Starts the log that a host's settings ask for.
-pub fn start_for(settings: &LogSettings) -> Result<LoggerHandle> {
+pub fn start_with_settings(settings: &LogSettings) -> Result<LoggerHandle> {
     let format = match settings.format {
         LogFormat::Json => LineFormat::Json,
         LogFormat::Text => LineFormat::Text,
--- a/src/manifest/check.rs
+++ b/src/manifest/check.rs
@@ -5,8 +5,8 @@
 use super::{ClientBlock, DrainScope, Manifest, Service, Share};
 use crate::{
     prelude::*,
-    settings::{NAME_FIX, is_name},
-    yaml::{Finding, Step},
+    settings::{NAME_FIX, is_valid_name},
+    yaml::{Finding, PathSegment},
 };
 
 /// Longest attempt at a target, in milliseconds.
@@ -44,15 +44,15 @@
 impl Checker<'_> {
     fn head(&mut self) {
         let manifest = self.manifest;
-        self.check_name(&[Step::Key("member")], &manifest.member);
+        self.check_name(&[PathSegment::Key("member")], &manifest.member);
         if manifest.sequence == 0 {
-            self.report(&[Step::Key("sequence")], "is 0", "begin with 1 and let it rise");
+            self.report(&[PathSegment::Key("sequence")], "is 0", "begin with 1 and let it rise");
         }
         if manifest.regions.is_empty() {
-            self.report(&[Step::Key("regions")], "names no region", "add at least one");
+            self.report(&[PathSegment::Key("regions")], "names no region", "add at least one");
         }
         if manifest.services.is_empty() {
-            self.report(&[Step::Key("services")], "names no service", "add at least one");
+            self.report(&[PathSegment::Key("services")], "names no service", "add at least one");
         }
     }
 
@@ -60,17 +60,18 @@
         let mut regions = BTreeSet::new();
         let mut zones = BTreeSet::new();
         for (index, region) in self.manifest.regions.iter().enumerate() {
-            let path = [Step::Key("regions"), Step::Index(index)];
-            let name = join(&path, &[Step::Key("name")]);
+            let path = [PathSegment::Key("regions"), PathSegment::Index(index)];
+            let name = join(&path, &[PathSegment::Key("name")]);
             self.check_name(&name, &region.name);
             self.check_unique(&mut regions, &region.name, &name, "region");
-            self.check_share(&join(&path, &[Step::Key("reserve")]), region.reserve);
+            self.check_share(&join(&path, &[PathSegment::Key("reserve")]), region.reserve);
             if region.zones.is_empty() {
-                let zones = join(&path, &[Step::Key("zones")]);
+                let zones = join(&path, &[PathSegment::Key("zones")]);
                 self.report(&zones, "names no zone", "add at least one");
             }
             for (index, zone) in region.zones.iter().enumerate() {
-                let zone_path = join(&path, &[Step::Key("zones"), Step::Index(index)]);
+                let zone_path =
+                    join(&path, &[PathSegment::Key("zones"), PathSegment::Index(index)]);
                 self.check_name(&zone_path, zone);
                 self.check_unique(&mut zones, zone, &zone_path, "zone");
             }
@@ -82,18 +83,18 @@
         let mut targets = BTreeSet::new();
         let mut addresses = BTreeSet::new();
         for (index, service) in self.manifest.services.iter().enumerate() {
-            let path = [Step::Key("services"), Step::Index(index)];
-            let name = join(&path, &[Step::Key("name")]);
+            let path = [PathSegment::Key("services"), PathSegment::Index(index)];
+            let name = join(&path, &[PathSegment::Key("name")]);
             self.check_name(&name, &service.name);
             self.check_unique(&mut services, &service.name, &name, "service");
             self.service(&path, service);
             for (index, target) in service.targets.iter().enumerate() {
-                let path = join(&path, &[Step::Key("targets"), Step::Index(index)]);
-                let name = join(&path, &[Step::Key("name")]);
+                let path = join(&path, &[PathSegment::Key("targets"), PathSegment::Index(index)]);
+                let name = join(&path, &[PathSegment::Key("name")]);
                 self.check_name(&name, &target.name);
                 self.check_unique(&mut targets, &target.name, &name, "target");
                 // Two targets at one address would have their slots counted twice: an overload.
-                let address = join(&path, &[Step::Key("address")]);
+                let address = join(&path, &[PathSegment::Key("address")]);
                 self.check_unique(&mut addresses, &target.address, &address, "target address");
                 if target.address.port() == 0 {
                     self.report(&address, "has port 0", "give a port from 1 to 65535");
@@ -101,26 +102,26 @@
                 if target.address.ip().is_unspecified() || target.address.ip().is_multicast() {
                     self.report(&address, "is not the address of one machine", "give its IP");
                 }
-                let slots = join(&path, &[Step::Key("slots")]);
+                let slots = join(&path, &[PathSegment::Key("slots")]);
                 self.check_range(&slots, target.slots.into(), 1, MAX_PER_TARGET.into());
                 if self.manifest.region_of(&target.zone).is_none() {
-                    let zone = join(&path, &[Step::Key("zone")]);
+                    let zone = join(&path, &[PathSegment::Key("zone")]);
                     self.report_unknown(&zone, "zone", &target.zone);
                 }
             }
         }
     }
 
-    fn service(&mut self, path: &[Step], service: &Service) {
-        let connections = join(path, &[Step::Key("connections")]);
+    fn service(&mut self, path: &[PathSegment], service: &Service) {
+        let connections = join(path, &[PathSegment::Key("connections")]);
         self.check_range(&connections, service.connections.into(), 1, MAX_PER_TARGET.into());
-        let max_body = join(path, &[Step::Key("max_body")]);
+        let max_body = join(path, &[PathSegment::Key("max_body")]);
         self.check_range(&max_body, service.max_body, 0, MAX_REQUEST_BODY_BYTES);
-        self.check_share(&join(path, &[Step::Key("shift_cap")]), service.shift_cap);
-        let timeout = join(path, &[Step::Key("timeout_ms")]);
+        self.check_share(&join(path, &[PathSegment::Key("shift_cap")]), service.shift_cap);
+        let timeout = join(path, &[PathSegment::Key("timeout_ms")]);
         self.check_range(&timeout, service.timeout_ms, 1, MAX_TIMEOUT_MS);
         if service.targets.is_empty() {
-            let targets = join(path, &[Step::Key("targets")]);
+            let targets = join(path, &[PathSegment::Key("targets")]);
             self.report(&targets, "names no target", "add at least one");
         }
     }
@@ -130,13 +131,17 @@
         let regions: BTreeSet<&str> =
             self.manifest.regions.iter().map(|region| &*region.name).collect();
         for (index, block) in blocks.iter().enumerate() {
-            let path = [Step::Key("client_blocks"), Step::Index(index)];
+            let path = [PathSegment::Key("client_blocks"), PathSegment::Index(index)];
             if !regions.contains(&*block.home) {
-                self.report_unknown(&join(&path, &[Step::Key("home")]), "region", &block.home);
+                self.report_unknown(
+                    &join(&path, &[PathSegment::Key("home")]),
+                    "region",
+                    &block.home,
+                );
             }
             if block.block.trunc() != block.block {
                 let fix = format!("write {}", block.block.trunc());
-                let field = join(&path, &[Step::Key("block")]);
+                let field = join(&path, &[PathSegment::Key("block")]);
                 self.report(&field, "has bits set past its prefix", &fix);
             }
         }
@@ -146,7 +151,11 @@
         order.sort_by_key(|index| blocks[*index].block.trunc());
         for pair in order.windows(2) {
             if blocks[pair[0]].block.trunc() == blocks[pair[1]].block.trunc() {
-                let path = [Step::Key("client_blocks"), Step::Index(pair[1]), Step::Key("block")];
+                let path = [
+                    PathSegment::Key("client_blocks"),
+                    PathSegment::Index(pair[1]),
+                    PathSegment::Key("block"),
+                ];
                 let wrong = format!("block {} is there twice", blocks[pair[1]].block);
                 self.report(&path, &wrong, "give it once");
             }
@@ -160,7 +169,7 @@
         let named = manifest.client_blocks.table().parts().skip(1);
         let named: BTreeSet<&RegionId> = named.flat_map(|part| part.regions()).collect();
         for region in named.into_iter().filter(|region| !known.contains(&***region)) {
-            self.report_unknown(&[Step::Key("client_blocks")], "region", region);
+            self.report_unknown(&[PathSegment::Key("client_blocks")], "region", region);
         }
     }
 
@@ -168,7 +177,7 @@
         let manifest = self.manifest;
         let mut drains = BTreeSet::new();
         for (index, drain) in manifest.drains.iter().enumerate() {
-            let path = [Step::Key("drains"), Step::Index(index)];
+            let path = [PathSegment::Key("drains"), PathSegment::Index(index)];
             if !drains.insert(drain) {
                 self.report(&path, "is listed twice", "list each drain once");
             }
@@ -194,8 +203,8 @@
         }
     }
 
-    fn check_name(&mut self, path: &[Step], name: &str) {
-        if !is_name(name) {
+    fn check_name(&mut self, path: &[PathSegment], name: &str) {
+        if !is_valid_name(name) {
             self.report(path, "is no name", NAME_FIX);
         }
     }
@@ -204,7 +213,7 @@
         &mut self,
         seen: &mut BTreeSet<T>,
         name: &T,
-        path: &[Step],
+        path: &[PathSegment],
         what: &str,
     ) {
         if !seen.insert(name.clone()) {
@@ -212,13 +221,13 @@
         }
     }
 
-    fn check_range(&mut self, path: &[Step], value: u64, least: u64, most: u64) {
+    fn check_range(&mut self, path: &[PathSegment], value: u64, least: u64, most: u64) {
         if !(least..=most).contains(&value) {
             self.report(path, &format!("is {value}"), &format!("give {least} to {most}"));
         }
     }
 
-    fn check_share(&mut self, path: &[Step], share: Share) {
+    fn check_share(&mut self, path: &[PathSegment], share: Share) {
         // Written so that NaN is refused too.
         if !(0.0..=1.0).contains(&share) {
             let fix = "give a share from 0 to 1, such as 0.2 for 20 %";
@@ -226,7 +235,7 @@
         }
     }
 
-    fn report_unknown(&mut self, path: &[Step], what: &str, name: &str) {
+    fn report_unknown(&mut self, path: &[PathSegment], what: &str, name: &str) {
         let fix = match what {
             "target" => "name one of `services`",
             _ => "name one of `regions`",
@@ -234,11 +243,11 @@
         self.report(path, &format!("there is no {what} {name}"), fix);
     }
 
-    fn report(&mut self, path: &[Step], wrong: &str, fix: &str) {
+    fn report(&mut self, path: &[PathSegment], wrong: &str, fix: &str) {
         self.findings.push(Finding { fix: fix.into(), path: path.to_vec(), wrong: wrong.into() });
     }
 }
 
-fn join(path: &[Step], more: &[Step]) -> Vec<Step> {
+fn join(path: &[PathSegment], more: &[PathSegment]) -> Vec<PathSegment> {
     [path, more].concat()
 }
--- a/src/manifest/read.rs
+++ b/src/manifest/read.rs
@@ -11,7 +11,7 @@
         if findings.is_empty() {
             return Ok(manifest);
         }
-        Err(yaml::located(&findings, text, file))
+        Err(yaml::locate_findings(&findings, text, file))
     }
 
     /// Every problem of a manifest that did not come from a text; without lines.
@@ -26,5 +26,5 @@
 }
 
 fn unplaced(findings: Vec<Finding>) -> Vec<Problem> {
-    findings.into_iter().map(|finding| finding.unplaced("manifest")).collect()
+    findings.into_iter().map(|finding| finding.to_problem("manifest")).collect()
 }
--- a/src/manifest/store.rs
+++ b/src/manifest/store.rs
@@ -161,7 +161,7 @@
             Err(reason) => return OfferOutcome::Refused(reason),
         };
         let before = self.sequence();
-        invariant::hold(before < Some(manifest.sequence), "manifest-only-moves-up", || {
+        invariant::check(before < Some(manifest.sequence), "manifest-only-moves-up", || {
             format!("from {before:?} to {}", manifest.sequence)
         });
         self.parts.retain(|id, _| signed.parts.contains(id));
--- a/src/measure/policies/experiment.rs
+++ b/src/measure/policies/experiment.rs
@@ -244,7 +244,7 @@
         let Answer::Error { error, retry_after } = answer else {
             return self.finish(request, true);
         };
-        if error.row().resend == crate::base::Resend::Never {
+        if error.response().resend == crate::base::Resend::Never {
             return self.finish(request, false);
         }
         let at = self.now + retry_after.unwrap_or_default();
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration, as it lies in the store.
 
 use crate::{
-    base::span_text,
+    base::duration_text,
     entry::{
         Declaration, DecodeError, Idempotency, KeyDigest, Route, ServiceRules, Team, TeamError,
         TeamLimit, Teams,
@@ -34,7 +34,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Limits {
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     idle_timeout: Duration,
     max_body_bytes: usize,
 }
@@ -63,7 +63,7 @@
     #[serde(default)]
     session_affinity: bool,
     /// Time within which an answer earns its full worth.
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     target_latency: Duration,
 }
 
@@ -82,7 +82,7 @@
     #[serde(default = "one")]
     max_attempts: u32,
     service: Option<ServiceId>,
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     timeout: Duration,
     /// In place of `service`.
     #[serde(default)]
@@ -103,7 +103,7 @@
     #[serde(default = "one_a_second")]
     cold_per_s: f64,
     /// Time for which a target stays cold after its start.
-    #[serde(default, with = "span_text::optional")]
+    #[serde(default, with = "duration_text::optional")]
     cold_start: Option<Duration>,
     #[serde(default)]
     max_connections: u32,
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -43,7 +43,7 @@
 pub fn reply(status: StatusCode, headers: &HeaderMap) -> ReplyMetadata {
     ReplyMetadata {
         attempt_id: text(headers, &ATTEMPT).map(Arc::from),
-        cold_for: text(headers, &COLD).and_then(crate::base::span_text::parse),
+        cold_for: text(headers, &COLD).and_then(crate::base::duration_text::parse),
         load: text(headers, &LOAD).and_then(load),
         not_run: headers.contains_key(&NOT_RUN),
         wrong_target: status == StatusCode::MISDIRECTED_REQUEST,
--- a/src/platform/protocol.rs
+++ b/src/platform/protocol.rs
@@ -5,7 +5,7 @@
 
 use super::{config, headers, keys, server};
 use crate::{
-    base::span_text,
+    base::duration_text,
     entry::{
         CallerLocation, CallerMetadata, Declaration, DecodeError, Protocol, ReplyMetadata,
         StorePrefixes, TargetEntry,
@@ -82,7 +82,7 @@
     }
 
     fn encode_lookup_response(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes {
-        let found = Found { addresses: callers, ttl: span_text::format(ttl) };
+        let found = Found { addresses: callers, ttl: duration_text::format(ttl) };
         serde_json::to_vec(&found).expect("addresses and a text can be encoded").into()
     }
 
--- a/src/platform/server.rs
+++ b/src/platform/server.rs
@@ -1,7 +1,7 @@
 //! What targets say of themselves in the store.
 
 use crate::{
-    base::span_text,
+    base::duration_text,
     entry::{DecodeError, TargetEntry},
     prelude::*,
 };
@@ -32,7 +32,7 @@
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Status {
-    #[serde(default, with = "span_text::field")]
+    #[serde(default, with = "duration_text::field")]
     cold_remaining: Duration,
     state: State,
 }
--- a/src/quarantine/suspects.rs
+++ b/src/quarantine/suspects.rs
@@ -81,9 +81,9 @@
         runs.iter_mut().for_each(|run| run.shared = true);
         runs.push(ActiveRun { fingerprint, shared });
         let refused = matches!(run_mode, RunMode::Refused { .. });
-        invariant::hold(!refused, "quarantine-not-run", || format!("{fingerprint:032x}"));
+        invariant::check(!refused, "quarantine-not-run", || format!("{fingerprint:032x}"));
         let alone = run_mode != RunMode::Exclusive || !shared;
-        invariant::hold(alone, "suspect-runs-alone", || format!("{fingerprint:032x}"));
+        invariant::check(alone, "suspect-runs-alone", || format!("{fingerprint:032x}"));
     }
 
     /// Records the end of a request that was sent to `target`; `crashed` if the target went down
@@ -254,6 +254,6 @@
         self.records.insert(fingerprint, record);
         let len = self.records.len();
         let bounded = len <= self.limits.records.max(1);
-        invariant::hold(bounded, "quarantine-bounded", || format!("{len} records"));
+        invariant::check(bounded, "quarantine-bounded", || format!("{len} records"));
     }
 }
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -32,7 +32,7 @@
     let mut peer = Quarantine::new(QuarantineLimits::default());
     peer.merge_mark(&mark, secs(1000));
     assert_eq!(peer.run_mode(crashing, secs(1001)), RunMode::Refused { until: secs(1060) });
-    assert!(invariant::take().is_empty());
+    assert!(invariant::take_violations().is_empty());
 }
 
 #[test]
@@ -121,7 +121,8 @@
 #[test]
 fn broken_invariants_are_recorded() {
     let target: TargetId = "a".into();
-    let names = || invariant::take().iter().map(|broken| broken.name).collect::<Vec<_>>();
+    let names =
+        || invariant::take_violations().iter().map(|broken| broken.name).collect::<Vec<_>>();
     let mut quarantine = Quarantine::new(QuarantineLimits { records: 2, ..Default::default() });
     quarantine.record_start(1, &target, secs(0));
     quarantine.record_end(1, &target, true, secs(0));
--- a/src/routing/arrival.rs
+++ b/src/routing/arrival.rs
@@ -207,7 +207,7 @@
         let (booking, running) = (state.is_booking(), state.running_attempts.len());
         self.attempts.insert(attempt, Attempt { call, is_first, destination, started_at: now });
         // Two attempts at a booking in progress could run it twice, whatever the ledger says.
-        invariant::hold(!booking || running == 1, "one-attempt-a-booking", || {
+        invariant::check(!booking || running == 1, "one-attempt-a-booking", || {
             format!("call {call} has {running} attempts in progress")
         });
         attempt
@@ -287,7 +287,7 @@
         let Some(state) = self.calls.get(&call) else { return };
         let error = state.final_error(error);
         if state.in_ledger {
-            let end = if error.row().ran == Ran::No {
+            let end = if error.response().ran == Ran::No {
                 ExecutionOutcome::NotRun
             } else {
                 ExecutionOutcome::Unknown
@@ -307,7 +307,7 @@
         }
         let home = self.home_region(&state.arrival);
         let service = state.arrival.service.clone();
-        let undo = state.direct_shift && error.row().ran == Ran::No;
+        let undo = state.direct_shift && error.response().ran == Ran::No;
         let refused = error == ErrorKind::NoSlots;
         let end = CompletedRequest { latency: None, refused, shifted: true };
         self.caps.record_completion(&service, &home, end, now);
@@ -369,7 +369,7 @@
 /// The minimum from the error's row plus jitter, so that callers refused together don't all retry
 /// at the same time.
 fn jittered_retry_after(error: ErrorKind, rng: &mut impl Rng) -> Option<Duration> {
-    error.row().retry_after.map(|least| least.mul_f64(1.0 + rng.random::<f64>()))
+    error.response().retry_after.map(|least| least.mul_f64(1.0 + rng.random::<f64>()))
 }
 
 fn find_owner(view: &View, binding: &Binding) -> Option<(HostId, SocketAddr)> {
--- a/src/routing/attempt_end.rs
+++ b/src/routing/attempt_end.rs
@@ -129,7 +129,7 @@
             let end = kept.map_or(ExecutionOutcome::Unknown, ExecutionOutcome::Answered);
             self.end_ledger_entry(call, end, now, rng);
         }
-        invariant::hold(
+        invariant::check(
             !has_entry || !matches!(destination, Destination::LedgerOwner),
             "one-owner-a-booking",
             || format!("call {call} has a ledger entry here but was sent to another owner"),
@@ -148,7 +148,7 @@
         // That this copy did not reach the owner says nothing about earlier copies. Told `not run`,
         // the caller would book again with a new key, and the request could run twice.
         if matches!(destination, Destination::LedgerOwner) {
-            let reached = error.row().ran != Ran::No;
+            let reached = error.response().ran != Ran::No;
             let error = if reached { error } else { ErrorKind::OwnerUnreachable };
             return self.fail(call, error, now, rng);
         }
@@ -172,7 +172,7 @@
 
     /// Starts another attempt if the error and the retry budget allow it; otherwise ends the call.
     fn retry_or_fail(&mut self, call: CallId, error: ErrorKind, now: Moment, rng: &mut impl Rng) {
-        let not_run = error.row().ran == Ran::No;
+        let not_run = error.response().ran == Ran::No;
         if not_run {
             self.undo_shift(call, now);
         }
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -81,7 +81,7 @@
     /// A streamed body broke off after its beginning was passed to the caller. Another target may
     /// serve the rest.
     Interrupted { error: ErrorKind, latency: Duration },
-    /// Another host refused it. `error.row().ran` says whether the request ran there.
+    /// Another host refused it. `error.response().ran` says whether the request ran there.
     Refused { error: ErrorKind, latency: Duration },
 }
 
--- a/src/routing/resume.rs
+++ b/src/routing/resume.rs
@@ -33,7 +33,7 @@
     /// request did run, even if the attempts at the rest did not, and the timeline must not show
     /// `not run`.
     pub(super) fn final_error(&self, error: ErrorKind) -> ErrorKind {
-        let untrue = self.interrupted && error.row().ran == Ran::No;
+        let untrue = self.interrupted && error.response().ran == Ran::No;
         if untrue { ErrorKind::StreamCut } else { error }
     }
 }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -352,7 +352,7 @@
         let arrival = state.arrival.clone();
         let needs_entry = state.is_booking() && arrival.via != Via::SlotHop;
         let has_entry = state.in_ledger;
-        invariant::hold(!needs_entry || has_entry, "entry-before-dispatch", || {
+        invariant::check(!needs_entry || has_entry, "entry-before-dispatch", || {
             format!("request {} has no ledger entry", arrival.request)
         });
         self.quarantine.record_start(arrival.fingerprint, &target, now);
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -283,7 +283,7 @@
         let same_manifest =
             self.view.as_ref().is_some_and(|old| Arc::ptr_eq(&old.manifest, &view.manifest));
         if let Some(old) = &self.view {
-            invariant::hold(
+            invariant::check(
                 old.manifest.sequence <= view.manifest.sequence,
                 "manifest-moves-up",
                 || format!("sequence {} after {}", view.manifest.sequence, old.manifest.sequence),
@@ -363,7 +363,7 @@
     }
 
     fn record_broken_invariants(&mut self) {
-        for broken in invariant::take() {
+        for broken in invariant::take_violations() {
             let kind =
                 EventKind::InvariantBroken { detail: broken.detail, name: broken.name.into() };
             self.record_event(None, kind);
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -220,7 +220,7 @@
     let until = drained.now + Duration::from_secs(60);
     let view = View { drains: scopes.into(), ..view(until) };
     drained.handle(Event::Viewed { view: Arc::new(view) });
-    let told = error_answer(&drained.interrupt(first)).map(|error| error.row().ran);
+    let told = error_answer(&drained.interrupt(first)).map(|error| error.response().ran);
     assert_eq!(told, Some(Ran::Unknown));
 
     let mut left = Host::new();
@@ -314,7 +314,7 @@
         let mut host = Host::new();
         let arrival = Arrival { binding: Some(stranger.clone()), via, ..host.booking("k") };
         let kind = error_answer(&host.handle(Event::Arrived(arrival)));
-        assert_eq!(kind.map(|kind| kind.row().ran), Some(Ran::Unknown), "{via:?}");
+        assert_eq!(kind.map(|kind| kind.response().ran), Some(Ran::Unknown), "{via:?}");
     }
     let mut host = Host::new();
     let mut known = view(host.now + Duration::from_secs(4));
@@ -442,7 +442,7 @@
     assert!(forwarded, "{actions:?}");
     let refused = actions.iter().find_map(|action| match action {
         Action::Answer { answer: Answer::Error { error, .. }, call } if *call == hop_call => {
-            Some(error.row().ran)
+            Some(error.response().ran)
         }
         _ => None,
     });
--- a/src/selection/selector.rs
+++ b/src/selection/selector.rs
@@ -228,7 +228,7 @@
 }
 
 pub(super) fn check_has_room(chosen: &Candidate) {
-    invariant::hold(chosen.has_room(), "selection-has-room", || format!("{chosen:?}"));
+    invariant::check(chosen.has_room(), "selection-has-room", || format!("{chosen:?}"));
 }
 
 /// The index with the lowest cost; ties are broken at random.
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -144,7 +144,7 @@
 #[test]
 fn choosing_a_full_target_breaks_the_invariant() {
     super::selector::check_has_room(&candidate("a", 3, 3, Tier::Zone));
-    assert_eq!(invariant::take()[0].name, "selection-has-room");
+    assert_eq!(invariant::take_violations()[0].name, "selection-has-room");
 }
 
 fn succeed(selector: &mut Selector, target: &str, count: u32, millis: u64, now: Moment) {
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -3,21 +3,21 @@
 use ed25519_dalek::VerifyingKey;
 
 use super::Settings;
-use crate::yaml::{Finding, Step};
+use crate::yaml::{Finding, PathSegment};
 
 pub(super) const KEY_FIX: &str = "give the 64 hex digits that `lavenderplank key new` prints";
 
 /// Longest name of a member, region, zone, host, service or target, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// What a name may be made of, for error texts.
 pub const NAME_FIX: &str =
     "use 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.', and begin with a letter or digit";
 
 /// Whether `name` can stand in paths, headers and object keys without escaping.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    name.len() <= MAX_NAME
+    name.len() <= MAX_NAME_BYTES
         && name.starts_with(|c: char| c.is_ascii_alphanumeric())
         && name.chars().all(plain)
 }
@@ -35,7 +35,7 @@
     ingress(settings, &mut findings);
     listeners(settings, &mut findings);
     if verifying_key(&settings.manifest_key).is_none() {
-        let path = vec![Step::Key("manifest_key")];
+        let path = vec![PathSegment::Key("manifest_key")];
         findings.push(finding(path, "is no Ed25519 public key", KEY_FIX));
     }
     findings
@@ -49,25 +49,25 @@
         ("zone", &settings.zone),
     ];
     for (field, name) in names {
-        if !is_name(name) {
-            findings.push(finding(vec![Step::Key(field)], "is no name", NAME_FIX));
+        if !is_valid_name(name) {
+            findings.push(finding(vec![PathSegment::Key(field)], "is no name", NAME_FIX));
         }
     }
 }
 
 /// Addresses that this host sends to: the OS can't choose their port.
 fn destinations(settings: &Settings, findings: &mut Vec<Finding>) {
-    let mut all = vec![(vec![Step::Key("platform")], settings.platform)];
+    let mut all = vec![(vec![PathSegment::Key("platform")], settings.platform)];
     let optional = [
         ("advertise_http", settings.advertise_http),
         ("advertise_rpc", settings.advertise_rpc),
         ("metrics", settings.metrics),
     ];
     for (field, address) in optional {
-        all.extend(address.map(|address| (vec![Step::Key(field)], address)));
+        all.extend(address.map(|address| (vec![PathSegment::Key(field)], address)));
     }
     for (index, peer) in settings.peers.iter().enumerate() {
-        let path = vec![Step::Key("peers"), Step::Index(index)];
+        let path = vec![PathSegment::Key("peers"), PathSegment::Index(index)];
         if settings.peers[..index].contains(peer) {
             findings.push(finding(path.clone(), "names a peer twice", "name each peer once"));
         }
@@ -92,7 +92,7 @@
     ];
     for (field, value, least, most) in ranges {
         if !(least..=most).contains(&value) {
-            let path = vec![Step::Key("ingress"), Step::Key(field)];
+            let path = vec![PathSegment::Key("ingress"), PathSegment::Key(field)];
             let fix = format!("give {least} to {most}");
             findings.push(finding(path, "is out of range", &fix));
         }
@@ -108,15 +108,15 @@
     for (field, address, advertised, given) in pairs {
         if address.ip().is_unspecified() && given.is_none() {
             let fix = format!("give one address, or add `{advertised}`");
-            findings.push(finding(vec![Step::Key(field)], "listens on every address", &fix));
+            findings.push(finding(vec![PathSegment::Key(field)], "listens on every address", &fix));
         }
     }
     if settings.http == settings.rpc && settings.http.port() != 0 {
         let fix = "give callers and peers different ports";
-        findings.push(finding(vec![Step::Key("rpc")], "is the address of `http` too", fix));
+        findings.push(finding(vec![PathSegment::Key("rpc")], "is the address of `http` too", fix));
     }
 }
 
-fn finding(path: Vec<Step>, wrong: &str, fix: &str) -> Finding {
+fn finding(path: Vec<PathSegment>, wrong: &str, fix: &str) -> Finding {
     Finding { fix: fix.into(), path, wrong: wrong.into() }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 pub use self::{
-    check::{MAX_NAME, NAME_FIX, is_name},
+    check::{MAX_NAME_BYTES, NAME_FIX, is_valid_name},
     log::{LogFormat, LogLevel, LogSettings},
     model::{OPERATOR_TOKEN_VARIABLE, PEER_KEY_VARIABLE, Settings},
     secret::Secret,
--- a/src/settings/model.rs
+++ b/src/settings/model.rs
@@ -8,7 +8,7 @@
 use crate::{
     ingress::IngressLimits,
     prelude::*,
-    yaml::{self, MAX_FILE},
+    yaml::{self, MAX_FILE_BYTES},
 };
 
 /// Environment variable with the member's secret between its hosts.
@@ -64,7 +64,7 @@
 impl Settings {
     /// Reads and checks a settings file; the first problem is returned.
     pub fn load(path: &Path) -> Result<Self> {
-        let text = yaml::read_file(path, MAX_FILE)?;
+        let text = yaml::read_file(path, MAX_FILE_BYTES)?;
         Self::parse(&text, &path.display().to_string())
     }
 
@@ -80,14 +80,14 @@
         if findings.is_empty() {
             return Ok(settings);
         }
-        Err(yaml::located(&findings, text, file))
+        Err(yaml::locate_findings(&findings, text, file))
     }
 
     /// The public key that manifests of this member are verified with.
     pub fn verifying_key(&self) -> Result<VerifyingKey> {
         check::verifying_key(&self.manifest_key).ok_or_else(|| Problem {
             field: "manifest_key".into(),
-            ..Problem::whole("settings", "is no Ed25519 public key", check::KEY_FIX)
+            ..Problem::for_file("settings", "is no Ed25519 public key", check::KEY_FIX)
         })
     }
 
@@ -109,7 +109,7 @@
     let fix = format!("set {variable} or name a file of one line");
     let missing = |wrong: &str| Problem {
         field: field.into(),
-        ..Problem::whole("settings", wrong, fix.clone())
+        ..Problem::for_file("settings", wrong, fix.clone())
     };
     let path = path.ok_or_else(|| missing("no secret is given"))?;
     let text = yaml::read_file(path, MAX_SECRET_FILE)?;
--- a/src/shift/limiter.rs
+++ b/src/shift/limiter.rs
@@ -260,7 +260,7 @@
         self.window.update(now, |bucket| bucket.shifted += 1);
         let sums = self.window.sums(now);
         let is_under_cap = f64::from(sums.shifted) <= cap * f64::from(sums.total);
-        invariant::hold(is_under_cap, "shift-under-cap", || {
+        invariant::check(is_under_cap, "shift-under-cap", || {
             format!("{} shifted of {}, cap {cap}", sums.shifted, sums.total)
         });
         true
@@ -315,7 +315,7 @@
         self.ramp.record_shift(effective_rate / rate.max(f64::EPSILON), now);
         self.window.update(now, |bucket| bucket.direct += 1);
         let direct = self.window.sums(now).direct;
-        invariant::hold(f64::from(direct) <= limit, "direct-shift-under-cap", || {
+        invariant::check(f64::from(direct) <= limit, "direct-shift-under-cap", || {
             format!("{direct} served directly, {limit:.1} allowed")
         });
         true
--- a/src/shift/ramp.rs
+++ b/src/shift/ramp.rs
@@ -162,7 +162,7 @@
         self.rising = rising;
         self.reversals.push_back(now);
         let count = self.reversals.len();
-        invariant::hold(count <= MAX_REVERSALS, "shift-reversals-bounded", || {
+        invariant::check(count <= MAX_REVERSALS, "shift-reversals-bounded", || {
             format!("{count} reversals within {REVERSAL_SPAN:?}")
         });
     }
--- a/src/shift/tests.rs
+++ b/src/shift/tests.rs
@@ -43,7 +43,7 @@
     assert!((50..270).contains(&ramping), "{ramping}");
     let steady = shift_all(&mut limiter, &query, at(20));
     assert!((270..=300).contains(&steady), "{steady}");
-    assert!(crate::base::invariant::take().is_empty());
+    assert!(crate::base::invariant::take_violations().is_empty());
 }
 
 #[test]
@@ -105,7 +105,7 @@
         shifted += u32::from(limiter.allow(&query, now));
     }
     assert!(shifted <= 15 + 2, "{shifted} of 50 shifted at a cap of 30 %");
-    assert!(invariant::take().is_empty());
+    assert!(invariant::take_violations().is_empty());
 }
 
 #[test]
@@ -136,7 +136,7 @@
     );
     let [ramping, steady] = served;
     assert!(ramping <= 150 && (130..=150 + 4).contains(&steady), "{ramping}, {steady} directly");
-    assert!(invariant::take().is_empty());
+    assert!(invariant::take_violations().is_empty());
 }
 
 #[test]
@@ -172,7 +172,9 @@
             }
         }
         let reversals = limiter.reversals(&query.service, &query.home);
-        let fired = invariant::take().iter().any(|broken| broken.name == "shift-reversals-bounded");
+        let fired = invariant::take_violations()
+            .iter()
+            .any(|broken| broken.name == "shift-reversals-bounded");
         assert_eq!(fired, !pause, "{reversals} reversals");
     }
 }
@@ -241,7 +243,7 @@
     let mut limiter = ShiftLimiter::with_options(rules, Duration::ZERO);
     shift_all(&mut limiter, &query(0.3, false), at(0));
     (0..50).for_each(|_| assert!(limiter.allow_direct(&direct_query(10.0, 1), at(20))));
-    let broken = invariant::take();
+    let broken = invariant::take_violations();
     for name in ["shift-under-cap", "direct-shift-under-cap"] {
         assert!(broken.iter().any(|broken| broken.name == name), "{name}");
     }
--- a/src/soak/callers.rs
+++ b/src/soak/callers.rs
@@ -193,7 +193,7 @@
         retry_after: Option<Duration>,
     ) {
         *self.errors.entry(error).or_default() += 1;
-        let row = error.row();
+        let row = error.response();
         let caller = &mut self.callers[intent];
         let pair = caller.sent[send as usize - 1].clone();
         if let Some(pair) = pair.filter(|_| row.ran == Ran::No) {
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -8,7 +8,7 @@
 
 use super::links::{CLIENT_DELAY, Links, Place};
 use crate::{
-    base::{Resend, cause_of},
+    base::{Resend, root_cause},
     daemon::{LookupBody, headers},
     prelude::*,
 };
@@ -259,12 +259,12 @@
         let res = match req.send().await {
             Ok(res) => res,
             Err(error) if error.is_connect() => return Sent::Nothing,
-            Err(error) => return Sent::Unsure(cause_of(&error)),
+            Err(error) => return Sent::Unsure(root_cause(&error)),
         };
         let headers = res.headers().clone();
         let body = match res.bytes().await {
             Ok(body) => body,
-            Err(error) => return Sent::Unsure(cause_of(&error)),
+            Err(error) => return Sent::Unsure(root_cause(&error)),
         };
         if self.travel(host).await.is_none() {
             return Sent::Unsure("the way back is cut".into());
--- a/src/standin/linked.rs
+++ b/src/standin/linked.rs
@@ -6,7 +6,7 @@
 use super::links::{Links, Place};
 use crate::{
     daemon::PeerLink,
-    forward::{Attempt, Failure, Reply, Upstream},
+    forward::{Attempt, ForwardError, TargetResponse, Upstream},
     membership::Digest,
     peer::{
         HandoverAck, HandoverChunk, ManifestReply, PartReply, PartRequest, PeerClient, PeerError,
@@ -49,11 +49,11 @@
 
 #[async_trait]
 impl<T: Upstream> Upstream for Linked<T> {
-    async fn send(&self, attempt: Attempt) -> crate::forward::Result<Reply> {
+    async fn send(&self, attempt: Attempt) -> crate::forward::Result<TargetResponse> {
         let to = attempt.address;
-        self.travel(to).await.ok_or(Failure::Connect)?;
+        self.travel(to).await.ok_or(ForwardError::ConnectFailed)?;
         let reply = self.inner.send(attempt).await?;
-        self.travel(to).await.ok_or(Failure::Lost)?;
+        self.travel(to).await.ok_or(ForwardError::ConnectionLost)?;
         Ok(reply)
     }
 }
--- a/src/tenure/lease.rs
+++ b/src/tenure/lease.rs
@@ -33,7 +33,7 @@
                 self.last_tick + LEASE
             }
         };
-        invariant::hold(valid_until <= now + LEASE, "tenure-within-lease", || {
+        invariant::check(valid_until <= now + LEASE, "tenure-within-lease", || {
             format!("{valid_until:?} at {now:?}")
         });
         Tenure { owners, provisional, valid_until }
--- a/src/tenure/machine.rs
+++ b/src/tenure/machine.rs
@@ -219,7 +219,7 @@
 
     fn apply_list_changes(&mut self, old: &ZoneTenure, now: Moment) {
         let new = &self.list;
-        invariant::hold(old.fence < new.fence, "tenure-fence-rises", || {
+        invariant::check(old.fence < new.fence, "tenure-fence-rises", || {
             format!("from {} to {}", old.fence, new.fence)
         });
         for holder in &old.hosts {
--- a/src/tenure/tests.rs
+++ b/src/tenure/tests.rs
@@ -31,7 +31,7 @@
     zone.run(secs(300));
     assert_eq!(zone.usable_targets(0).0 + zone.usable_targets(1).0, 40);
     assert_eq!(zone.writes, 2);
-    assert_eq!(invariant::take(), []);
+    assert_eq!(invariant::take_violations(), []);
 }
 
 // A host is paused for a minute while one of its writes is delayed. Its peer suspects it, removes
@@ -267,5 +267,5 @@
     }
     zone.run(secs(60));
     assert_eq!((zone.listed().len(), full(&zone)), (27, 40));
-    assert_eq!(invariant::take(), []);
+    assert_eq!(invariant::take_violations(), []);
 }
--- a/src/timer/mod.rs
+++ b/src/timer/mod.rs
@@ -34,7 +34,7 @@
 
 impl TokioTimer {
     /// A timer whose jobs run on `runtime`.
-    pub fn open(runtime: Handle) -> Self {
+    pub fn new(runtime: Handle) -> Self {
         Self { runtime }
     }
 }
--- a/src/why/tests.rs
+++ b/src/why/tests.rs
@@ -87,7 +87,7 @@
         error,
         end,
         objective_ms: 400,
-        ran: error.map_or(Ran::Yes, |error| error.row().ran),
+        ran: error.map_or(Ran::Yes, |error| error.response().ran),
         retry_after_ms: None,
         sent: 1,
         service: "desk".into(),
--- a/src/yaml/finding.rs
+++ b/src/yaml/finding.rs
@@ -10,7 +10,7 @@
 
 /// One step of a path into the data.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum PathSegment {
     Index(usize),
     Key(&'static str),
 }
@@ -19,46 +19,46 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
     pub fix: Arc<str>,
-    pub path: Vec<Step>,
+    pub path: Vec<PathSegment>,
     pub wrong: Arc<str>,
 }
 
 impl Finding {
     /// The finding as a problem without a place in a text.
-    pub fn unplaced(&self, file: &str) -> Problem {
+    pub fn to_problem(&self, file: &str) -> Problem {
         Problem {
             field: path_text(&self.path).into(),
-            ..Problem::whole(file, self.wrong.clone(), self.fix.clone())
+            ..Problem::for_file(file, self.wrong.clone(), self.fix.clone())
         }
     }
 }
 
 /// Gives each finding its line and column in `text`. Past a limit only the number is told.
-pub fn located(findings: &[Finding], text: &str, file: &str) -> Vec<Problem> {
+pub fn locate_findings(findings: &[Finding], text: &str, file: &str) -> Vec<Problem> {
     let mut problems: Vec<Problem> = findings
         .iter()
         .take(MAX_LOCATED)
         .map(|finding| {
             let place = locate(text, &finding.path).unwrap_or_default();
-            Problem { column: place.column, line: place.line, ..finding.unplaced(file) }
+            Problem { column: place.column, line: place.line, ..finding.to_problem(file) }
         })
         .collect();
     problems.sort_by_key(|problem| (problem.line, problem.column));
     let rest = findings.len().saturating_sub(MAX_LOCATED);
     if 0 < rest {
         let wrong = format!("{rest} more problems are not listed");
-        problems.push(Problem::whole(file, wrong, "mend the ones above first"));
+        problems.push(Problem::for_file(file, wrong, "mend the ones above first"));
     }
     problems
 }
 
-fn path_text(path: &[Step]) -> String {
+fn path_text(path: &[PathSegment]) -> String {
     let mut text = String::new();
     for step in path {
         match step {
-            Step::Index(index) => text.push_str(&format!("[{index}]")),
-            Step::Key(key) if text.is_empty() => text.push_str(key),
-            Step::Key(key) => text.push_str(&format!(".{key}")),
+            PathSegment::Index(index) => text.push_str(&format!("[{index}]")),
+            PathSegment::Key(key) if text.is_empty() => text.push_str(key),
+            PathSegment::Key(key) => text.push_str(&format!(".{key}")),
         }
     }
     text
--- a/src/yaml/locate.rs
+++ b/src/yaml/locate.rs
@@ -10,7 +10,7 @@
     de::{DeserializeSeed, Error, IgnoredAny, MapAccess, SeqAccess, Visitor},
 };
 
-use super::Step;
+use super::PathSegment;
 
 /// Line and column, both from 1; 0 when not known.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -20,14 +20,14 @@
 }
 
 /// The place of `path` in `text`; of its nearest parent where the last step is missing.
-pub(super) fn locate(text: &str, path: &[Step]) -> Option<Place> {
+pub(super) fn locate(text: &str, path: &[PathSegment]) -> Option<Place> {
     let decoder = serde_norway::Deserializer::from_str(text);
     let err = Follow(path).deserialize(decoder).err()?;
     let place = err.location()?;
     Some(Place { column: place.column(), line: place.line() })
 }
 
-struct Follow<'a>(&'a [Step]);
+struct Follow<'a>(&'a [PathSegment]);
 
 impl Follow<'_> {
     fn stop<E: Error>(&self) -> Result<(), E> {
@@ -63,7 +63,9 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        let Some((Step::Key(wanted), rest)) = self.0.split_first() else { return self.stop() };
+        let Some((PathSegment::Key(wanted), rest)) = self.0.split_first() else {
+            return self.stop();
+        };
         while let Some(key) = map.next_key::<String>()? {
             if key == *wanted {
                 return map.next_value_seed(Follow(rest));
@@ -74,7 +76,9 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        let Some((Step::Index(wanted), rest)) = self.0.split_first() else { return self.stop() };
+        let Some((PathSegment::Index(wanted), rest)) = self.0.split_first() else {
+            return self.stop();
+        };
         for _ in 0..*wanted {
             if seq.next_element::<IgnoredAny>()?.is_none() {
                 return self.stop();
--- a/src/yaml/mod.rs
+++ b/src/yaml/mod.rs
@@ -9,9 +9,9 @@
 mod tests;
 
 pub use self::{
-    finding::{Finding, Step, located},
+    finding::{Finding, PathSegment, locate_findings},
     problem::Problem,
-    read::{MAX_FILE, decode, read_file},
+    read::{MAX_FILE_BYTES, decode, read_file},
 };
 
 /// Result of reading one file.
--- a/src/yaml/problem.rs
+++ b/src/yaml/problem.rs
@@ -21,7 +21,7 @@
 
 impl Problem {
     /// A problem of the file as a whole.
-    pub fn whole(file: &str, wrong: impl Into<Arc<str>>, fix: impl Into<Arc<str>>) -> Self {
+    pub fn for_file(file: &str, wrong: impl Into<Arc<str>>, fix: impl Into<Arc<str>>) -> Self {
         Self {
             column: 0,
             field: "".into(),
--- a/src/yaml/read.rs
+++ b/src/yaml/read.rs
@@ -7,13 +7,17 @@
 use super::{Problem, Result};
 
 /// Largest YAML file, in bytes. Lists longer than that do not belong into one (see `sign --blocks`).
-pub const MAX_FILE: u64 = 4 * 1024 * 1024;
+pub const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Reads a text file of at most `limit` bytes.
 pub fn read_file(path: &Path, limit: u64) -> Result<String> {
     let name = path.display().to_string();
     let unreadable = |err: std::io::Error| {
-        Problem::whole(&name, format!("cannot be read: {err}"), "give the path of a readable file")
+        Problem::for_file(
+            &name,
+            format!("cannot be read: {err}"),
+            "give the path of a readable file",
+        )
     };
     let file = File::open(path).map_err(unreadable)?;
     let mut buf = Vec::new();
@@ -21,24 +25,24 @@
     file.take(limit + 1).read_to_end(&mut buf).map_err(unreadable)?;
     if limit < buf.len() as u64 {
         let fix = format!("keep it to {limit} bytes");
-        return Err(Problem::whole(&name, format!("is larger than {limit} bytes"), fix));
+        return Err(Problem::for_file(&name, format!("is larger than {limit} bytes"), fix));
     }
     String::from_utf8(buf).map_err(|err| {
         let valid = err.utf8_error().valid_up_to();
         let line = 1 + err.as_bytes()[..valid].iter().filter(|byte| **byte == b'\n').count();
-        Problem { line, ..Problem::whole(&name, "is not UTF-8 text", "save it as UTF-8") }
+        Problem { line, ..Problem::for_file(&name, "is not UTF-8 text", "save it as UTF-8") }
     })
 }
 
 /// Decodes one YAML document.
 pub fn decode<T: DeserializeOwned>(text: &str, file: &str) -> Result<T> {
-    if MAX_FILE < text.len() as u64 {
-        let fix = format!("keep it to {MAX_FILE} bytes");
-        return Err(Problem::whole(file, format!("is larger than {MAX_FILE} bytes"), fix));
+    if MAX_FILE_BYTES < text.len() as u64 {
+        let fix = format!("keep it to {MAX_FILE_BYTES} bytes");
+        return Err(Problem::for_file(file, format!("is larger than {MAX_FILE_BYTES} bytes"), fix));
     }
     let is_comment = |line: &str| line.trim().is_empty() || line.trim_start().starts_with('#');
     if text.lines().all(is_comment) {
-        return Err(Problem::whole(file, "is empty", "give the fields in docs/REFERENCE.md"));
+        return Err(Problem::for_file(file, "is empty", "give the fields in docs/REFERENCE.md"));
     }
     match serde_norway::from_str(text) {
         Ok(data) => Ok(data),
--- a/src/yaml/tests.rs
+++ b/src/yaml/tests.rs
@@ -7,15 +7,15 @@
     let path = dir.join("x.yaml");
     let table: [(&[u8], &str); 2] = [
         (b"a: \xff\n", "x.yaml:1: is not UTF-8 text; save it as UTF-8"),
-        (&[b'#'; MAX_FILE as usize + 1], "x.yaml: is larger than 4194304 bytes; keep it to"),
+        (&[b'#'; MAX_FILE_BYTES as usize + 1], "x.yaml: is larger than 4194304 bytes; keep it to"),
     ];
     for (bytes, expected) in table {
         std::fs::write(&path, bytes).unwrap();
-        let problem = read_file(&path, MAX_FILE).unwrap_err().to_string();
+        let problem = read_file(&path, MAX_FILE_BYTES).unwrap_err().to_string();
         assert!(problem.contains(expected), "{problem}");
     }
     std::fs::remove_dir_all(&dir).unwrap();
-    assert!(read_file(&path, MAX_FILE).unwrap_err().to_string().contains("cannot be read"));
+    assert!(read_file(&path, MAX_FILE_BYTES).unwrap_err().to_string().contains("cannot be read"));
 }
 
 #[test]
--- a/tests/fuzz_head.rs
+++ b/tests/fuzz_head.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use lavenderplank::{
     daemon::{BadHeader, Incoming, headers},
-    ingress::BodyHold,
+    ingress::BodyReservation,
     routing::{Arrival, Via},
     settings::Secret,
 };
@@ -87,7 +87,7 @@
     Incoming {
         body: body.to_vec().into(),
         headers: map,
-        hold: BodyHold::default(),
+        hold: BodyReservation::default(),
         method: Method::POST,
         path: "/".into(),
         received: RECEIVED,
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -206,7 +206,7 @@
                 self.hosts.iter_mut().for_each(|host| host.ledger.rotate(self.now));
             }
         }
-        assert_eq!(invariant::take(), []);
+        assert_eq!(invariant::take_violations(), []);
     }
 
     /// Entries that were not dispatched die with the process; dispatches are on the wire.
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -20,8 +20,8 @@
 use lavenderplank::{
     base::{Binding, HeaderLine, Moment, Ran},
     forward::{
-        Alternatives, Attempt, Edition, Failure, ForwardLimits, HttpUpstream, Reply, ReplyBody,
-        ResumedBody, Upstream, asks_for_whole,
+        Attempt, FallbackTargets, FileVersion, ForwardError, ForwardLimits, HttpUpstream,
+        ResumableBody, TargetBody, TargetResponse, Upstream, requests_whole_file,
     },
     ledger::{BeginOutcome, ExecutionOutcome, KeptAnswer, Ledger, LedgerLimits, request_digest},
 };
@@ -38,40 +38,40 @@
 /// More than the socket buffers of both sides hold.
 const LARGE: usize = 16 << 20;
 const PART: usize = 64 << 10;
-const SENT_TIMEOUT: Failure = Failure::Timeout { sent: true };
-const SHED: Failure = Failure::Shed { retry_after: Some(Duration::from_secs(3)) };
+const SENT_TIMEOUT: ForwardError = ForwardError::Timeout { sent: true };
+const SHED: ForwardError = ForwardError::Shed { retry_after: Some(Duration::from_secs(3)) };
 
 fn client() -> Arc<HttpUpstream> {
     let limits = ForwardLimits { stream_silence: DEADLINE, ..ForwardLimits::default() };
-    Arc::new(HttpUpstream::open(limits).unwrap())
+    Arc::new(HttpUpstream::new(limits).unwrap())
 }
 
 fn booking(address: SocketAddr) -> Attempt {
     Attempt {
         address,
         body: Bytes::from_static(b"two seats"),
-        connections: 4,
-        deadline: LONG,
+        max_connections: 4,
+        timeout: LONG,
         headers: vec![HeaderLine::new("connection", "x-hop"), HeaderLine::new("x-hop", "1")],
         method: Method::POST,
         path: "/seats".into(),
-        repeatable: false,
+        is_idempotent: false,
         request: "request-1".into(),
-        whole: true,
+        buffer_response: true,
     }
 }
 
 fn read(address: SocketAddr) -> Attempt {
-    Attempt { body: Bytes::new(), method: Method::GET, repeatable: true, ..booking(address) }
+    Attempt { body: Bytes::new(), method: Method::GET, is_idempotent: true, ..booking(address) }
 }
 
 fn file(address: SocketAddr) -> Attempt {
-    Attempt { whole: false, ..read(address) }
+    Attempt { buffer_response: false, ..read(address) }
 }
 
-async fn collect(mut file: ResumedBody<Others>) -> (Vec<u8>, Option<Failure>) {
+async fn collect(mut file: ResumableBody<Others>) -> (Vec<u8>, Option<ForwardError>) {
     let mut body = Vec::new();
-    while let Some(chunk) = file.chunk().await {
+    while let Some(chunk) = file.next_chunk().await {
         match chunk {
             Ok(chunk) => body.extend_from_slice(&chunk),
             Err(failure) => return (body, Some(failure)),
@@ -86,17 +86,53 @@
 #[tokio::test]
 async fn a_failure_after_the_connection_is_unknown_unless_the_target_shed() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n";
-    let cases: &[(&str, usize, Duration, &[support::raw_target::Step], Failure)] = &[
-        ("reset before the head is read", 9, LONG, &[Reset], Failure::Lost),
-        ("reset before the body", LARGE, LONG, &[ReadPart(0), Reset], Failure::Lost),
-        ("reset during the body", LARGE, LONG, &[ReadPart(PART), Reset], Failure::Lost),
-        ("reset after the body", 9, LONG, &[ReadAll, Reset], Failure::Lost),
-        ("end before the answer", 9, LONG, &[ReadAll, Close], Failure::Lost),
-        ("reset in the head", 9, LONG, &[ReadAll, Write("HTTP/1.1 200"), Reset], Failure::Lost),
-        ("end in the head", 9, LONG, &[ReadAll, Write("HTTP/1.1 200"), Close], Failure::Lost),
-        ("no HTTP", 9, LONG, &[ReadAll, Write("SSH-2.0-x\r\n\r\n"), Close], Failure::Lost),
-        ("end after the head", 9, LONG, &[ReadAll, Write(head), Close], Failure::Broken),
-        ("short body", 9, LONG, &[ReadAll, Write(head), Write("sea"), Close], Failure::Broken),
+    let cases: &[(&str, usize, Duration, &[support::raw_target::Step], ForwardError)] = &[
+        ("reset before the head is read", 9, LONG, &[Reset], ForwardError::ConnectionLost),
+        ("reset before the body", LARGE, LONG, &[ReadPart(0), Reset], ForwardError::ConnectionLost),
+        (
+            "reset during the body",
+            LARGE,
+            LONG,
+            &[ReadPart(PART), Reset],
+            ForwardError::ConnectionLost,
+        ),
+        ("reset after the body", 9, LONG, &[ReadAll, Reset], ForwardError::ConnectionLost),
+        ("end before the answer", 9, LONG, &[ReadAll, Close], ForwardError::ConnectionLost),
+        (
+            "reset in the head",
+            9,
+            LONG,
+            &[ReadAll, Write("HTTP/1.1 200"), Reset],
+            ForwardError::ConnectionLost,
+        ),
+        (
+            "end in the head",
+            9,
+            LONG,
+            &[ReadAll, Write("HTTP/1.1 200"), Close],
+            ForwardError::ConnectionLost,
+        ),
+        (
+            "no HTTP",
+            9,
+            LONG,
+            &[ReadAll, Write("SSH-2.0-x\r\n\r\n"), Close],
+            ForwardError::ConnectionLost,
+        ),
+        (
+            "end after the head",
+            9,
+            LONG,
+            &[ReadAll, Write(head), Close],
+            ForwardError::InvalidResponse,
+        ),
+        (
+            "short body",
+            9,
+            LONG,
+            &[ReadAll, Write(head), Write("sea"), Close],
+            ForwardError::InvalidResponse,
+        ),
         (
             "chunks without the last",
             9,
@@ -106,21 +142,21 @@
                 Write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nseat\r\n"),
                 Close,
             ],
-            Failure::Broken,
+            ForwardError::InvalidResponse,
         ),
         (
             "body that ends with the connection",
             9,
             LONG,
             &[ReadAll, Write("HTTP/1.1 200 OK\r\n\r\nseat"), Close],
-            Failure::Broken,
+            ForwardError::InvalidResponse,
         ),
         (
             "body over the limit",
             9,
             LONG,
             &[ReadAll, Write("HTTP/1.1 200 OK\r\ncontent-length: 9999999\r\n\r\n"), Close],
-            Failure::Broken,
+            ForwardError::InvalidResponse,
         ),
         (
             "another request's id",
@@ -131,7 +167,7 @@
                 Write("HTTP/1.1 200 OK\r\nlavender-request-id: request-2\r\n"),
                 Write("content-length: 4\r\n\r\nseat"),
             ],
-            Failure::Broken,
+            ForwardError::InvalidResponse,
         ),
         (
             "shed answer to another request",
@@ -142,7 +178,7 @@
                 Write("HTTP/1.1 503 Busy\r\nlavender-request-id: request-2\r\n"),
                 Write("lavender-shed: 1\r\ncontent-length: 0\r\n\r\n"),
             ],
-            Failure::Broken,
+            ForwardError::InvalidResponse,
         ),
         ("silence before the head is read", 9, DEADLINE, &[Hold], SENT_TIMEOUT),
         ("silence in the body", LARGE, DEADLINE, &[ReadPart(PART), Hold], SENT_TIMEOUT),
@@ -163,10 +199,10 @@
     for (name, size, deadline, script, expected) in cases {
         let target = RawTarget::bind(&[script]).await;
         let body = Bytes::from(vec![b'x'; *size]);
-        let attempt = Attempt { body, deadline: *deadline, ..booking(target.address) };
+        let attempt = Attempt { body, timeout: *deadline, ..booking(target.address) };
         let failure = client().send(attempt).await.expect_err(name);
         assert_eq!(failure, *expected, "{name}");
-        let is_proof = failure.kind().row().ran == Ran::No;
+        let is_proof = failure.kind().response().ran == Ran::No;
         assert!(!is_proof || target.runs() == 0, "{name}: it ran");
         assert_eq!(target.connections(), 1, "{name}: it was sent again");
     }
@@ -180,29 +216,29 @@
     let gone = TcpSocket::new_v4().unwrap();
     gone.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let refused = booking(gone.local_addr().unwrap());
-    assert_matches!(client().send(refused.clone()).await, Err(Failure::Connect));
-    let refused = Attempt { repeatable: true, ..refused };
-    assert_matches!(client().send(refused).await, Err(Failure::Connect));
+    assert_matches!(client().send(refused.clone()).await, Err(ForwardError::ConnectFailed));
+    let refused = Attempt { is_idempotent: true, ..refused };
+    assert_matches!(client().send(refused).await, Err(ForwardError::ConnectFailed));
 
     let full = TcpSocket::new_v4().unwrap();
     full.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let full = full.listen(1).unwrap();
     let address = full.local_addr().unwrap();
     let _waiting = [connect(address).await, connect(address).await];
-    let short = Attempt { deadline: DEADLINE, ..booking(address) };
-    assert_matches!(client().send(short).await, Err(Failure::Timeout { sent: false }));
-    assert_matches!(client().send(booking(address)).await, Err(Failure::Connect));
+    let short = Attempt { timeout: DEADLINE, ..booking(address) };
+    assert_matches!(client().send(short).await, Err(ForwardError::Timeout { sent: false }));
+    assert_matches!(client().send(booking(address)).await, Err(ForwardError::ConnectFailed));
 
     let busy = RawTarget::bind(&[&[ReadAll, Hold]]).await;
     let client = client();
-    let first = Attempt { connections: 1, ..booking(busy.address) };
+    let first = Attempt { max_connections: 1, ..booking(busy.address) };
     let running = tokio::spawn({
         let (client, first) = (client.clone(), first.clone());
         async move { client.send(first).await }
     });
     busy.wait_for_runs(1).await;
-    let second = Attempt { deadline: DEADLINE, ..first };
-    assert_matches!(client.send(second).await, Err(Failure::Timeout { sent: false }));
+    let second = Attempt { timeout: DEADLINE, ..first };
+    assert_matches!(client.send(second).await, Err(ForwardError::Timeout { sent: false }));
     assert_eq!(busy.runs(), 1);
     running.abort();
 }
@@ -217,8 +253,8 @@
 async fn a_connection_that_ended_uncleanly_is_not_used_again() {
     let late = RawTarget::bind(&[&[ReadAll, Hold, Write(GOOD)], &[ReadAll, Write(GOOD)]]).await;
     let client = client();
-    let first = Attempt { deadline: DEADLINE, ..read(late.address) };
-    assert_matches!(client.send(first).await, Err(Failure::Timeout { .. }));
+    let first = Attempt { timeout: DEADLINE, ..read(late.address) };
+    assert_matches!(client.send(first).await, Err(ForwardError::Timeout { .. }));
     late.release();
     assert_matches!(client.send(read(late.address)).await, Ok(_));
     assert_eq!(late.connections(), 2);
@@ -228,8 +264,8 @@
     for _ in 0..3 {
         // The connection may be closed at the moment of writing; its rest is never an answer.
         match client.send(read(long.address)).await {
-            Ok(reply) => assert_matches!(reply.body, ReplyBody::Whole(body) if body == "seat"),
-            Err(failure) => assert_eq!(failure, Failure::Lost),
+            Ok(reply) => assert_matches!(reply.body, TargetBody::Whole(body) if body == "seat"),
+            Err(failure) => assert_eq!(failure, ForwardError::ConnectionLost),
         }
     }
 
@@ -276,7 +312,7 @@
     let shifted = "HTTP/1.1 206 Part\r\netag: \"a\"\r\ncontent-range: bytes 3-7/8\r\ncontent-length: 5\r\n\r\nwfile";
     let whole = "HTTP/1.1 200 OK\r\netag: \"a\"\r\ncontent-length: 8\r\n\r\nshowfile";
     let short = "HTTP/1.1 206 Part\r\netag: \"a\"\r\ncontent-range: bytes 4-7/8\r\ncontent-length: 3\r\n\r\nfil";
-    let broken = Some(Failure::Broken);
+    let broken = Some(ForwardError::InvalidResponse);
     for (name, first, seconds, body, failure) in [
         ("same edition", strong, vec![rest], "showfile", None),
         ("the second of two", strong, vec![other, rest], "showfile", None),
@@ -295,10 +331,10 @@
         let client = client();
         let reply = client.send(file(target.address)).await.unwrap();
         let addresses = others.iter().rev().map(|other| other.address).collect();
-        let edition = Edition::of(reply.status, &reply.headers);
-        let ReplyBody::Stream(chunks) = reply.body else { panic!("no stream") };
+        let edition = FileVersion::from_response(reply.status, &reply.headers);
+        let TargetBody::Stream(chunks) = reply.body else { panic!("no stream") };
         let others = Others { addresses, client };
-        let (got, ended) = collect(ResumedBody::new(chunks, edition, others)).await;
+        let (got, ended) = collect(ResumableBody::new(chunks, edition, others)).await;
         assert_eq!((String::from_utf8_lossy(&got).as_ref(), ended), (body, failure), "{name}");
     }
 }
@@ -308,9 +344,9 @@
 #[test]
 fn only_a_whole_file_goes_on() {
     let part = HeaderMap::from_iter([(http::header::RANGE, "bytes=3-".parse().unwrap())]);
-    assert!(asks_for_whole(&Method::GET, &HeaderMap::new()));
-    assert!(!asks_for_whole(&Method::HEAD, &HeaderMap::new()));
-    assert!(!asks_for_whole(&Method::GET, &part));
+    assert!(requests_whole_file(&Method::GET, &HeaderMap::new()));
+    assert!(!requests_whole_file(&Method::HEAD, &HeaderMap::new()));
+    assert!(!requests_whole_file(&Method::GET, &part));
 }
 
 struct Others {
@@ -319,8 +355,12 @@
 }
 
 #[async_trait]
-impl Alternatives for Others {
-    async fn next(&mut self, _failure: Failure, lines: &[HeaderLine]) -> Option<Reply> {
+impl FallbackTargets for Others {
+    async fn next_response(
+        &mut self,
+        _failure: ForwardError,
+        lines: &[HeaderLine],
+    ) -> Option<TargetResponse> {
         let attempt = Attempt { headers: lines.to_vec(), ..file(self.addresses.pop()?) };
         self.client.send(attempt).await.ok()
     }
@@ -372,11 +412,11 @@
         let mut guard =
             EntryGuard { binding: binding.clone(), end: ExecutionOutcome::Unknown, owner: self };
         guard.end = match self.client.send(attempt).await {
-            Ok(Reply { body: ReplyBody::Whole(body), headers, status }) => {
+            Ok(TargetResponse { body: TargetBody::Whole(body), headers, status }) => {
                 ExecutionOutcome::Answered(Arc::new(KeptAnswer { body, headers, status }))
             }
             Ok(_) => ExecutionOutcome::Unknown,
-            Err(failure) if failure.kind().row().ran == Ran::No => ExecutionOutcome::NotRun,
+            Err(failure) if failure.kind().response().ran == Ran::No => ExecutionOutcome::NotRun,
             Err(_) => ExecutionOutcome::Unknown,
         };
         begin
@@ -432,7 +472,7 @@
         hop.release();
     };
     let (told, ()) = tokio::join!(carried, delivered);
-    assert_matches!(told, Err(Failure::Lost));
+    assert_matches!(told, Err(ForwardError::ConnectionLost));
     assert_matches!(
         owner.begin(&owner.binding()),
         BeginOutcome::Kept(answer) if answer.body == "seat"
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -53,7 +53,7 @@
          | --- | ---: | --- | --- | ---: | --- |\n",
     );
     for kind in ErrorKind::ALL {
-        let row = kind.row();
+        let row = kind.response();
         let after = row.retry_after.map_or("-".to_owned(), |after| after.as_secs().to_string());
         let (status, ran, resend) = (row.status, row.ran, row.resend.as_str());
         let name = kebab(kind);
