--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -79,10 +79,11 @@
 fn play(args: &Args) -> Result {
     eprintln!("running for {} s and the time to start ...", args.seconds);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let day = crate::platform::standin::play(Duration::from_secs(args.seconds), args.seed);
-    let report = runtime.block_on(tokio::task::LocalSet::new().run_until(day))?;
+    let run =
+        crate::platform::standin::run_with_faults(Duration::from_secs(args.seconds), args.seed);
+    let report = runtime.block_on(tokio::task::LocalSet::new().run_until(run))?;
     show(&report, args.json)?;
-    Ok(if report.holds() { Exit::Done } else { Exit::Failed })
+    Ok(if report.passed() { Exit::Done } else { Exit::Failed })
 }
 
 fn open_record(path: &std::path::Path) -> eyre::Result<SteerRecorder> {
--- a/src/daemon/control/manifest.rs
+++ b/src/daemon/control/manifest.rs
@@ -17,7 +17,7 @@
     membership::Digest,
     peer::{ManifestReply, PartReply, PartRequest},
     prelude::*,
-    store::{Platform, PlatformError, Version, Versioned},
+    store::{Platform, PlatformError, Version, VersionedObject},
     timeline::EventKind,
 };
 
@@ -312,7 +312,7 @@
     Ok(changes.version)
 }
 
-async fn offer(control: &Address<Control>, object: &Versioned) -> Option<CachedHead> {
+async fn offer(control: &Address<Control>, object: &VersionedObject) -> Option<CachedHead> {
     let Some(head) = Head::decode(&object.value) else {
         log::warn!("the member's object on the platform is no manifest");
         return None;
--- a/src/drain/platform_sync.rs
+++ b/src/drain/platform_sync.rs
@@ -5,7 +5,7 @@
 use super::record::{DrainRecord, Undrain};
 use crate::{
     prelude::*,
-    store::{Expect, Platform, PlatformError, Settled, new_operation, put_settled},
+    store::{Expect, Platform, PlatformError, PutOutcome, new_operation_id, put_confirmed},
 };
 
 /// Attempts to write while other hosts write too, before giving up until the next time.
@@ -68,14 +68,14 @@
         }
         let value = Bytes::from(serde_json::to_vec(&merged).map_err(unreadable)?);
         let expect = Expect::unchanged(object.as_ref());
-        match put_settled(platform, key, expect, value, new_operation()).await? {
-            Settled::Written(_) => return Ok(merged),
-            Settled::Conflict { .. } => {}
+        match put_confirmed(platform, key, expect, value, new_operation_id()).await? {
+            PutOutcome::Written(_) => return Ok(merged),
+            PutOutcome::Conflict { .. } => {}
         }
     }
     Err(PlatformError::Unavailable {
         detail: "other hosts changed the drains during every attempt to write them".into(),
-        maybe_done: false,
+        may_have_applied: false,
     })
 }
 
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -33,7 +33,7 @@
     fleet::{DeclarationCheck, Fleet, FleetConfig, Load},
     metrics::{ControlFigures, EntryMetrics},
     prelude::*,
-    store::{FollowPace, Followed, Follower, Platform},
+    store::{FollowEvent, FollowOptions, Follower, Platform},
 };
 
 /// Number of messages that may be queued for the actor; further senders wait.
@@ -51,14 +51,14 @@
 /// long a watch whose response was lost stays unnoticed: if its connection stays open, the client's
 /// keep-alive probes do not detect the loss.
 ///
-/// A new host lists at once, so that it can serve, but starts to watch only after `after_list`,
+/// A new host lists at once, so that it can serve, but starts to watch only after `list_pause`,
 /// when it has received messages of other hosts and knows whether it has to watch: heartbeats are
 /// sent every 100 ms, and the probes of a new host every 200 ms.
-const FOLLOW_PACE: FollowPace = FollowPace {
-    after_list: Duration::from_millis(600),
-    compare_every: Duration::from_secs(86_400),
-    first_may_lag: true,
-    settle: Duration::from_millis(300),
+const FOLLOW_OPTIONS: FollowOptions = FollowOptions {
+    list_pause: Duration::from_millis(600),
+    compare_interval: Duration::from_secs(86_400),
+    first_allows_stale: true,
+    change_pause: Duration::from_millis(300),
     wait: Duration::from_secs(5),
 };
 
@@ -257,11 +257,11 @@
         let is_unanswered = self.peer_queries.is_unanswered(now);
         let should_watch =
             self.election.decide(&settings.host, &settings.region, peers, now) || is_unanswered;
-        let settle = match self.election.is_standby() && !is_unanswered {
+        let change_pause = match self.election.is_standby() && !is_unanswered {
             true => STANDBY_SETTLE,
-            false => FOLLOW_PACE.settle,
+            false => FOLLOW_OPTIONS.change_pause,
         };
-        self.followers.iter().for_each(|task| task.follower.set_settle(settle));
+        self.followers.iter().for_each(|task| task.follower.set_change_pause(change_pause));
         if should_watch != self.followers.is_empty() {
             return;
         }
@@ -280,8 +280,8 @@
         ] {
             let (store, clock) = (self.parts.store.clone(), self.parts.clock.clone());
             // A first listing that may be some seconds old must not replace newer objects.
-            let first_may_lag = self.known_state.revisions().of(part) == 0;
-            let pace = FollowPace { first_may_lag, settle, ..FOLLOW_PACE };
+            let first_allows_stale = self.known_state.revisions().of(part) == 0;
+            let pace = FollowOptions { first_allows_stale, change_pause, ..FOLLOW_OPTIONS };
             let (tx, rx) = mpsc::channel(MAX_QUEUED_UPDATES);
             let follower = Follower::spawn(store, clock, prefix, pace, tx);
             let forwarder = tokio::spawn(forward_updates(part, rx, own.clone())).abort_handle();
@@ -320,7 +320,7 @@
 /// Forwards the updates of one part to the actor.
 async fn forward_updates(
     part: StorePart,
-    mut rx: mpsc::Receiver<Followed>,
+    mut rx: mpsc::Receiver<FollowEvent>,
     control: WeakAddress<EntryControl>,
 ) {
     while let Some(update) = rx.recv().await {
--- a/src/entry/control/messages.rs
+++ b/src/entry/control/messages.rs
@@ -7,11 +7,11 @@
         sync::{self, ReceivedState},
     },
     prelude::*,
-    store::Followed,
+    store::FollowEvent,
 };
 
 /// An update of one part from the store.
-pub struct StoreUpdate(pub StorePart, pub Followed);
+pub struct StoreUpdate(pub StorePart, pub FollowEvent);
 
 /// A datagram received from another host.
 pub struct Datagram(pub Vec<u8>);
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -13,7 +13,7 @@
     event_log::Event,
     fleet::{Load, Outgoing, OwnState},
     prelude::*,
-    store::{Entry, Expect, Platform, PlatformError, new_operation},
+    store::{Entry, Expect, Platform, PlatformError, new_operation_id},
 };
 
 /// Length of the time slots into which the wall clock is divided. The hosts of a zone take turns,
@@ -143,7 +143,7 @@
             let protocol = self.parts.protocol.clone();
             let own = own.clone();
             tokio::spawn(async move {
-                let hosts = store.list_lagging(prefixes.hosts).await;
+                let hosts = store.list_allow_stale(prefixes.hosts).await;
                 if let Err(error) = &hosts {
                     log::info!("cannot read the records of hosts from the store: {error}");
                 }
@@ -168,7 +168,7 @@
             let store = self.parts.store.clone();
             tokio::spawn(async move {
                 let expect = Expect::Version(record.version);
-                match store.delete(&record.key, expect, new_operation()).await {
+                match store.delete(&record.key, expect, new_operation_id()).await {
                     Ok(_) => log::info!("removed the record {} of a silent host", record.key),
                     Err(error) => log::info!("cannot remove the record {}: {error}", record.key),
                 }
@@ -196,10 +196,10 @@
     key: &str,
     value: bytes::Bytes,
 ) -> crate::store::Result<()> {
-    match store.put(key, Expect::Absent, value.clone(), new_operation()).await {
+    match store.put(key, Expect::Absent, value.clone(), new_operation_id()).await {
         Err(PlatformError::Conflict { current: Some(version) }) => {
             // The record was written by an earlier process of this host.
-            store.put(key, Expect::Version(version), value, new_operation()).await.map(|_| ())
+            store.put(key, Expect::Version(version), value, new_operation_id()).await.map(|_| ())
         }
         other => other.map(|_| ()),
     }
--- a/src/entry/control/store_updates.rs
+++ b/src/entry/control/store_updates.rs
@@ -12,7 +12,7 @@
     },
     event_log::{Event, Source},
     prelude::*,
-    store::{Change, Entry, Followed, Listing, PlatformError},
+    store::{Change, Entry, FollowEvent, Listing, PlatformError},
 };
 
 impl EntryControl {
@@ -220,20 +220,20 @@
     }
 
     /// Applies an update from the store; returns whether the usable state changed.
-    pub(super) fn apply_update(&mut self, part: StorePart, update: Followed) -> bool {
+    pub(super) fn apply_update(&mut self, part: StorePart, update: FollowEvent) -> bool {
         match update {
-            Followed::Changed(changes) => {
+            FollowEvent::Changed(changes) => {
                 self.store_answered(part);
                 self.record_declaration_check(part);
                 self.apply_changes(part, changes)
             }
-            Followed::Listed(Listing { version, .. })
+            FollowEvent::Listed(Listing { version, .. })
                 if version < self.known_state.revisions().of(part) =>
             {
                 self.store_answered(part);
                 false
             }
-            Followed::Listed(Listing { entries, version }) => {
+            FollowEvent::Listed(Listing { entries, version }) => {
                 self.store_answered(part);
                 // The first listing may be some seconds old.
                 let may_lag = self.known_state.revisions().of(part) == 0;
@@ -250,7 +250,7 @@
                 }
                 changed
             }
-            Followed::Lost(error) => {
+            FollowEvent::Failed(error) => {
                 self.store_failed(part, &error);
                 false
             }
--- a/src/manifest/accept.rs
+++ b/src/manifest/accept.rs
@@ -9,8 +9,8 @@
 use crate::{
     prelude::*,
     store::{
-        Expect, OperationId, Platform, PlatformError, Settled, Version, Versioned, new_operation,
-        put_settled,
+        Expect, OperationId, Platform, PlatformError, PutOutcome, Version, VersionedObject,
+        new_operation_id, put_confirmed,
     },
 };
 
@@ -63,7 +63,7 @@
 struct AcceptedState {
     head: Option<Head>,
     manifest: Option<Manifest>,
-    object: Option<Versioned>,
+    object: Option<VersionedObject>,
 }
 
 /// Verifies, compares and, unless a limit breaks, writes parts first and the head last.
@@ -79,7 +79,7 @@
         return Ok(AcceptOutcome::Unchanged);
     }
     let change = check_change(&held, &manifest, loads)?;
-    let operation = new_operation();
+    let operation = new_operation_id();
     let done = Acceptance {
         digest: proposal.signed.digest(),
         operation: operation.clone(),
@@ -90,16 +90,16 @@
     write_parts(platform, proposal, &held).await?;
     let head_key = Head::key(&proposal.member);
     let expect = Expect::unchanged(held.object.as_ref());
-    match put_settled(platform, &head_key, expect, value, operation.clone()).await {
-        Ok(Settled::Written(version)) => {
+    match put_confirmed(platform, &head_key, expect, value, operation.clone()).await {
+        Ok(PutOutcome::Written(version)) => {
             // What is left over costs room only: a failure here is made good by the next one.
             let _ = delete_unused_parts(platform, &proposal.member, &head, &held).await;
             Ok(AcceptOutcome::Accepted { change, version })
         }
-        Ok(Settled::Conflict { current, uncertain }) => {
+        Ok(PutOutcome::Conflict { current, uncertain }) => {
             resolve_conflict(current, uncertain, &operation, &proposal.member, key)
         }
-        Err(PlatformError::Unavailable { maybe_done: true, .. }) => {
+        Err(PlatformError::Unavailable { may_have_applied: true, .. }) => {
             Err(AcceptError::OutcomeUnknown)
         }
         Err(err) => Err(err.into()),
@@ -181,11 +181,11 @@
             continue;
         }
         let expect = Expect::unchanged(found.as_ref());
-        match put_settled(platform, &key, expect, value.clone(), new_operation()).await? {
-            Settled::Written(_) => {}
+        match put_confirmed(platform, &key, expect, value.clone(), new_operation_id()).await? {
+            PutOutcome::Written(_) => {}
             // The content is in the name: whoever wrote it, it is the same, or it is garbage.
-            Settled::Conflict { current: Some(current), .. } if current.value == value => {}
-            Settled::Conflict { .. } => {
+            PutOutcome::Conflict { current: Some(current), .. } if current.value == value => {}
+            PutOutcome::Conflict { .. } => {
                 return Err(AcceptError::Refused(ManifestError::PartsMismatch));
             }
         }
@@ -214,7 +214,7 @@
         let is_named = head.signed.parts.contains(&id) || kept.contains(&id);
         if !is_named && found.version < before.version {
             let expect = Expect::Version(found.version);
-            match platform.delete(&found.key, expect, new_operation()).await {
+            match platform.delete(&found.key, expect, new_operation_id()).await {
                 Ok(_) | Err(PlatformError::Conflict { .. }) => {}
                 Err(err) => return Err(err),
             }
@@ -224,7 +224,7 @@
 }
 
 fn resolve_conflict(
-    current: Option<Versioned>,
+    current: Option<VersionedObject>,
     uncertain: bool,
     operation: &OperationId,
     member: &MemberId,
--- a/src/manifest/head.rs
+++ b/src/manifest/head.rs
@@ -5,7 +5,7 @@
 use super::{PartId, SignedManifest};
 use crate::{
     prelude::*,
-    store::{MAX_VALUE, OperationId},
+    store::{MAX_VALUE_BYTES, OperationId},
 };
 
 /// Acceptances that the head remembers: enough for a writer whose answer was lost to find its own
@@ -52,7 +52,7 @@
     /// `None` if it is larger than the platform takes.
     pub fn encode(&self) -> Option<Bytes> {
         let bytes = serde_json::to_vec(self).ok()?;
-        (bytes.len() <= MAX_VALUE).then(|| bytes.into())
+        (bytes.len() <= MAX_VALUE_BYTES).then(|| bytes.into())
     }
 
     /// The head that follows this one, or the first one.
--- a/src/manifest/tests/accept.rs
+++ b/src/manifest/tests/accept.rs
@@ -10,7 +10,7 @@
     standin::platform::{Door, Faults, Outage, PlatformStandin},
     store::{
         Changes, Expect, Listing, OperationId, Platform, PlatformError, Result as Answer, Version,
-        Versioned, new_operation,
+        VersionedObject, new_operation_id,
     },
 };
 
@@ -54,7 +54,7 @@
         self.door.delete(key, expect, op).await
     }
 
-    async fn get(&self, key: &str) -> Answer<Option<Versioned>> {
+    async fn get(&self, key: &str) -> Answer<Option<VersionedObject>> {
         self.door.get(key).await
     }
 
@@ -78,7 +78,10 @@
         let after = self.after.lock().unwrap().take_if(|_| is_head);
         if let Some(after) = after {
             offer(&self.door, &after).await.unwrap();
-            return Err(PlatformError::Unavailable { detail: "lost".into(), maybe_done: true });
+            return Err(PlatformError::Unavailable {
+                detail: "lost".into(),
+                may_have_applied: true,
+            });
         }
         written
     }
@@ -170,7 +173,7 @@
         offer(door, &proposal(7)).await.unwrap();
         let key = Head::key("himalaya-tara");
         let expect = Expect::unchanged(door.get(&key).await.unwrap().as_ref());
-        door.put(&key, expect, written, new_operation()).await.unwrap();
+        door.put(&key, expect, written, new_operation_id()).await.unwrap();
         assert_eq!(held(door).await, None);
         assert_matches!(offer(door, &proposal(8)).await, Ok(AcceptOutcome::Accepted { .. }));
         assert_eq!(held(door).await, Some(8));
--- a/src/measure/capacity/manifests.rs
+++ b/src/measure/capacity/manifests.rs
@@ -17,7 +17,7 @@
     },
     peer::{ManifestReply, PartReply},
     prelude::*,
-    store::new_operation,
+    store::new_operation_id,
 };
 
 const BLOCK_SIZES: [usize; 4] = [50_000, 100_000, 200_000, 400_000];
@@ -160,7 +160,7 @@
     fn object_len(&self) -> f64 {
         let done = Acceptance {
             digest: self.signed.digest(),
-            operation: new_operation(),
+            operation: new_operation_id(),
             sequence: 1_000_000,
         };
         let history = vec![done; HISTORY];
--- a/src/measure/ledger.rs
+++ b/src/measure/ledger.rs
@@ -16,7 +16,7 @@
     ledger::{BeginOutcome, ExecutionOutcome, KeptAnswer, Ledger, LedgerLimits, request_digest},
     prelude::*,
     standin::platform::{Faults, PlatformStandin},
-    store::{Expect, HttpPlatform, Limits, Platform, new_operation},
+    store::{Expect, HttpPlatform, Platform, RateLimits, new_operation_id},
 };
 
 /// Writes a second that the platform takes, as its users name it ("several hundred").
@@ -94,17 +94,17 @@
 async fn by_record(bookings: usize, delay_ms: u64) -> Result<WayCost> {
     let standin = PlatformStandin::bind(([127, 0, 0, 1], 0).into()).await?;
     standin.set_faults(Faults { delay_ms, ..Faults::default() });
-    let limits = Limits { reads: 1.0e6, watches: 1.0, writes: 1.0e6 };
+    let limits = RateLimits { reads: 1.0e6, watches: 1.0, writes: 1.0e6 };
     let clock = Arc::new(crate::base::BootClock);
-    let platform = HttpPlatform::open_with(standin.address(), limits, clock)?;
+    let platform = HttpPlatform::with_limits(standin.address(), limits, clock)?;
     let mut times = Vec::with_capacity(bookings);
     for number in 0..bookings {
         let key = format!("bookings/{number}");
         let start = Instant::now();
         let claim = bytes::Bytes::from_static(b"claimed");
-        let version = platform.put(&key, Expect::Absent, claim, new_operation()).await?;
+        let version = platform.put(&key, Expect::Absent, claim, new_operation_id()).await?;
         let kept = answer().body.clone();
-        platform.put(&key, Expect::Version(version), kept, new_operation()).await?;
+        platform.put(&key, Expect::Version(version), kept, new_operation_id()).await?;
         times.push(start.elapsed());
     }
     let calls = platform.state().counts;
--- a/src/platform/keys.rs
+++ b/src/platform/key_digests.rs
@@ -22,7 +22,7 @@
 }
 
 /// Replaces the keys of all teams by their digests. An object without keys is returned unchanged.
-pub fn without_keys(object: Bytes) -> Result<Bytes, DecodeError> {
+pub fn replace_by_digests(object: Bytes) -> Result<Bytes, DecodeError> {
     let read: Object<'_> = serde_json::from_slice(&object).map_err(unreadable)?;
     let Some(tenants) = read.spec.get("tenants") else { return Ok(object) };
     let tenants: Vec<BTreeMap<&str, &RawValue>> =
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -6,15 +6,15 @@
 
 mod config;
 mod headers;
-mod keys;
-mod objects;
+mod key_digests;
+mod object_store;
 mod protocol;
 mod server;
 pub mod standin;
 #[cfg(test)]
 mod tests;
 
-pub use self::{objects::ObjectStore, protocol::PlatformProtocol};
+pub use self::{object_store::ObjectStore, protocol::PlatformProtocol};
 
 /// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "LAVENDERPLANK_NODE_FILE";
--- a/src/platform/objects.rs
+++ b/src/platform/object_store.rs
@@ -12,8 +12,8 @@
     base::BootClock,
     prelude::*,
     store::{
-        Budget, CallKind, Change, Changes, Entry, Expect, Limits, Listing, OperationId, Platform,
-        PlatformError, Result, Version, Versioned,
+        CallKind, CallRateLimiter, Change, Changes, Entry, Expect, Listing, OperationId, Platform,
+        PlatformError, RateLimits, Result, Version, VersionedObject,
     },
 };
 
@@ -29,7 +29,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Calls of one host: a watch a change of any kind, and the lists after an outage.
-const LIMITS: Limits = Limits { reads: 20.0, watches: 40.0, writes: 4.0 };
+const LIMITS: RateLimits = RateLimits { reads: 20.0, watches: 40.0, writes: 4.0 };
 
 /// Query of a read that may be seconds old: it costs a tenth and does not count towards the rate.
 const MAY_LAG: &str = "staleOk=1";
@@ -44,7 +44,7 @@
 /// Client with deadlines, and every call counted against a budget.
 pub struct ObjectStore {
     address: SocketAddr,
-    budget: Mutex<Budget>,
+    budget: Mutex<CallRateLimiter>,
     client: Client,
     clock: BootClock,
 }
@@ -105,7 +105,7 @@
 
 impl ObjectStore {
     /// A client of the store at `address`. Nothing is sent yet.
-    pub fn open(address: SocketAddr) -> Result<Self> {
+    pub fn new(address: SocketAddr) -> Result<Self> {
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
@@ -118,7 +118,7 @@
             .build()
             .map_err(|error| refused(&error.to_string()))?;
         let clock = BootClock;
-        let budget = Mutex::new(Budget::new(LIMITS, clock.now()));
+        let budget = Mutex::new(CallRateLimiter::new(LIMITS, clock.now()));
         Ok(Self { address, budget, client, clock })
     }
 
@@ -130,7 +130,7 @@
         body: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<Answer> {
-        let held = |retry_after| PlatformError::Limited { retry_after };
+        let held = |retry_after| PlatformError::RateLimited { retry_after };
         let now = self.clock.now();
         self.budget.lock().expect("no holder of this lock panics").take(kind, now).map_err(held)?;
         let url = format!("http://{}/api/objects/{path}", self.address);
@@ -144,7 +144,7 @@
         let body = response.bytes().await.map_err(lost)?;
         match status {
             StatusCode::TOO_MANY_REQUESTS => {
-                Err(PlatformError::Limited { retry_after: RETRY_AFTER })
+                Err(PlatformError::RateLimited { retry_after: RETRY_AFTER })
             }
             StatusCode::GONE => Err(PlatformError::TooOld { oldest: 0 }),
             // Nothing was done, as the store promises.
@@ -205,7 +205,7 @@
         Ok(0)
     }
 
-    async fn get(&self, key: &str) -> Result<Option<Versioned>> {
+    async fn get(&self, key: &str) -> Result<Option<VersionedObject>> {
         let answer = self.call(CallKind::Read, Method::GET, key, None, CALL_TIMEOUT).await?;
         if answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
@@ -218,7 +218,7 @@
         self.pages(prefix, "").await
     }
 
-    async fn list_lagging(&self, prefix: &str) -> Result<Listing> {
+    async fn list_allow_stale(&self, prefix: &str) -> Result<Listing> {
         self.pages(prefix, MAY_LAG).await
     }
 
@@ -269,8 +269,8 @@
     Entry { key, object: versioned(value, object.metadata.revision) }
 }
 
-fn versioned(value: Bytes, version: Version) -> Versioned {
-    Versioned { operation: "".into(), value, version }
+fn versioned(value: Bytes, version: Version) -> VersionedObject {
+    VersionedObject { operation: "".into(), value, version }
 }
 
 fn json<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T> {
@@ -281,6 +281,6 @@
     PlatformError::Refused { detail: detail.into() }
 }
 
-fn unavailable(detail: &str, maybe_done: bool) -> PlatformError {
-    PlatformError::Unavailable { detail: detail.into(), maybe_done }
+fn unavailable(detail: &str, may_have_applied: bool) -> PlatformError {
+    PlatformError::Unavailable { detail: detail.into(), may_have_applied }
 }
--- a/src/platform/protocol.rs
+++ b/src/platform/protocol.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode, Uri};
 
-use super::{config, headers, keys, server};
+use super::{config, headers, key_digests, server};
 use crate::{
     base::span_text,
     entry::{
@@ -99,7 +99,7 @@
     }
 
     fn replace_keys_by_digests(&self, object: Bytes) -> Result<Bytes, DecodeError> {
-        keys::without_keys(object)
+        key_digests::replace_by_digests(object)
     }
 
     fn decode_target(&self, id: &str, object: &[u8]) -> Result<TargetEntry, DecodeError> {
--- a/src/platform/standin/day.rs
+++ b/src/platform/standin/fault_run.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use super::{Conduct, StoreStandin, TargetDraft, TargetStandin, loopback_settings};
+use super::{ResponseMode, StoreStandin, TargetIdentity, TargetStandin, loopback_settings};
 use crate::{
     base::BootClock,
     entry::{EntryHost, EntryParts},
@@ -50,7 +50,7 @@
 
 /// What a day showed.
 #[derive(Debug, Default, Serialize)]
-pub struct DayReport {
+pub struct FaultRunReport {
     /// Requests by status; 0 stands for a connection without an answer.
     pub answers: BTreeMap<u16, u32>,
     /// Broken promises, in words.
@@ -61,9 +61,9 @@
     pub requests: u32,
 }
 
-impl DayReport {
+impl FaultRunReport {
     /// Whether every promise was looked at and none is broken.
-    pub fn holds(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.broken.is_empty() && self.checks.len() == 5 && self.checks.values().all(|n| 0 < *n)
     }
 
@@ -75,7 +75,7 @@
     }
 }
 
-impl fmt::Display for DayReport {
+impl fmt::Display for FaultRunReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{} requests, {} faults", self.requests, self.faults)?;
         for (status, count) in &self.answers {
@@ -108,9 +108,9 @@
 }
 
 /// Plays a day of that length. Must run within a `LocalSet`.
-pub async fn play(length: Duration, seed: u64) -> Result<DayReport> {
+pub async fn run_with_faults(length: Duration, seed: u64) -> Result<FaultRunReport> {
     let mut world = World::spawn().await?;
-    let mut report = DayReport::default();
+    let mut report = FaultRunReport::default();
     let callers: Vec<SocketAddr> =
         world.hosts.iter().flatten().map(|host| host.listen().callers).collect();
     let until = tokio::time::Instant::now() + length;
@@ -136,9 +136,9 @@
         let store = StoreStandin::spawn().await?;
         let mut targets = Vec::new();
         for (id, zone) in TARGETS {
-            let target = TargetStandin::spawn(TargetDraft { id, service: "desk", zone }).await?;
-            target.set_work(Duration::from_millis(8));
-            store.put("servers", id, target.entry("ready", 1));
+            let target = TargetStandin::spawn(TargetIdentity { id, service: "desk", zone }).await?;
+            target.set_processing_time(Duration::from_millis(8));
+            store.put("servers", id, target.store_entry("ready", 1));
             targets.push(target);
         }
         store.put("config", "main", config(1));
@@ -170,7 +170,7 @@
         &mut self,
         length: Duration,
         seed: u64,
-        report: &mut DayReport,
+        report: &mut FaultRunReport,
     ) -> Result<usize> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let step = length / 40;
@@ -178,30 +178,32 @@
         let drained = (DRAIN.as_secs_f64() / step.as_secs_f64()).ceil() as u32;
         for turn in 0..40_u32 {
             tokio::time::sleep(step).await;
-            let conducts = [
-                Conduct::Extra,
-                Conduct::Fail,
-                Conduct::Reset,
-                Conduct::Shed,
-                Conduct::Stranger,
-                Conduct::Truncate,
-                Conduct::Unsigned,
-                Conduct::Unframed,
+            let response_modes = [
+                ResponseMode::Duplicate,
+                ResponseMode::Fail,
+                ResponseMode::Reset,
+                ResponseMode::Shed,
+                ResponseMode::WrongTarget,
+                ResponseMode::Truncate,
+                ResponseMode::Unsigned,
+                ResponseMode::NoLength,
             ];
             for target in &self.targets {
                 if rng.random_bool(0.5) {
-                    target.then(&[conducts[rng.random_range(0..conducts.len())]]);
+                    target.queue_responses(&[
+                        response_modes[rng.random_range(0..response_modes.len())]
+                    ]);
                     report.faults += 1;
                 }
             }
             match turn {
                 4 => self.store.put("config", "main", config(5)),
-                6 => self.store.put("servers", "t-1", self.targets[0].entry("draining", 1)),
+                6 => self.store.put("servers", "t-1", self.targets[0].store_entry("draining", 1)),
                 10 => self.store.put("evacuations", "north-b", json!({})),
                 14 => self.store.remove("evacuations", "north-b"),
                 18 => self.store.set_down(true),
                 24 => self.store.set_down(false),
-                26 => self.store.forget(),
+                26 => self.store.compact(),
                 30 => {
                     let host = self.hosts[1].take();
                     tokio::task::spawn_local(async move {
@@ -213,20 +215,20 @@
                 _ => {}
             }
             if turn == 6 + drained {
-                retired_at = self.targets[0].seen().len();
+                retired_at = self.targets[0].received().len();
             }
         }
         Ok(retired_at)
     }
 
-    fn judge(&self, heard: &[Heard], retired_at: &usize, report: &mut DayReport) {
+    fn judge(&self, heard: &[Heard], retired_at: &usize, report: &mut FaultRunReport) {
         let mut runs: HashMap<String, u32> = HashMap::new();
         let mut bodies = BTreeSet::new();
         for target in &self.targets {
             bodies.insert(format!("answer of {}", target.id()));
-            for seen in target.seen() {
+            for seen in target.received() {
                 if seen.ran {
-                    *runs.entry(seen.attempt).or_default() += 1;
+                    *runs.entry(seen.attempt_id).or_default() += 1;
                 }
             }
         }
@@ -245,7 +247,7 @@
                 report.check("an answer is whole and the caller's own", own, told);
             }
         }
-        let after = self.targets[0].seen().len() - retired_at;
+        let after = self.targets[0].received().len() - retired_at;
         let told = || format!("{after} requests after its time");
         report.check("a retiring target gets no new work", after == 0, told);
         let served = heard.iter().filter(|one| one.status == 200).count();
@@ -303,7 +305,7 @@
 async fn host(store: &StoreStandin, name: &str, zone: &str, region: &str) -> Result<EntryHost> {
     let zones = HOSTS.map(|(_, zone, region)| (zone, region));
     let settings = loopback_settings(name, zone, region, &zones, store.addr());
-    let store = Arc::new(ObjectStore::open(store.addr())?);
+    let store = Arc::new(ObjectStore::new(store.addr())?);
     let (clock, protocol) = (Arc::new(BootClock), Arc::new(PlatformProtocol));
     let events = Arc::new(NoEvents);
     Ok(EntryHost::spawn(EntryParts { clock, events, protocol, settings, store }).await?)
--- a/src/platform/standin/mod.rs
+++ b/src/platform/standin/mod.rs
@@ -1,14 +1,14 @@
 //! Small stand-ins of the users' platform, for tests and for the demonstration on loopback: its
 //! store and its targets, as far as a host sees them.
 
-mod day;
+mod fault_run;
 mod settings;
 mod store;
 mod target;
 
 pub use self::{
-    day::{DayReport, play},
+    fault_run::{FaultRunReport, run_with_faults},
     settings::loopback_settings,
     store::StoreStandin,
-    target::{Conduct, Seen, TargetDraft, TargetStandin},
+    target::{ReceivedRequest, ResponseMode, TargetIdentity, TargetStandin},
 };
--- a/src/platform/standin/store.rs
+++ b/src/platform/standin/store.rs
@@ -19,7 +19,7 @@
 use crate::prelude::*;
 
 /// Longest time that a watch waits, whatever it asks for.
-const WAIT_MOST: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 type Objects = BTreeMap<(String, String), Value>;
 type Reply = Response<Full<Bytes>>;
@@ -61,7 +61,7 @@
     /// Every change that is not forgotten: revision, kind, object, whether it was a removal.
     events: Vec<(u64, String, Value, bool)>,
     /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    compacted_revision: u64,
     /// What reads that may be old are answered with, and the revision of that moment.
     lagging: Option<(Objects, u64)>,
     objects: Objects,
@@ -89,7 +89,7 @@
     }
 
     /// Writes an object whose text no decoder reads.
-    pub fn spoil(&self, kind: &str, name: &str) {
+    pub fn put_undecodable(&self, kind: &str, name: &str) {
         self.shared.put(kind, name, json!({ "spec": [1, "spoiled"] }));
     }
 
@@ -105,27 +105,27 @@
     }
 
     /// Forgets all changes so far.
-    pub fn forget(&self) {
+    pub fn compact(&self) {
         let mut state = self.shared.state();
-        state.forgotten = state.revision;
+        state.compacted_revision = state.revision;
         state.events.clear();
         drop(state);
         self.shared.changed.notify_waiters();
     }
 
     /// From now on, reads that may be old are answered as of this moment.
-    pub fn lag(&self) {
+    pub fn freeze_stale_reads(&self) {
         let mut state = self.shared.state();
         state.lagging = Some((state.objects.clone(), state.revision));
     }
 
     /// Watches that wait now.
-    pub fn watches(&self) -> usize {
+    pub fn pending_watches(&self) -> usize {
         self.shared.watches.load(Ordering::Relaxed)
     }
 
     /// Objects of a kind.
-    pub fn count(&self, kind: &str) -> usize {
+    pub fn object_count(&self, kind: &str) -> usize {
         self.shared.state().objects.keys().filter(|(at, _)| at == kind).count()
     }
 }
@@ -175,7 +175,7 @@
     }
 
     async fn watch(&self, kind: &str, from: u64, wait: Duration) -> Reply {
-        let until = tokio::time::Instant::now() + wait.min(WAIT_MOST);
+        let until = tokio::time::Instant::now() + wait.min(MAX_WAIT);
         let _waiting = Waiting::new(&self.watches);
         loop {
             let changed = self.changed.notified();
@@ -184,7 +184,7 @@
                 if self.down.load(Ordering::Relaxed) {
                     return reply(503, &Value::Null);
                 }
-                if from < state.forgotten {
+                if from < state.compacted_revision {
                     return reply(410, &Value::Null);
                 }
                 let new = state.events.iter().filter(|(at, of, _, _)| from < *at && of == kind);
--- a/src/platform/standin/target.rs
+++ b/src/platform/standin/target.rs
@@ -20,16 +20,16 @@
 use crate::prelude::*;
 
 /// Most headers of a request.
-const HEADERS_MOST: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// What a target does with one request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Conduct {
+pub enum ResponseMode {
     /// Runs it and answers.
     #[default]
     Serve,
     /// Runs it, answers, and answers it once more.
-    Extra,
+    Duplicate,
     /// Runs it and answers 500.
     Fail,
     /// Runs it and never answers.
@@ -38,28 +38,28 @@
     Shed,
     /// Runs it and closes the connection.
     Reset,
-    /// Is not the target that was meant.
-    Stranger,
+    /// Is not the target that was expected_target.
+    WrongTarget,
     /// Runs it, answers with half of the body and closes the connection.
     Truncate,
     /// Runs it and answers without a signature.
     Unsigned,
     /// Runs it and answers without a length; the connection's end is the body's.
-    Unframed,
+    NoLength,
 }
 
 /// A request as the target got it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seen {
-    pub attempt: String,
+pub struct ReceivedRequest {
+    pub attempt_id: String,
     pub body: Bytes,
     /// Which connection it came on.
     pub connection: usize,
     /// The request contained a caller's key.
     pub has_key: bool,
     pub method: String,
-    /// Id of the target that was meant.
-    pub meant: String,
+    /// Id of the target that was expected_target.
+    pub expected_target: String,
     pub path: String,
     /// It began to work on it.
     pub ran: bool,
@@ -71,7 +71,7 @@
 
 /// Who a target says that it is.
 #[derive(Clone, Debug)]
-pub struct TargetDraft {
+pub struct TargetIdentity {
     pub id: &'static str,
     pub service: &'static str,
     pub zone: &'static str,
@@ -80,7 +80,7 @@
 /// A running target; ends when dropped.
 pub struct TargetStandin {
     addr: SocketAddr,
-    draft: TargetDraft,
+    draft: TargetIdentity,
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
@@ -88,16 +88,16 @@
 #[derive(Default)]
 struct Shared {
     body: Mutex<Bytes>,
-    conducts: Mutex<VecDeque<Conduct>>,
+    response_modes: Mutex<VecDeque<ResponseMode>>,
     /// Connections that the other side closed while a request was at work.
-    left: AtomicUsize,
-    seen: Mutex<Vec<Seen>>,
+    disconnects: AtomicUsize,
+    received: Mutex<Vec<ReceivedRequest>>,
     work: Mutex<Duration>,
 }
 
 impl TargetStandin {
     /// A target on a free port of loopback, that answers at once.
-    pub async fn spawn(draft: TargetDraft) -> io::Result<Self> {
+    pub async fn spawn(draft: TargetIdentity) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
@@ -117,7 +117,7 @@
     }
 
     /// What it says of itself in the store.
-    pub fn entry(&self, state: &str, born: u64) -> Value {
+    pub fn store_entry(&self, state: &str, born: u64) -> Value {
         json!({
             "address": self.addr,
             "born": born,
@@ -130,28 +130,28 @@
     }
 
     /// What it does with the next requests; it serves those after them.
-    pub fn then(&self, conducts: &[Conduct]) {
-        locked(&self.shared.conducts).extend(conducts);
+    pub fn queue_responses(&self, response_modes: &[ResponseMode]) {
+        locked(&self.shared.response_modes).extend(response_modes);
     }
 
     /// The body of its answers.
-    pub fn set_body(&self, body: impl Into<Bytes>) {
+    pub fn set_response_body(&self, body: impl Into<Bytes>) {
         *locked(&self.shared.body) = body.into();
     }
 
     /// Time that it takes for each request.
-    pub fn set_work(&self, work: Duration) {
+    pub fn set_processing_time(&self, work: Duration) {
         *locked(&self.shared.work) = work;
     }
 
     /// The requests that it got.
-    pub fn seen(&self) -> Vec<Seen> {
-        locked(&self.shared.seen).clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        locked(&self.shared.received).clone()
     }
 
     /// How often the other side left while a request was at work.
-    pub fn left(&self) -> usize {
-        self.shared.left.load(Ordering::Relaxed)
+    pub fn disconnects(&self) -> usize {
+        self.shared.disconnects.load(Ordering::Relaxed)
     }
 }
 
@@ -194,7 +194,7 @@
     stream: &mut TcpStream,
     buf: &mut BytesMut,
     connection: usize,
-) -> io::Result<Option<Seen>> {
+) -> io::Result<Option<ReceivedRequest>> {
     loop {
         if let Some(seen) = parse(buf, connection)? {
             return Ok(Some(seen));
@@ -205,8 +205,8 @@
     }
 }
 
-fn parse(buf: &mut BytesMut, connection: usize) -> io::Result<Option<Seen>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+fn parse(buf: &mut BytesMut, connection: usize) -> io::Result<Option<ReceivedRequest>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut req = httparse::Request::new(&mut headers);
     let httparse::Status::Complete(head) = req.parse(buf).map_err(io::Error::other)? else {
         return Ok(None);
@@ -220,12 +220,12 @@
     if buf.len() < head + length {
         return Ok(None);
     }
-    let mut seen = Seen {
-        attempt: text("lavenderplank-attempt-id").unwrap_or_default(),
+    let mut seen = ReceivedRequest {
+        attempt_id: text("lavenderplank-attempt-id").unwrap_or_default(),
         body: Bytes::new(),
         connection,
         has_key: text("lavenderplank-key").is_some(),
-        meant: text("lavenderplank-expected-instance").unwrap_or_default(),
+        expected_target: text("lavenderplank-expected-instance").unwrap_or_default(),
         method: req.method.unwrap_or_default().to_owned(),
         path: req.path.unwrap_or_default().to_owned(),
         ran: false,
@@ -241,17 +241,17 @@
 async fn answer(
     stream: &mut TcpStream,
     id: &str,
-    mut seen: Seen,
+    mut seen: ReceivedRequest,
     shared: &Shared,
 ) -> io::Result<bool> {
-    let conduct = locked(&shared.conducts).pop_front().unwrap_or_default();
-    let attempt = seen.attempt.clone();
-    seen.ran = !matches!(conduct, Conduct::Shed | Conduct::Stranger);
-    locked(&shared.seen).push(seen);
+    let mode = locked(&shared.response_modes).pop_front().unwrap_or_default();
+    let attempt = seen.attempt_id.clone();
+    seen.ran = !matches!(mode, ResponseMode::Shed | ResponseMode::WrongTarget);
+    locked(&shared.received).push(seen);
     let work = *locked(&shared.work);
-    let work = if conduct == Conduct::Hang { Duration::MAX } else { work };
+    let work = if mode == ResponseMode::Hang { Duration::MAX } else { work };
     if !work.is_zero() && !rested(stream, work).await {
-        shared.left.fetch_add(1, Ordering::Relaxed);
+        shared.disconnects.fetch_add(1, Ordering::Relaxed);
         return Ok(false);
     }
     let body = locked(&shared.body).clone();
@@ -261,46 +261,46 @@
     };
     let seal = "Lavenderplank-Server-Seal: 3e1b.07\r\n";
     let mut whole = BytesMut::new();
-    match conduct {
-        Conduct::Serve | Conduct::Extra | Conduct::Hang => {
+    match mode {
+        ResponseMode::Serve | ResponseMode::Duplicate | ResponseMode::Hang => {
             let head = head("200 OK", &format!("{seal}Content-Length: {length}\r\n\r\n"));
-            let times = if conduct == Conduct::Extra { 2 } else { 1 };
+            let times = if mode == ResponseMode::Duplicate { 2 } else { 1 };
             for _ in 0..times {
                 whole.extend_from_slice(head.as_bytes());
                 whole.extend_from_slice(&body);
             }
         }
-        Conduct::Fail => {
+        ResponseMode::Fail => {
             let more = format!("{seal}Content-Length: 0\r\n\r\n");
             whole.extend_from_slice(head("500 Internal Server Error", &more).as_bytes());
         }
-        Conduct::Reset => return Ok(false),
-        Conduct::Shed => {
+        ResponseMode::Reset => return Ok(false),
+        ResponseMode::Shed => {
             let more = "Lavenderplank-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
             whole.extend_from_slice(head("503 Service Unavailable", more).as_bytes());
         }
-        Conduct::Stranger => {
+        ResponseMode::WrongTarget => {
             let more = format!("Lavenderplank-Instance-Id: not-{id}\r\nContent-Length: 0\r\n\r\n");
             whole.extend_from_slice(head("421 Misdirected Request", &more).as_bytes());
         }
-        Conduct::Truncate => {
+        ResponseMode::Truncate => {
             let more = format!("{seal}Content-Length: {length}\r\n\r\n");
             whole.extend_from_slice(head("200 OK", &more).as_bytes());
             whole.extend_from_slice(&body[..length / 2]);
         }
-        Conduct::Unsigned => {
+        ResponseMode::Unsigned => {
             let more = format!("Content-Length: {length}\r\n\r\n");
             whole.extend_from_slice(head("200 OK", &more).as_bytes());
             whole.extend_from_slice(&body);
         }
-        Conduct::Unframed => {
+        ResponseMode::NoLength => {
             let more = format!("{seal}Connection: close\r\n\r\n");
             whole.extend_from_slice(head("200 OK", &more).as_bytes());
             whole.extend_from_slice(&body);
         }
     }
     stream.write_all(&whole).await?;
-    Ok(!matches!(conduct, Conduct::Truncate | Conduct::Unframed))
+    Ok(!matches!(mode, ResponseMode::Truncate | ResponseMode::NoLength))
 }
 
 /// Works for a while; false when the other side left meanwhile.
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -27,7 +27,7 @@
     prelude::*,
     routing::RouterLimits,
     settings::{LogSettings, Secret, Settings},
-    store::{HttpPlatform, Limits, Platform},
+    store::{HttpPlatform, Platform, RateLimits},
 };
 
 /// The read service of every fleet.
@@ -124,7 +124,7 @@
         place: &Place,
         peers: Vec<SocketAddr>,
     ) -> eyre::Result<Daemon> {
-        let platform = HttpPlatform::open(self.platform.address())?;
+        let platform = HttpPlatform::new(self.platform.address())?;
         let upstream = || -> eyre::Result<_> {
             let upstream = HttpUpstream::open(ForwardLimits::default())?;
             Ok(Arc::new(Linked::new(upstream, self.links.clone(), place.clone())))
@@ -154,7 +154,8 @@
     pub async fn apply(&self, sequence: Sequence) -> eyre::Result<AcceptOutcome> {
         let signed = self.signed(&self.manifest(sequence))?;
         let clock = Arc::new(BootClock);
-        let platform = HttpPlatform::open_with(self.platform.address(), Limits::OPERATOR, clock)?;
+        let platform =
+            HttpPlatform::with_limits(self.platform.address(), RateLimits::OPERATOR, clock)?;
         Ok(self.accept(&platform, signed).await?)
     }
 
--- a/src/standin/linked.rs
+++ b/src/standin/linked.rs
@@ -12,7 +12,9 @@
         HandoverAck, HandoverChunk, ManifestReply, PartReply, PartRequest, PeerClient, PeerError,
     },
     prelude::*,
-    store::{Changes, Expect, Listing, OperationId, Platform, PlatformError, Version, Versioned},
+    store::{
+        Changes, Expect, Listing, OperationId, Platform, PlatformError, Version, VersionedObject,
+    },
 };
 
 /// How long a cut link seems to be only slow.
@@ -101,7 +103,10 @@
             return Ok(());
         }
         tokio::time::sleep(CUT_PATIENCE).await;
-        Err(PlatformError::Unavailable { detail: "the link is cut".into(), maybe_done: false })
+        Err(PlatformError::Unavailable {
+            detail: "the link is cut".into(),
+            may_have_applied: false,
+        })
     }
 }
 
@@ -117,7 +122,7 @@
         self.inner.delete(key, expect, operation).await
     }
 
-    async fn get(&self, key: &str) -> crate::store::Result<Option<Versioned>> {
+    async fn get(&self, key: &str) -> crate::store::Result<Option<VersionedObject>> {
         self.reach().await?;
         self.inner.get(key).await
     }
--- a/src/standin/platform/door.rs
+++ b/src/standin/platform/door.rs
@@ -14,7 +14,7 @@
     prelude::*,
     store::{
         CallCounts, CallKind, Changes, Expect, Listing, OperationId, Platform, PlatformError,
-        Result, Version, Versioned,
+        Result, Version, VersionedObject,
     },
 };
 
@@ -192,7 +192,7 @@
             CallKind::Write => meter.counts.writes += 1,
         }
         if is_over {
-            return Err(PlatformError::Limited { retry_after: Duration::from_secs(1) });
+            return Err(PlatformError::RateLimited { retry_after: Duration::from_secs(1) });
         }
         Ok(())
     }
@@ -214,7 +214,7 @@
         self.leave(version)
     }
 
-    pub(super) async fn get(&self, key: &str) -> Result<Option<Versioned>> {
+    pub(super) async fn get(&self, key: &str) -> Result<Option<VersionedObject>> {
         self.enter(CallKind::Read).await?;
         Ok(self.store().get(key))
     }
@@ -274,7 +274,7 @@
         self.core.delete(key, expect).await
     }
 
-    async fn get(&self, key: &str) -> Result<Option<Versioned>> {
+    async fn get(&self, key: &str) -> Result<Option<VersionedObject>> {
         self.core.get(key).await
     }
 
@@ -297,6 +297,6 @@
     }
 }
 
-fn unavailable(maybe_done: bool) -> PlatformError {
-    PlatformError::Unavailable { detail: "out of service".into(), maybe_done }
+fn unavailable(may_have_applied: bool) -> PlatformError {
+    PlatformError::Unavailable { detail: "out of service".into(), may_have_applied }
 }
--- a/src/standin/platform/http.rs
+++ b/src/standin/platform/http.rs
@@ -10,11 +10,11 @@
 use super::{Faults, door::DoorCore};
 use crate::{
     prelude::*,
-    store::{Expect, MAX_VALUE, PlatformError, Version, Versioned, wire},
+    store::{Expect, MAX_VALUE_BYTES, PlatformError, Version, VersionedObject, wire},
 };
 
 /// Room for headers and encoding past the largest value.
-const MAX_REQUEST: u64 = MAX_VALUE as u64 + 4096;
+const MAX_REQUEST: u64 = MAX_VALUE_BYTES as u64 + 4096;
 
 type Reply_ = warp::reply::Response;
 
@@ -78,7 +78,7 @@
     let Some(expect) = expectation(headers) else {
         return plain(StatusCode::PRECONDITION_REQUIRED);
     };
-    let operation = headers.get(wire::OPERATION).and_then(|value| value.to_str().ok());
+    let operation = headers.get(wire::OPERATION_HEADER).and_then(|value| value.to_str().ok());
     let Some(operation) = operation else { return plain(StatusCode::BAD_REQUEST) };
     let written = match method {
         Method::DELETE => core.delete(key, expect).await,
@@ -86,7 +86,7 @@
         _ => return plain(StatusCode::METHOD_NOT_ALLOWED),
     };
     match written {
-        Ok(version) => json(StatusCode::OK, &wire::Written { version }),
+        Ok(version) => json(StatusCode::OK, &wire::WriteResponse { version }),
         Err(err) => failure(&err),
     }
 }
@@ -98,7 +98,7 @@
         .then(|query: List, core: Arc<DoorCore>| async move {
             match core.list(&query.prefix).await {
                 Ok(listing) => {
-                    let mut objects = wire::Objects::from(listing);
+                    let mut objects = wire::ObjectsResponse::from(listing);
                     if !query.values {
                         objects.objects.iter_mut().for_each(|object| object.value = None);
                     }
@@ -117,7 +117,7 @@
         .then(|query: Watch, core: Arc<DoorCore>| async move {
             let wait = Duration::from_millis(query.wait_ms);
             match core.watch(&query.prefix, query.from, wait).await {
-                Ok(changes) => json(StatusCode::OK, &wire::Objects::from(changes)),
+                Ok(changes) => json(StatusCode::OK, &wire::ObjectsResponse::from(changes)),
                 Err(err) => failure(&err),
             }
         })
@@ -148,9 +148,9 @@
 fn failure(err: &PlatformError) -> Reply_ {
     match err {
         PlatformError::Conflict { current } => {
-            json(StatusCode::PRECONDITION_FAILED, &wire::Current { version: *current })
+            json(StatusCode::PRECONDITION_FAILED, &wire::ConflictResponse { version: *current })
         }
-        PlatformError::Limited { retry_after } => warp::reply::with_header(
+        PlatformError::RateLimited { retry_after } => warp::reply::with_header(
             StatusCode::TOO_MANY_REQUESTS,
             header::RETRY_AFTER,
             retry_after.as_secs().max(1),
@@ -159,10 +159,10 @@
         PlatformError::Refused { .. } => plain(StatusCode::BAD_REQUEST),
         PlatformError::TooLarge => plain(StatusCode::PAYLOAD_TOO_LARGE),
         PlatformError::TooOld { oldest } => {
-            json(StatusCode::GONE, &wire::Forgotten { oldest: *oldest })
+            json(StatusCode::GONE, &wire::TooOldResponse { oldest: *oldest })
         }
         // The body breaks off before its first byte, which closes the connection.
-        PlatformError::Unavailable { maybe_done: true, .. } => {
+        PlatformError::Unavailable { may_have_applied: true, .. } => {
             let cut: [Result<Bytes, io::Error>; 1] = [Err(io::ErrorKind::ConnectionReset.into())];
             warp::reply::stream(futures::stream::iter(cut)).into_response()
         }
@@ -182,10 +182,10 @@
     true
 }
 
-fn value(object: Versioned) -> Reply_ {
+fn value(object: VersionedObject) -> Reply_ {
     let response = Response::builder()
-        .header(wire::OPERATION, &*object.operation)
-        .header(wire::VERSION, object.version)
+        .header(wire::OPERATION_HEADER, &*object.operation)
+        .header(wire::VERSION_HEADER, object.version)
         .body(object.value);
     match response {
         Ok(response) => response.into_response(),
--- a/src/standin/platform/store.rs
+++ b/src/standin/platform/store.rs
@@ -7,8 +7,8 @@
 use crate::{
     prelude::*,
     store::{
-        Change, Changes, Entry, Expect, Listing, MAX_VALUE, OperationId, PlatformError, Result,
-        Version, Versioned, is_key,
+        Change, Changes, Entry, Expect, Listing, MAX_VALUE_BYTES, OperationId, PlatformError,
+        Result, Version, VersionedObject, is_valid_key,
     },
 };
 
@@ -21,7 +21,7 @@
     /// Version up to which the log is forgotten.
     forgotten: Version,
     log: VecDeque<Change>,
-    objects: BTreeMap<Arc<str>, Versioned>,
+    objects: BTreeMap<Arc<str>, VersionedObject>,
     version: Version,
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// The object of that key.
-    pub fn get(&self, key: &str) -> Option<Versioned> {
+    pub fn get(&self, key: &str) -> Option<VersionedObject> {
         self.objects.get(key).cloned()
     }
 
@@ -79,14 +79,14 @@
         value: Bytes,
         operation: OperationId,
     ) -> Result<Version> {
-        if !is_key(key) {
+        if !is_valid_key(key) {
             return Err(PlatformError::Refused { detail: "malformed key".into() });
         }
-        if MAX_VALUE < value.len() {
+        if MAX_VALUE_BYTES < value.len() {
             return Err(PlatformError::TooLarge);
         }
         self.meet(key, expect)?;
-        let object = Versioned { operation, value, version: self.version + 1 };
+        let object = VersionedObject { operation, value, version: self.version + 1 };
         self.objects.insert(key.into(), object.clone());
         Ok(self.record(key.into(), Some(object)))
     }
@@ -99,7 +99,7 @@
         Err(PlatformError::Conflict { current })
     }
 
-    fn record(&mut self, key: Arc<str>, object: Option<Versioned>) -> Version {
+    fn record(&mut self, key: Arc<str>, object: Option<VersionedObject>) -> Version {
         self.version += 1;
         self.log.push_back(Change { key, object, version: self.version });
         if MAX_LOG < self.log.len()
--- a/src/standin/platform/tests.rs
+++ b/src/standin/platform/tests.rs
@@ -4,15 +4,15 @@
 use crate::{
     prelude::*,
     store::{
-        BreakerState, Expect, HttpPlatform, Limits, Platform, PlatformError, Settled,
-        new_operation, put_settled,
+        BreakerState, Expect, HttpPlatform, Platform, PlatformError, PutOutcome, RateLimits,
+        new_operation_id, put_confirmed,
     },
 };
 
 async fn standin() -> (PlatformStandin, HttpPlatform) {
     let standin = PlatformStandin::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.unwrap();
     let clock = Arc::new(crate::base::BootClock);
-    let client = HttpPlatform::open_with(standin.address(), Limits::OPERATOR, clock).unwrap();
+    let client = HttpPlatform::with_limits(standin.address(), RateLimits::OPERATOR, clock).unwrap();
     (standin, client)
 }
 
@@ -45,15 +45,16 @@
     // somebody else won. Reading back its own operation id tells it that it was accepted.
     let (standin, client) = standin().await;
     standin.set_faults(Faults { lose_answers: 1, ..Faults::default() });
-    let operation = new_operation();
+    let operation = new_operation_id();
     let lost = client.put("m", Expect::Absent, "one".into(), operation.clone()).await;
-    assert_matches!(lost, Err(PlatformError::Unavailable { maybe_done: true, .. }));
+    assert_matches!(lost, Err(PlatformError::Unavailable { may_have_applied: true, .. }));
     standin.set_faults(Faults { lose_answers: 2, ..Faults::default() });
     let version = client.get("m").await.unwrap().unwrap().version;
     let expect = Expect::Version(version);
-    let settled = put_settled(&client, "m", expect, "two".into(), new_operation()).await.unwrap();
+    let settled =
+        put_confirmed(&client, "m", expect, "two".into(), new_operation_id()).await.unwrap();
     let held = client.get("m").await.unwrap().unwrap();
-    assert_eq!(settled, Settled::Written(held.version));
+    assert_eq!(settled, PutOutcome::Written(held.version));
     assert_eq!(held.value, "two");
 }
 
@@ -66,19 +67,19 @@
         client.watch("", 1000, Duration::ZERO).await,
         Err(PlatformError::TooOld { .. })
     );
-    let large = vec![0; crate::store::MAX_VALUE + 1].into();
-    let too_large = client.put("a", Expect::Absent, large, new_operation()).await;
+    let large = vec![0; crate::store::MAX_VALUE_BYTES + 1].into();
+    let too_large = client.put("a", Expect::Absent, large, new_operation_id()).await;
     assert_eq!(too_large, Err(PlatformError::TooLarge));
     standin.set_faults(Faults { writes_per_second: 1, ..Faults::default() });
     let mut limited = 0;
     for key in ["a", "b", "c", "d"] {
-        let put = client.put(key, Expect::Absent, "x".into(), new_operation()).await;
-        limited += usize::from(matches!(put, Err(PlatformError::Limited { .. })));
+        let put = client.put(key, Expect::Absent, "x".into(), new_operation_id()).await;
+        limited += usize::from(matches!(put, Err(PlatformError::RateLimited { .. })));
     }
     assert!(1 <= limited);
     standin.set_faults(Faults { outage: Outage::Refuse, ..Faults::default() });
-    let down = client.put("e", Expect::Absent, "x".into(), new_operation()).await;
-    assert_matches!(down, Err(PlatformError::Unavailable { maybe_done: false, .. }));
+    let down = client.put("e", Expect::Absent, "x".into(), new_operation_id()).await;
+    assert_matches!(down, Err(PlatformError::Unavailable { may_have_applied: false, .. }));
 }
 
 #[tokio::test]
@@ -88,20 +89,20 @@
     // it, and the state is there for the operator. When it is back, a single call finds out.
     let (standin, client) = standin().await;
     standin.set_faults(Faults { outage: Outage::Hang, ..Faults::default() });
-    let put = client.put("m", Expect::Absent, "x".into(), new_operation()).await;
-    assert_matches!(put, Err(PlatformError::Unavailable { maybe_done: true, .. }));
+    let put = client.put("m", Expect::Absent, "x".into(), new_operation_id()).await;
+    assert_matches!(put, Err(PlatformError::Unavailable { may_have_applied: true, .. }));
     standin.set_faults(Faults { outage: Outage::Refuse, ..Faults::default() });
     for _ in 0..3 {
-        assert!(client.delete("m", Expect::Absent, new_operation()).await.is_err());
+        assert!(client.delete("m", Expect::Absent, new_operation_id()).await.is_err());
     }
     assert_matches!(client.state().breaker, BreakerState::Open { .. });
     let sent = standin.door().counts();
     let held = client.get("m").await;
-    assert_matches!(held, Err(PlatformError::Unavailable { maybe_done: false, .. }));
+    assert_matches!(held, Err(PlatformError::Unavailable { may_have_applied: false, .. }));
     assert!(standin.door().counts().reads <= sent.reads + 1, "a read and its repeats are held");
     standin.set_faults(Faults::default());
-    let settled = put_settled(&client, "m", Expect::Absent, "x".into(), new_operation()).await;
-    assert_matches!(settled, Ok(Settled::Written(_)));
+    let settled = put_confirmed(&client, "m", Expect::Absent, "x".into(), new_operation_id()).await;
+    assert_matches!(settled, Ok(PutOutcome::Written(_)));
     assert_eq!(client.state().breaker, BreakerState::Closed);
 }
 
@@ -109,7 +110,7 @@
 async fn the_host_list_shows_late() {
     let standin = PlatformStandin::in_memory();
     standin.set_faults(Faults { hosts_lag_ms: 50, ..Faults::default() });
-    let late = standin.door().put("hosts/m", Expect::Absent, "[]".into(), new_operation());
+    let late = standin.door().put("hosts/m", Expect::Absent, "[]".into(), new_operation_id());
     let reader = standin.open_door();
     let (written, seen) = tokio::join!(late, reader.get("hosts/m"));
     assert_eq!(seen, Ok(None));
--- a/src/store/breaker.rs
+++ b/src/store/circuit_breaker.rs
@@ -29,14 +29,14 @@
 
 /// Counts failures in a row and spaces out the attempts that follow.
 #[derive(Debug)]
-pub struct Breaker {
+pub struct CircuitBreaker {
     backoff: ExponentialBackoff,
     failures: u32,
     seed: u64,
     state: BreakerState,
 }
 
-impl Breaker {
+impl CircuitBreaker {
     /// A closed breaker. `seed` spreads the attempts of many hosts.
     pub fn new(seed: u64) -> Self {
         Self { backoff: delays(seed), failures: 0, seed, state: BreakerState::Closed }
@@ -60,8 +60,8 @@
         }
     }
 
-    /// A call was answered, whatever the answer said.
-    pub fn answered(&mut self) {
+    /// A call was record_answer, whatever the answer said.
+    pub fn record_answer(&mut self) {
         if self.state != BreakerState::Closed {
             self.backoff = delays(self.seed);
         }
@@ -69,7 +69,7 @@
         self.state = BreakerState::Closed;
     }
 
-    /// A call was not answered.
+    /// A call was not record_answer.
     pub fn failed(&mut self, now: Moment) {
         self.failures = self.failures.saturating_add(1);
         let opens = self.state == BreakerState::HalfOpen || FAILURES_TO_OPEN <= self.failures;
@@ -81,7 +81,7 @@
     }
 
     /// A call was given up by its own caller: nothing is known. Another may find out.
-    pub fn abandoned(&mut self, now: Moment) {
+    pub fn record_abandoned(&mut self, now: Moment) {
         if self.state == BreakerState::HalfOpen {
             self.state = BreakerState::Open { until: now };
         }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -13,7 +13,7 @@
     #[error("the object was changed by someone else (version now {current:?}); read it again")]
     Conflict { current: Option<Version> },
     #[error("too many calls; come back in {retry_after:?}")]
-    Limited { retry_after: Duration },
+    RateLimited { retry_after: Duration },
     #[error("the platform refused the call: {detail}")]
     Refused { detail: Arc<str> },
     #[error("the value is larger than the platform takes; split it")]
@@ -24,18 +24,18 @@
     Unavailable {
         detail: Arc<str>,
         /// The call may have taken effect all the same.
-        maybe_done: bool,
+        may_have_applied: bool,
     },
 }
 
 impl PlatformError {
     /// The call may succeed when it is sent again unchanged.
     pub fn is_transient(&self) -> bool {
-        matches!(self, PlatformError::Limited { .. } | PlatformError::Unavailable { .. })
+        matches!(self, PlatformError::RateLimited { .. } | PlatformError::Unavailable { .. })
     }
 
     /// Whether a write with this error may have taken effect.
-    pub fn maybe_done(&self) -> bool {
-        matches!(self, PlatformError::Unavailable { maybe_done: true, .. })
+    pub fn may_have_applied(&self) -> bool {
+        matches!(self, PlatformError::Unavailable { may_have_applied: true, .. })
     }
 }
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -14,28 +14,28 @@
 
 /// How often a follower asks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FollowPace {
+pub struct FollowOptions {
     /// Pause between a listing and the first watch after it; what changes meanwhile is told by that.
-    pub after_list: Duration,
+    pub list_pause: Duration,
     /// Time between two comparisons of all versions.
-    pub compare_every: Duration,
+    pub compare_interval: Duration,
     /// Whether the first listing may be some seconds old. Who starts knows nothing, and the watch
     /// brings the rest; later listings follow losses and must be current.
-    pub first_may_lag: bool,
+    pub first_allows_stale: bool,
     /// Pause after a change: changes often come several at once, and each watch is a call.
-    pub settle: Duration,
+    pub change_pause: Duration,
     /// Longest time that one watch waits.
     pub wait: Duration,
 }
 
-impl FollowPace {
+impl FollowOptions {
     /// Where nothing else tells that a watch misses writes. With the longest wait of a watch that
     /// stays silent (`wait` and the client's grace) a missed write goes unnoticed for 12 s at most.
-    pub const ALONE: Self = Self {
-        after_list: Duration::ZERO,
-        compare_every: Duration::from_secs(6),
-        first_may_lag: false,
-        settle: Duration::ZERO,
+    pub const STANDALONE: Self = Self {
+        list_pause: Duration::ZERO,
+        compare_interval: Duration::from_secs(6),
+        first_allows_stale: false,
+        change_pause: Duration::ZERO,
         wait: Duration::from_secs(4),
     };
 }
@@ -45,19 +45,19 @@
 
 /// What a follower tells.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Followed {
-    /// Writes since the previous update; empty if the platform answered that there are none.
+pub enum FollowEvent {
+    /// Writes since the previous update; empty if the platform record_answer that there are none.
     Changed(Vec<Change>),
     /// Everything there is, in place of what was told before.
     Listed(Listing),
     /// The platform did not answer; what was told before stands, and may be out of date.
-    Lost(PlatformError),
+    Failed(PlatformError),
 }
 
 /// A running follower; ends when dropped.
 pub struct Follower {
     /// In milliseconds.
-    settle: Arc<AtomicU64>,
+    change_pause: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
@@ -67,18 +67,18 @@
         platform: Arc<dyn Platform>,
         clock: Arc<dyn Clock>,
         prefix: &str,
-        pace: FollowPace,
-        tx: mpsc::Sender<Followed>,
+        pace: FollowOptions,
+        tx: mpsc::Sender<FollowEvent>,
     ) -> Self {
-        let settle = Arc::new(AtomicU64::new(pace.settle.as_millis() as u64));
+        let change_pause = Arc::new(AtomicU64::new(pace.change_pause.as_millis() as u64));
         let prefix = prefix.to_owned();
-        let task = tokio::spawn(follow(platform, clock, prefix, pace, settle.clone(), tx));
-        Self { settle, task }
+        let task = tokio::spawn(follow(platform, clock, prefix, pace, change_pause.clone(), tx));
+        Self { change_pause, task }
     }
 
-    /// From now on pauses that long after a change; see `FollowPace::settle`.
-    pub fn set_settle(&self, settle: Duration) {
-        self.settle.store(settle.as_millis() as u64, Ordering::Relaxed);
+    /// From now on pauses that long after a change; see `FollowOptions::change_pause`.
+    pub fn set_change_pause(&self, change_pause: Duration) {
+        self.change_pause.store(change_pause.as_millis() as u64, Ordering::Relaxed);
     }
 }
 
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Step {
     Compare,
-    List { may_lag: bool },
+    List { allow_stale: bool },
     Pause(Duration),
     Watch { from: Version },
 }
@@ -104,14 +104,14 @@
     compared: Moment,
     is_first: bool,
     known: BTreeMap<Arc<str>, Version>,
-    pace: FollowPace,
+    pace: FollowOptions,
     pause: Option<Duration>,
     seed: u64,
     version: Option<Version>,
 }
 
 impl FollowState {
-    pub(super) fn new(seed: u64, pace: FollowPace) -> Self {
+    pub(super) fn new(seed: u64, pace: FollowOptions) -> Self {
         let backoff = pauses(seed);
         let (compared, known) = (Duration::ZERO, BTreeMap::new());
         let is_first = true;
@@ -123,8 +123,8 @@
             return Step::Pause(pause);
         }
         match self.version {
-            None => Step::List { may_lag: self.is_first && self.pace.first_may_lag },
-            Some(_) if self.pace.compare_every <= now.saturating_sub(self.compared) => {
+            None => Step::List { allow_stale: self.is_first && self.pace.first_allows_stale },
+            Some(_) if self.pace.compare_interval <= now.saturating_sub(self.compared) => {
                 Step::Compare
             }
             Some(from) => Step::Watch { from },
@@ -167,7 +167,7 @@
             self.version = None;
         }
         let least = match err {
-            PlatformError::Limited { retry_after } => *retry_after,
+            PlatformError::RateLimited { retry_after } => *retry_after,
             _ => Duration::ZERO,
         };
         let pause = self.backoff.next().unwrap_or(LONGEST_PAUSE);
@@ -189,9 +189,9 @@
     platform: Arc<dyn Platform>,
     clock: Arc<dyn Clock>,
     prefix: String,
-    pace: FollowPace,
-    settle: Arc<AtomicU64>,
-    tx: mpsc::Sender<Followed>,
+    pace: FollowOptions,
+    change_pause: Arc<AtomicU64>,
+    tx: mpsc::Sender<FollowEvent>,
 ) {
     let mut state = FollowState::new(rand::random(), pace);
     loop {
@@ -203,15 +203,15 @@
                 }
                 Err(err) => Some(lost(&mut state, err)),
             },
-            Step::List { may_lag } => {
-                let listing = match may_lag {
-                    true => platform.list_lagging(&prefix).await,
+            Step::List { allow_stale } => {
+                let listing = match allow_stale {
+                    true => platform.list_allow_stale(&prefix).await,
                     false => platform.list(&prefix).await,
                 };
                 match listing {
                     Ok(listing) => {
                         state.listed(&listing, clock.now());
-                        Some(Followed::Listed(listing))
+                        Some(FollowEvent::Listed(listing))
                     }
                     Err(err) => Some(lost(&mut state, err)),
                 }
@@ -223,17 +223,17 @@
             Step::Watch { from } => match platform.watch(&prefix, from, pace.wait).await {
                 Ok(changes) => {
                     state.changed(&changes);
-                    Some(Followed::Changed(changes.changes))
+                    Some(FollowEvent::Changed(changes.changes))
                 }
                 Err(err) => Some(lost(&mut state, err)),
             },
         };
         let Some(told) = told else { continue };
         let pause = match &told {
-            Followed::Changed(changes) if changes.is_empty() => Duration::ZERO,
-            Followed::Changed(_) => Duration::from_millis(settle.load(Ordering::Relaxed)),
-            Followed::Listed(_) => pace.after_list,
-            Followed::Lost(_) => Duration::ZERO,
+            FollowEvent::Changed(changes) if changes.is_empty() => Duration::ZERO,
+            FollowEvent::Changed(_) => Duration::from_millis(change_pause.load(Ordering::Relaxed)),
+            FollowEvent::Listed(_) => pace.list_pause,
+            FollowEvent::Failed(_) => Duration::ZERO,
         };
         if tx.send(told).await.is_err() {
             return;
@@ -244,7 +244,7 @@
     }
 }
 
-fn lost(state: &mut FollowState, err: PlatformError) -> Followed {
+fn lost(state: &mut FollowState, err: PlatformError) -> FollowEvent {
     state.failed(&err);
-    Followed::Lost(err)
+    FollowEvent::Failed(err)
 }
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -10,9 +10,9 @@
 use serde::de::DeserializeOwned;
 
 use super::{
-    Breaker, BreakerState, Budget, CallCounts, CallKind, Changes, Expect, KeyVersion, Limits,
-    Listing, MAX_VALUE, OperationId, Platform, PlatformError, Result, Version, Versioned, is_key,
-    wire,
+    BreakerState, CallCounts, CallKind, CallRateLimiter, Changes, CircuitBreaker, Expect,
+    KeyVersion, Listing, MAX_VALUE_BYTES, OperationId, Platform, PlatformError, RateLimits, Result,
+    Version, VersionedObject, is_valid_key, wire,
 };
 use crate::{base::BootClock, prelude::*};
 
@@ -39,25 +39,29 @@
 }
 
 struct Guards {
-    breaker: Breaker,
-    budget: Budget,
+    breaker: CircuitBreaker,
+    budget: CallRateLimiter,
 }
 
 /// What an operator sees of the client.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PlatformState {
+pub struct PlatformClientState {
     pub breaker: BreakerState,
     pub counts: CallCounts,
 }
 
 impl HttpPlatform {
     /// A client with the budget of one host. Nothing is sent yet.
-    pub fn open(address: SocketAddr) -> Result<Self> {
-        Self::open_with(address, Limits::HOST, Arc::new(BootClock))
+    pub fn new(address: SocketAddr) -> Result<Self> {
+        Self::with_limits(address, RateLimits::HOST, Arc::new(BootClock))
     }
 
     /// A client with a budget of its own.
-    pub fn open_with(address: SocketAddr, limits: Limits, clock: Arc<dyn Clock>) -> Result<Self> {
+    pub fn with_limits(
+        address: SocketAddr,
+        limits: RateLimits,
+        clock: Arc<dyn Clock>,
+    ) -> Result<Self> {
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
@@ -65,15 +69,15 @@
             .retry(reqwest::retry::never())
             .build()
             .map_err(|err| refused(&err.to_string()))?;
-        let budget = Budget::new(limits, clock.now());
-        let guards = Mutex::new(Guards { breaker: Breaker::new(rand::random()), budget });
+        let budget = CallRateLimiter::new(limits, clock.now());
+        let guards = Mutex::new(Guards { breaker: CircuitBreaker::new(rand::random()), budget });
         Ok(Self { address, client, clock, guards })
     }
 
-    /// Breaker state and calls so far.
-    pub fn state(&self) -> PlatformState {
+    /// CircuitBreaker state and calls so far.
+    pub fn state(&self) -> PlatformClientState {
         let guards = self.guards();
-        PlatformState { breaker: guards.breaker.state(), counts: guards.budget.counts() }
+        PlatformClientState { breaker: guards.breaker.state(), counts: guards.budget.counts() }
     }
 
     fn guards(&self) -> std::sync::MutexGuard<'_, Guards> {
@@ -98,11 +102,11 @@
         let now = self.clock.now();
         {
             let mut guards = self.guards();
-            let held = |retry_after| PlatformError::Limited { retry_after };
+            let held = |retry_after| PlatformError::RateLimited { retry_after };
             guards.budget.take(kind, now).map_err(held)?;
             guards.breaker.admit(now).map_err(|pause| PlatformError::Unavailable {
                 detail: format!("paused for {pause:?} after failures").into(),
-                maybe_done: false,
+                may_have_applied: false,
             })?;
         }
         let mut probe = Probe { done: false, platform: self };
@@ -111,7 +115,7 @@
         let outcome = outcome.unwrap_or_else(|_| Err(unavailable("no answer in time", true)));
         let mut guards = self.guards();
         match &outcome {
-            Ok(answer) if !answer.status.is_server_error() => guards.breaker.answered(),
+            Ok(answer) if !answer.status.is_server_error() => guards.breaker.record_answer(),
             _ => guards.breaker.failed(self.clock.now()),
         }
         outcome?.accept()
@@ -138,7 +142,7 @@
     fn drop(&mut self) {
         if !self.done {
             let now = self.platform.clock.now();
-            self.platform.guards().breaker.abandoned(now);
+            self.platform.guards().breaker.record_abandoned(now);
         }
     }
 }
@@ -146,33 +150,36 @@
 #[async_trait]
 impl Platform for HttpPlatform {
     async fn delete(&self, key: &str, expect: Expect, operation: OperationId) -> Result<Version> {
-        let req = self.object(Method::DELETE, key, expect)?.header(wire::OPERATION, &*operation);
-        let written: wire::Written = self.call(CallKind::Write, req, CALL_TIMEOUT).await?.json()?;
+        let req =
+            self.object(Method::DELETE, key, expect)?.header(wire::OPERATION_HEADER, &*operation);
+        let written: wire::WriteResponse =
+            self.call(CallKind::Write, req, CALL_TIMEOUT).await?.json()?;
         Ok(written.version)
     }
 
-    async fn get(&self, key: &str) -> Result<Option<Versioned>> {
+    async fn get(&self, key: &str) -> Result<Option<VersionedObject>> {
         check(key)?;
         let answer = self.read(&format!("objects/{key}")).await?;
         if answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let operation = answer.header(wire::OPERATION)?.into();
-        let version = answer.header(wire::VERSION)?;
+        let operation = answer.header(wire::OPERATION_HEADER)?.into();
+        let version = answer.header(wire::VERSION_HEADER)?;
         let version = version.parse().map_err(|_| refused("its version is no number"))?;
-        Ok(Some(Versioned { operation, value: answer.body, version }))
+        Ok(Some(VersionedObject { operation, value: answer.body, version }))
     }
 
     async fn keys(&self, prefix: &str) -> Result<Vec<KeyVersion>> {
         let answer = self.read(&format!("list?prefix={prefix}&values=false")).await?;
-        let objects: wire::Objects = answer.json()?;
-        let key = |object: wire::Object| KeyVersion { key: object.key, version: object.version };
+        let objects: wire::ObjectsResponse = answer.json()?;
+        let key =
+            |object: wire::ObjectRecord| KeyVersion { key: object.key, version: object.version };
         Ok(objects.objects.into_iter().map(key).collect())
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing> {
         let answer = self.read(&format!("list?prefix={prefix}")).await?;
-        let objects: wire::Objects = answer.json()?;
+        let objects: wire::ObjectsResponse = answer.json()?;
         objects.into_listing().ok_or_else(|| refused("a value is no base64"))
     }
 
@@ -183,12 +190,13 @@
         value: Bytes,
         operation: OperationId,
     ) -> Result<Version> {
-        if MAX_VALUE < value.len() {
+        if MAX_VALUE_BYTES < value.len() {
             return Err(PlatformError::TooLarge);
         }
         let req = self.object(Method::PUT, key, expect)?.body(value);
-        let req = req.header(wire::OPERATION, &*operation);
-        let written: wire::Written = self.call(CallKind::Write, req, CALL_TIMEOUT).await?.json()?;
+        let req = req.header(wire::OPERATION_HEADER, &*operation);
+        let written: wire::WriteResponse =
+            self.call(CallKind::Write, req, CALL_TIMEOUT).await?.json()?;
         Ok(written.version)
     }
 
@@ -196,7 +204,7 @@
         let path = format!("watch?prefix={prefix}&from={from}&wait_ms={}", wait.as_millis());
         let req = self.request(Method::GET, &path);
         let answer = self.call(CallKind::Watch, req, wait + WATCH_GRACE).await?;
-        let objects: wire::Objects = answer.json()?;
+        let objects: wire::ObjectsResponse = answer.json()?;
         objects.into_changes().ok_or_else(|| refused("a value is no base64"))
     }
 }
@@ -213,16 +221,16 @@
         match self.status {
             StatusCode::OK | StatusCode::NOT_FOUND => Ok(self),
             StatusCode::GONE => {
-                Err(PlatformError::TooOld { oldest: self.json::<wire::Forgotten>()?.oldest })
+                Err(PlatformError::TooOld { oldest: self.json::<wire::TooOldResponse>()?.oldest })
             }
             StatusCode::PAYLOAD_TOO_LARGE => Err(PlatformError::TooLarge),
-            StatusCode::PRECONDITION_FAILED => {
-                Err(PlatformError::Conflict { current: self.json::<wire::Current>()?.version })
-            }
+            StatusCode::PRECONDITION_FAILED => Err(PlatformError::Conflict {
+                current: self.json::<wire::ConflictResponse>()?.version,
+            }),
             StatusCode::TOO_MANY_REQUESTS => {
                 let secs = self.header(header::RETRY_AFTER.as_str()).ok();
                 let secs = secs.and_then(|secs| secs.parse().ok()).map(Duration::from_secs);
-                Err(PlatformError::Limited { retry_after: secs.unwrap_or(DEFAULT_RETRY_AFTER) })
+                Err(PlatformError::RateLimited { retry_after: secs.unwrap_or(DEFAULT_RETRY_AFTER) })
             }
             // Refused before anything was done, as the protocol says.
             StatusCode::SERVICE_UNAVAILABLE => Err(unavailable("it is out of service", false)),
@@ -251,13 +259,13 @@
 
 /// Keys and prefixes stand in paths and queries as they are.
 fn check(key: &str) -> Result<()> {
-    if is_key(key) { Ok(()) } else { Err(refused("malformed key")) }
+    if is_valid_key(key) { Ok(()) } else { Err(refused("malformed key")) }
 }
 
 fn refused(detail: &str) -> PlatformError {
     PlatformError::Refused { detail: detail.into() }
 }
 
-fn unavailable(detail: &str, maybe_done: bool) -> PlatformError {
-    PlatformError::Unavailable { detail: detail.into(), maybe_done }
+fn unavailable(detail: &str, may_have_applied: bool) -> PlatformError {
+    PlatformError::Unavailable { detail: detail.into(), may_have_applied }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -3,13 +3,13 @@
 //! The rest of the crate knows the trait only. `HttpPlatform` speaks the protocol of
 //! `docs/PLATFORM.md`; another API can be put in its place.
 
-mod breaker;
-mod budget;
+mod circuit_breaker;
+mod confirmed_put;
 mod error;
 mod follow;
 mod http;
 mod model;
-mod settle;
+mod rate_limit;
 #[cfg(test)]
 mod tests;
 pub mod wire;
@@ -19,16 +19,16 @@
 use bytes::Bytes;
 
 pub use self::{
-    breaker::{Breaker, BreakerState},
-    budget::{Budget, CallCounts, CallKind, Limits},
+    circuit_breaker::{BreakerState, CircuitBreaker},
+    confirmed_put::{PutOutcome, put_confirmed},
     error::{PlatformError, Result},
-    follow::{FollowPace, Followed, Follower},
-    http::{HttpPlatform, PlatformState},
+    follow::{FollowEvent, FollowOptions, Follower},
+    http::{HttpPlatform, PlatformClientState},
     model::{
-        Change, Changes, Entry, Expect, KeyVersion, Listing, MAX_KEY, MAX_VALUE, OperationId,
-        Version, Versioned, is_key, new_operation,
+        Change, Changes, Entry, Expect, KeyVersion, Listing, MAX_KEY_BYTES, MAX_VALUE_BYTES,
+        OperationId, Version, VersionedObject, is_valid_key, new_operation_id,
     },
-    settle::{Settled, put_settled},
+    rate_limit::{CallCounts, CallKind, CallRateLimiter, RateLimits},
 };
 
 /// An object API with versions. Every call may fail, be slow, or lose its answer after it took
@@ -39,7 +39,7 @@
     async fn delete(&self, key: &str, expect: Expect, operation: OperationId) -> Result<Version>;
 
     /// The object of that key.
-    async fn get(&self, key: &str) -> Result<Option<Versioned>>;
+    async fn get(&self, key: &str) -> Result<Option<VersionedObject>>;
 
     /// Keys and versions of the objects under `prefix`, without their values.
     async fn keys(&self, prefix: &str) -> Result<Vec<KeyVersion>> {
@@ -53,7 +53,7 @@
 
     /// The same as it was some seconds ago at most, where the store gives that more cheaply. A watch
     /// from its version tells all that has changed since.
-    async fn list_lagging(&self, prefix: &str) -> Result<Listing> {
+    async fn list_allow_stale(&self, prefix: &str) -> Result<Listing> {
         self.list(prefix).await
     }
 
--- a/src/store/model.rs
+++ b/src/store/model.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 
 /// Largest value, in bytes.
-pub const MAX_VALUE: usize = 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// Longest key, in bytes.
-pub const MAX_KEY: usize = 512;
+pub const MAX_KEY_BYTES: usize = 512;
 
 /// Version of the whole store: rises with every write, not always by one. The version of an object
 /// is the store's version at its last write, so that no two states of a key share one.
@@ -18,19 +18,19 @@
 pub type OperationId = Arc<str>;
 
 /// Whether `key` can be one: it then needs no escaping in a path.
-pub fn is_key(key: &str) -> bool {
+pub fn is_valid_key(key: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
-    (1..=MAX_KEY).contains(&key.len()) && key.chars().all(plain)
+    (1..=MAX_KEY_BYTES).contains(&key.len()) && key.chars().all(plain)
 }
 
 /// A new operation id.
-pub fn new_operation() -> OperationId {
+pub fn new_operation_id() -> OperationId {
     uuid::Uuid::new_v4().to_string().into()
 }
 
 /// A value and the write that put it there.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Versioned {
+pub struct VersionedObject {
     pub operation: OperationId,
     pub value: Bytes,
     pub version: Version,
@@ -47,7 +47,7 @@
 
 impl Expect {
     /// That the object still is as it was read.
-    pub fn unchanged(read: Option<&Versioned>) -> Self {
+    pub fn unchanged(read: Option<&VersionedObject>) -> Self {
         read.map_or(Expect::Absent, |object| Expect::Version(object.version))
     }
 
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
     pub key: Arc<str>,
-    pub object: Versioned,
+    pub object: VersionedObject,
 }
 
 /// An object without its value.
@@ -88,7 +88,7 @@
 pub struct Change {
     pub key: Arc<str>,
     /// `None` after a delete.
-    pub object: Option<Versioned>,
+    pub object: Option<VersionedObject>,
     pub version: Version,
 }
 
--- a/src/store/budget.rs
+++ b/src/store/rate_limit.rs
@@ -25,7 +25,7 @@
 
 /// Most calls a second, by kind; short bursts of `BURST_SECONDS` are allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct RateLimits {
     pub reads: f64,
     pub watches: f64,
     pub writes: f64,
@@ -34,7 +34,7 @@
 /// How many seconds' worth of calls may come at once.
 const BURST_SECONDS: f64 = 5.0;
 
-impl Limits {
+impl RateLimits {
     /// Of one host: with 1,700 hosts idle they use next to nothing, and a few that restart at once
     /// stay far below the platform's rates.
     pub const HOST: Self = Self { reads: 10.0, watches: 4.0, writes: 4.0 };
@@ -45,21 +45,21 @@
 
 /// Token buckets by kind of call.
 #[derive(Debug)]
-pub struct Budget {
+pub struct CallRateLimiter {
     counts: CallCounts,
-    reads: Bucket,
-    watches: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    watches: TokenBucket,
+    writes: TokenBucket,
 }
 
-impl Budget {
+impl CallRateLimiter {
     /// A full budget.
-    pub fn new(limits: Limits, now: Moment) -> Self {
+    pub fn new(limits: RateLimits, now: Moment) -> Self {
         Self {
             counts: CallCounts::default(),
-            reads: Bucket::new(limits.reads, now),
-            watches: Bucket::new(limits.watches, now),
-            writes: Bucket::new(limits.writes, now),
+            reads: TokenBucket::new(limits.reads, now),
+            watches: TokenBucket::new(limits.watches, now),
+            writes: TokenBucket::new(limits.writes, now),
         }
     }
 
@@ -87,13 +87,13 @@
 }
 
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     filled: Moment,
     level: f64,
     rate: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: f64, now: Moment) -> Self {
         Self { filled: now, level: rate * BURST_SECONDS, rate }
     }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -15,7 +15,7 @@
 fn a_breaker_opens_probes_and_closes() {
     // The platform stops answering. Calls fail at once after the fourth one; when the pause is
     // over a single call finds out, and each further failure lengthens the pause.
-    let mut breaker = Breaker::new(1);
+    let mut breaker = CircuitBreaker::new(1);
     let mut now = Duration::ZERO;
     for _ in 0..4 {
         assert_eq!(breaker.admit(now), Ok(()));
@@ -33,16 +33,16 @@
     }
     assert!(pauses[0] < pauses[9] && pauses[9] <= 4 * SECOND, "{pauses:?}");
     breaker.admit(now + 4 * SECOND).unwrap();
-    breaker.abandoned(now + 4 * SECOND);
+    breaker.record_abandoned(now + 4 * SECOND);
     breaker.admit(now + 4 * SECOND).unwrap();
-    breaker.answered();
+    breaker.record_answer();
     assert_eq!(breaker.state(), BreakerState::Closed);
 }
 
 #[test]
 fn a_budget_allows_a_burst_and_then_its_rate() {
-    let limits = Limits { reads: 2.0, watches: 1.0, writes: 1.0 };
-    let mut budget = Budget::new(limits, Duration::ZERO);
+    let limits = RateLimits { reads: 2.0, watches: 1.0, writes: 1.0 };
+    let mut budget = CallRateLimiter::new(limits, Duration::ZERO);
     let mut taken = 0;
     for millis in 0..10_000 {
         taken += u32::from(budget.take(CallKind::Read, Duration::from_millis(millis)).is_ok());
@@ -56,9 +56,10 @@
 fn a_follower_lists_again_when_a_watch_missed_something() {
     // The watch stays open and tells nothing while a manifest is accepted. Comparing the versions
     // finds it; a store that forgot the version asked for is listed again as well.
-    let mut state = FollowState::new(1, FollowPace::ALONE);
-    assert_eq!(state.next(SECOND), Step::List { may_lag: false });
-    let versioned = |version| Versioned { operation: "op".into(), value: "x".into(), version };
+    let mut state = FollowState::new(1, FollowOptions::STANDALONE);
+    assert_eq!(state.next(SECOND), Step::List { allow_stale: false });
+    let versioned =
+        |version| VersionedObject { operation: "op".into(), value: "x".into(), version };
     let entry = |version| Entry { key: "a".into(), object: versioned(version) };
     state.listed(&Listing { entries: vec![entry(4)], version: 9 }, SECOND);
     assert_eq!(state.next(SECOND), Step::Watch { from: 9 });
@@ -66,11 +67,11 @@
     state.compared(&[KeyVersion { key: "a".into(), version: 4 }], 10 * SECOND);
     assert_eq!(state.next(10 * SECOND), Step::Watch { from: 9 });
     state.compared(&[KeyVersion { key: "a".into(), version: 11 }], 20 * SECOND);
-    assert_eq!(state.next(20 * SECOND), Step::List { may_lag: false });
+    assert_eq!(state.next(20 * SECOND), Step::List { allow_stale: false });
     state.listed(&Listing { entries: vec![entry(11)], version: 12 }, 20 * SECOND);
     state.failed(&PlatformError::TooOld { oldest: 20 });
     assert_matches!(state.next(20 * SECOND), Step::Pause(_));
-    assert_eq!(state.next(20 * SECOND), Step::List { may_lag: false });
+    assert_eq!(state.next(20 * SECOND), Step::List { allow_stale: false });
 }
 
 #[test]
@@ -78,17 +79,17 @@
     // A host starts and takes a cheap listing that is seconds old; its watch brings the rest. The
     // store then forgets its history: what was missed in between would stay unknown if the next
     // listing were old as well. So too after a failure, when the store has just returned.
-    let pace = FollowPace { first_may_lag: true, ..FollowPace::ALONE };
+    let pace = FollowOptions { first_allows_stale: true, ..FollowOptions::STANDALONE };
     let mut state = FollowState::new(1, pace);
-    assert_eq!(state.next(SECOND), Step::List { may_lag: true });
+    assert_eq!(state.next(SECOND), Step::List { allow_stale: true });
     state.listed(&Listing { entries: Vec::new(), version: 9 }, SECOND);
     state.failed(&PlatformError::TooOld { oldest: 20 });
     assert_matches!(state.next(SECOND), Step::Pause(_));
-    assert_eq!(state.next(SECOND), Step::List { may_lag: false });
+    assert_eq!(state.next(SECOND), Step::List { allow_stale: false });
     let mut state = FollowState::new(1, pace);
-    state.failed(&PlatformError::Unavailable { detail: "down".into(), maybe_done: false });
+    state.failed(&PlatformError::Unavailable { detail: "down".into(), may_have_applied: false });
     assert_matches!(state.next(SECOND), Step::Pause(_));
-    assert_eq!(state.next(SECOND), Step::List { may_lag: false });
+    assert_eq!(state.next(SECOND), Step::List { allow_stale: false });
 }
 
 /// Tokio's clock, which a test can pause.
@@ -113,20 +114,23 @@
     for (what, fault) in table {
         let standin = PlatformStandin::in_memory();
         let writer = standin.open_door();
-        let put = |key: &'static str| writer.put(key, Expect::Absent, "x".into(), new_operation());
+        let put =
+            |key: &'static str| writer.put(key, Expect::Absent, "x".into(), new_operation_id());
         put("p/1").await.unwrap();
         let (tx, mut rx) = tokio::sync::mpsc::channel(8);
         let standin = std::sync::Arc::new(standin);
         let clock = std::sync::Arc::new(PausedClock(tokio::time::Instant::now()));
         let reader = std::sync::Arc::new(Hurried(standin.clone()));
-        let _follower = Follower::spawn(reader, clock, "p/", FollowPace::ALONE, tx);
-        assert_matches!(rx.recv().await, Some(Followed::Listed(_)), "{what}");
+        let _follower = Follower::spawn(reader, clock, "p/", FollowOptions::STANDALONE, tx);
+        assert_matches!(rx.recv().await, Some(FollowEvent::Listed(_)), "{what}");
         fault(&standin);
         put("p/2").await.unwrap();
-        let is_told = |told: &Followed| match told {
-            Followed::Changed(changes) => changes.iter().any(|change| &*change.key == "p/2"),
-            Followed::Listed(listing) => listing.entries.iter().any(|entry| &*entry.key == "p/2"),
-            Followed::Lost(_) => false,
+        let is_told = |told: &FollowEvent| match told {
+            FollowEvent::Changed(changes) => changes.iter().any(|change| &*change.key == "p/2"),
+            FollowEvent::Listed(listing) => {
+                listing.entries.iter().any(|entry| &*entry.key == "p/2")
+            }
+            FollowEvent::Failed(_) => false,
         };
         let told = tokio::time::timeout(15 * SECOND, async {
             while !is_told(&rx.recv().await.expect("the follower goes on")) {}
@@ -140,7 +144,7 @@
 
 impl Hurried {
     async fn within<T>(&self, call: impl Future<Output = Result<T>>) -> Result<T> {
-        let late = PlatformError::Unavailable { detail: "late".into(), maybe_done: true };
+        let late = PlatformError::Unavailable { detail: "late".into(), may_have_applied: true };
         tokio::time::timeout(6 * SECOND, call).await.unwrap_or(Err(late))
     }
 }
@@ -151,7 +155,7 @@
         self.within(self.0.door().delete(key, expect, operation)).await
     }
 
-    async fn get(&self, key: &str) -> Result<Option<Versioned>> {
+    async fn get(&self, key: &str) -> Result<Option<VersionedObject>> {
         self.within(self.0.door().get(key)).await
     }
 
@@ -184,7 +188,7 @@
         Ok(0)
     }
 
-    async fn get(&self, _: &str) -> Result<Option<Versioned>> {
+    async fn get(&self, _: &str) -> Result<Option<VersionedObject>> {
         Ok(None)
     }
 
@@ -210,17 +214,19 @@
     // back when that host is lost.
     let store = std::sync::Arc::new(Restless::default());
     let clock = std::sync::Arc::new(PausedClock(tokio::time::Instant::now()));
-    let pace = FollowPace { settle: SECOND / 10, ..FollowPace::ALONE };
-    let pace = FollowPace { compare_every: 1_000 * SECOND, ..pace };
+    let pace = FollowOptions { change_pause: SECOND / 10, ..FollowOptions::STANDALONE };
+    let pace = FollowOptions { compare_interval: 1_000 * SECOND, ..pace };
     let (tx, mut rx) = tokio::sync::mpsc::channel(16);
     let follower = Follower::spawn(store.clone(), clock, "a/", pace, tx);
     tokio::spawn(async move { while rx.recv().await.is_some() {} });
     let mut counted = 0;
-    for (settle, least, most) in [(SECOND / 10, 90, 110), (SECOND, 9, 12), (SECOND / 10, 85, 110)] {
-        follower.set_settle(settle);
+    for (change_pause, least, most) in
+        [(SECOND / 10, 90, 110), (SECOND, 9, 12), (SECOND / 10, 85, 110)]
+    {
+        follower.set_change_pause(change_pause);
         tokio::time::sleep(10 * SECOND).await;
         let all = store.0.load(std::sync::atomic::Ordering::Relaxed);
-        assert!((least..=most).contains(&(all - counted)), "{settle:?}: {}", all - counted);
+        assert!((least..=most).contains(&(all - counted)), "{change_pause:?}: {}", all - counted);
         counted = all;
     }
 }
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -2,44 +2,44 @@
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 
-use super::{Change, Changes, Entry, Listing, Version, Versioned};
+use super::{Change, Changes, Entry, Listing, Version, VersionedObject};
 use crate::prelude::*;
 
 /// Header with the operation id of a write.
-pub const OPERATION: &str = "object-operation";
+pub const OPERATION_HEADER: &str = "object-operation";
 
 /// Header with the version of the object in an answer to a read.
-pub const VERSION: &str = "object-version";
+pub const VERSION_HEADER: &str = "object-version";
 
 /// Answer to a write.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Written {
+pub struct WriteResponse {
     pub version: Version,
 }
 
 /// Answer to a write whose expectation was not met.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Current {
+pub struct ConflictResponse {
     pub version: Option<Version>,
 }
 
 /// Answer to a watch from a forgotten version.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Forgotten {
+pub struct TooOldResponse {
     pub oldest: Version,
 }
 
 /// Answer to a listing or a watch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Objects {
-    pub objects: Vec<Object>,
+pub struct ObjectsResponse {
+    pub objects: Vec<ObjectRecord>,
     /// The store's version.
     pub version: Version,
 }
 
 /// One object; without `value` it was deleted.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Object {
+pub struct ObjectRecord {
     pub key: Arc<str>,
     pub operation: Option<Arc<str>>,
     /// Base64.
@@ -47,7 +47,7 @@
     pub version: Version,
 }
 
-impl From<Listing> for Objects {
+impl From<Listing> for ObjectsResponse {
     fn from(listing: Listing) -> Self {
         let change = |entry: Entry| {
             let version = entry.object.version;
@@ -58,9 +58,9 @@
     }
 }
 
-impl From<Changes> for Objects {
+impl From<Changes> for ObjectsResponse {
     fn from(changes: Changes) -> Self {
-        let object = |change: Change| Object {
+        let object = |change: Change| ObjectRecord {
             key: change.key,
             operation: change.object.as_ref().map(|object| object.operation.clone()),
             value: change.object.map(|object| STANDARD.encode(object.value)),
@@ -73,10 +73,11 @@
     }
 }
 
-impl Objects {
+impl ObjectsResponse {
     /// As changes; `None` if a value can't be decoded.
     pub fn into_changes(self) -> Option<Changes> {
-        let changes = self.objects.into_iter().map(Object::into_change).collect::<Option<_>>()?;
+        let changes =
+            self.objects.into_iter().map(ObjectRecord::into_change).collect::<Option<_>>()?;
         Some(Changes { changes, version: self.version })
     }
 
@@ -92,12 +93,12 @@
     }
 }
 
-impl Object {
+impl ObjectRecord {
     fn into_change(self) -> Option<Change> {
         let version = self.version;
         let object = match self.value {
             None => None,
-            Some(value) => Some(Versioned {
+            Some(value) => Some(VersionedObject {
                 operation: self.operation?,
                 value: STANDARD.decode(value).ok()?.into(),
                 version,
--- a/src/tenure/platform_calls.rs
+++ b/src/tenure/platform_calls.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     prelude::*,
-    store::{Platform, Settled, new_operation, put_settled},
+    store::{Platform, PutOutcome, new_operation_id, put_confirmed},
 };
 
 /// Carries out a read or write, and returns the event that reports its result to the manager. The
@@ -27,10 +27,10 @@
         Action::Read => Some(Event::ReadDone { result: read(platform, key).await, sent }),
         Action::Write { expect, object } => {
             let value = Bytes::from(serde_json::to_vec(&object).ok()?);
-            let settled = put_settled(platform, key, expect, value, new_operation()).await;
+            let settled = put_confirmed(platform, key, expect, value, new_operation_id()).await;
             let result = match settled {
-                Ok(Settled::Conflict { .. }) => WriteResult::Conflict,
-                Ok(Settled::Written(version)) => WriteResult::Written(version),
+                Ok(PutOutcome::Conflict { .. }) => WriteResult::Conflict,
+                Ok(PutOutcome::Written(version)) => WriteResult::Written(version),
                 Err(_) => WriteResult::Failed,
             };
             Some(Event::WriteDone { result, sent })
--- a/tests/acceptance_lag.rs
+++ b/tests/acceptance_lag.rs
@@ -24,7 +24,7 @@
         SignedManifest, accept, fetch_parts, parse_blocks, sign_with_blocks,
     },
     standin::platform::{Door, Faults, Outage, PlatformStandin},
-    store::{Expect, FollowPace, Followed, Follower, Platform, new_operation},
+    store::{Expect, FollowEvent, FollowOptions, Follower, Platform, new_operation_id},
 };
 use tokio::{sync::mpsc, task::JoinHandle, time::Instant};
 
@@ -98,17 +98,18 @@
 ) {
     let (tx, mut rx) = mpsc::channel(8);
     let clock = Arc::new(TokioClock(Instant::now()));
-    let _follower = Follower::spawn(door.clone(), clock, "manifests/", FollowPace::ALONE, tx);
+    let _follower =
+        Follower::spawn(door.clone(), clock, "manifests/", FollowOptions::STANDALONE, tx);
     let mut kept: BTreeMap<Arc<str>, Part> = BTreeMap::new();
     while let Some(told) = rx.recv().await {
         let objects: Vec<_> = match told {
-            Followed::Changed(changes) => {
+            FollowEvent::Changed(changes) => {
                 changes.into_iter().filter_map(|it| Some((it.key, it.object?))).collect()
             }
-            Followed::Listed(listing) => {
+            FollowEvent::Listed(listing) => {
                 listing.entries.into_iter().map(|it| (it.key, it.object)).collect()
             }
-            Followed::Lost(_) => continue,
+            FollowEvent::Failed(_) => continue,
         };
         for (key, object) in objects {
             let head = Head::decode(&object.value).unwrap();
@@ -155,11 +156,11 @@
     for part in &proposal.parts {
         let key = Head::part_key(MEMBER, &part.id());
         let value = part.text.as_bytes().to_vec().into();
-        platform.put(&key, Expect::Absent, value, new_operation()).await.unwrap();
+        platform.put(&key, Expect::Absent, value, new_operation_id()).await.unwrap();
     }
     let head = Head { history: Vec::new(), signed: proposal.signed.clone() };
     let value = head.encode().unwrap();
-    platform.put(STAGED, Expect::Absent, value, new_operation()).await.unwrap();
+    platform.put(STAGED, Expect::Absent, value, new_operation_id()).await.unwrap();
 }
 
 #[derive(Default)]
--- a/tests/combined_failures.rs
+++ b/tests/combined_failures.rs
@@ -21,8 +21,8 @@
         platform::{Door, Faults, Outage},
     },
     store::{
-        Changes, Expect, HttpPlatform, Limits, Listing, OperationId, Platform, Result as Answer,
-        Version, Versioned,
+        Changes, Expect, HttpPlatform, Listing, OperationId, Platform, RateLimits,
+        Result as Answer, Version, VersionedObject,
     },
     timeline::{EventKind, Filter},
 };
@@ -122,7 +122,8 @@
         let door = fleet.platform.bind_door(([127, 0, 0, 1], 0).into()).await.unwrap();
         door.set_faults(Faults { lose_answers: 1, ..Faults::default() });
         let clock = Arc::new(BootClock);
-        let platform = HttpPlatform::open_with(door.address(), Limits::OPERATOR, clock).unwrap();
+        let platform =
+            HttpPlatform::with_limits(door.address(), RateLimits::OPERATOR, clock).unwrap();
         Self { after: Mutex::new(after), before: Mutex::new(before), _door: door, platform }
     }
 }
@@ -140,7 +141,7 @@
         self.platform.delete(key, expect, op).await
     }
 
-    async fn get(&self, key: &str) -> Answer<Option<Versioned>> {
+    async fn get(&self, key: &str) -> Answer<Option<VersionedObject>> {
         self.platform.get(key).await
     }
 
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -11,7 +11,7 @@
 use lavenderplank::{
     entry::{EntryHost, Revisions, Stamp},
     fleet::{Heartbeat, HostInfo, Load, Message},
-    platform::standin::{Conduct, StoreStandin},
+    platform::standin::{ResponseMode, StoreStandin},
 };
 use serde_json::json;
 use support::{Ask, HOST, World, booking, config, config_with, read, run, settings, until};
@@ -35,11 +35,11 @@
         assert_eq!(answer.headers()["lavenderplank-attempt-id"], "b-1");
         assert!(answer.headers().contains_key("lavenderplank-server-seal"));
         assert_eq!(answer.text().await.expect("a whole body"), "answer of t-1");
-        let seen = world.targets[0].seen();
+        let seen = world.targets[0].received();
         let [seen] = &*seen else { panic!("one request, not {seen:?}") };
         assert_eq!((&*seen.method, &*seen.path), ("POST", "/bookings/one"));
         assert_eq!(seen.body, "two seats");
-        assert_eq!((&*seen.attempt, &*seen.meant), ("b-1", "t-1"));
+        assert_eq!((&*seen.attempt_id, &*seen.expected_target), ("b-1", "t-1"));
         assert!(seen.time_left.is_some_and(|left| (1..=2000).contains(&left)));
     });
 }
@@ -67,7 +67,7 @@
     run(async {
         let world = World::spawn(TWO).await;
         let host = world.host("a").await;
-        world.targets.iter().for_each(|target| target.then(&[Conduct::Reset]));
+        world.targets.iter().for_each(|target| target.queue_responses(&[ResponseMode::Reset]));
         let answer = world.ask(&host, booking("b-1")).await.expect("an answer");
         assert_eq!(answer.status(), 502);
         assert!(!answer.headers().contains_key("retry-after"));
@@ -79,13 +79,18 @@
 #[test]
 fn a_read_that_was_lost_is_sent_to_another_target() {
     run(async {
-        for conduct in [Conduct::Reset, Conduct::Truncate, Conduct::Unsigned, Conduct::Fail] {
+        for mode in [
+            ResponseMode::Reset,
+            ResponseMode::Truncate,
+            ResponseMode::Unsigned,
+            ResponseMode::Fail,
+        ] {
             let world = World::spawn(TWO).await;
             let host = world.host("a").await;
             let first = first(&world, &host).await;
-            world.targets[first].then(&[conduct]);
+            world.targets[first].queue_responses(&[mode]);
             let answer = world.ask(&host, read("r-2")).await.expect("an answer");
-            assert_eq!(answer.status(), 200, "{conduct:?}");
+            assert_eq!(answer.status(), 200, "{mode:?}");
             let body = answer.text().await.expect("a whole body");
             assert_eq!(body, format!("answer of {}", world.targets[1 - first].id()));
         }
@@ -96,7 +101,7 @@
 async fn first(world: &World, host: &EntryHost) -> usize {
     let answer = world.ask(host, booking("first")).await.expect("an answer");
     assert_eq!(answer.status(), 200);
-    usize::from(world.targets[0].seen().is_empty())
+    usize::from(world.targets[0].received().is_empty())
 }
 
 /// A target without room says that it has not run a booking: another one may.
@@ -106,10 +111,10 @@
         let world = World::spawn(TWO).await;
         let host = world.host("a").await;
         let first = first(&world, &host).await;
-        world.targets[first].then(&[Conduct::Shed]);
+        world.targets[first].queue_responses(&[ResponseMode::Shed]);
         let answer = world.ask(&host, booking("b-2")).await.expect("an answer");
         assert_eq!(answer.status(), 200);
-        assert_eq!(world.targets[1 - first].seen().len(), 1);
+        assert_eq!(world.targets[1 - first].received().len(), 1);
     });
 }
 
@@ -119,7 +124,7 @@
     run(async {
         let world = World::spawn(TWO).await;
         let host = world.host("a").await;
-        world.targets.iter().for_each(|target| target.then(&[Conduct::Shed]));
+        world.targets.iter().for_each(|target| target.queue_responses(&[ResponseMode::Shed]));
         let answer = world.ask(&host, booking("b-1")).await.expect("an answer");
         assert_eq!(answer.status(), 503);
         let wait = answer.headers()["retry-after"].to_str().expect("a text");
@@ -135,10 +140,10 @@
         let world = World::spawn(TWO).await;
         let host = world.host("a").await;
         let first = first(&world, &host).await;
-        world.targets[first].then(&[Conduct::Stranger]);
+        world.targets[first].queue_responses(&[ResponseMode::WrongTarget]);
         let answer = world.ask(&host, booking("b-2")).await.expect("an answer");
         assert_eq!(answer.status(), 200);
-        assert_eq!(world.targets[1 - first].seen().len(), 1);
+        assert_eq!(world.targets[1 - first].received().len(), 1);
     });
 }
 
@@ -150,7 +155,7 @@
         let world = World::spawn(ONE).await;
         let host = world.host("a").await;
         for number in 0..20 {
-            world.targets[0].then(&[Conduct::Extra]);
+            world.targets[0].queue_responses(&[ResponseMode::Duplicate]);
             let attempt = format!("r-{number}");
             let answer = world.ask(&host, read(&attempt)).await.expect("an answer");
             if answer.status() == 200 {
@@ -167,8 +172,12 @@
     run(async {
         let world = World::spawn(ONE).await;
         let host = world.host("a").await;
-        world.targets[0].set_body(vec![b'x'; 300_000]);
-        world.targets[0].then(&[Conduct::Serve, Conduct::Unframed, Conduct::Truncate]);
+        world.targets[0].set_response_body(vec![b'x'; 300_000]);
+        world.targets[0].queue_responses(&[
+            ResponseMode::Serve,
+            ResponseMode::NoLength,
+            ResponseMode::Truncate,
+        ]);
         for whole in [true, true, false] {
             let answer = world.ask(&host, read("r-1")).await.expect("a head");
             assert_eq!(answer.status(), 200);
@@ -185,10 +194,10 @@
     run(async {
         let world = World::spawn(ONE).await;
         let host = world.host("a").await;
-        world.targets[0].then(&[Conduct::Hang]);
+        world.targets[0].queue_responses(&[ResponseMode::Hang]);
         let answer = world.ask(&host, Ask { time_left: 1000, ..booking("b-1") }).await;
         assert_eq!(answer.expect("an answer").status(), 504);
-        until("the target is left alone", async || world.targets[0].left() == 1).await;
+        until("the target is left alone", async || world.targets[0].disconnects() == 1).await;
     });
 }
 
@@ -211,7 +220,7 @@
     run(async {
         let world = World::spawn(ONE).await;
         let host = world.host("a").await;
-        world.targets[0].then(&[Conduct::Hang]);
+        world.targets[0].queue_responses(&[ResponseMode::Hang]);
         let mut caller = TcpStream::connect(host.listen().callers).await.expect("a connection");
         let one = |method: &str, path: &str, attempt: &str| {
             format!(
@@ -223,7 +232,7 @@
         caller.write_all(both.as_bytes()).await.expect("sent");
         until("the first is at work", async || world.arrivals() == 1).await;
         drop(caller);
-        until("the target is left", async || world.targets[0].left() == 1).await;
+        until("the target is left", async || world.targets[0].disconnects() == 1).await;
         assert_eq!(world.arrivals(), 1, "the second reached a target though nobody waits for it");
     });
 }
@@ -260,7 +269,7 @@
     run(async {
         let world = World::spawn(TWO).await;
         let host = world.host("a").await;
-        world.targets.iter().for_each(|target| target.then(&[Conduct::Hang; 4]));
+        world.targets.iter().for_each(|target| target.queue_responses(&[ResponseMode::Hang; 4]));
         let mut caller = TcpStream::connect(host.listen().callers).await.expect("a connection");
         let one = |method: &str, path: &str, attempt: &str| {
             format!(
@@ -274,14 +283,14 @@
             + &one("GET", "/reads/4", "r-4");
         caller.write_all(all.as_bytes()).await.expect("sent");
         let seen = |attempt: &str| {
-            let mut seen = world.targets.iter().flat_map(|target| target.seen());
-            seen.any(|seen| seen.attempt == attempt)
+            let mut seen = world.targets.iter().flat_map(|target| target.received());
+            seen.any(|seen| seen.attempt_id == attempt)
         };
         until("both reads are at work", async || seen("r-1") && seen("r-2")).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert!(!seen("b-3") && !seen("r-4"));
         drop(caller);
-        let left = || world.targets.iter().map(|target| target.left()).sum::<usize>();
+        let left = || world.targets.iter().map(|target| target.disconnects()).sum::<usize>();
         until("the targets are left", async || left() == world.arrivals()).await;
         assert!(!seen("b-3") && !seen("r-4"));
     });
@@ -305,7 +314,7 @@
         let mut answer = String::new();
         caller.read_to_string(&mut answer).await.expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        assert_eq!(world.targets[0].seen()[0].body, "two seats");
+        assert_eq!(world.targets[0].received()[0].body, "two seats");
     });
 }
 
@@ -318,20 +327,20 @@
         let host = world.host("a").await;
         // How many of some requests a target gets.
         let gets = async |at: usize| {
-            let before = world.targets[at].seen().len();
+            let before = world.targets[at].received().len();
             for object in ["1", "2", "3", "4", "5", "6", "7", "8"] {
                 let ask = Ask { object: Some(object), ..read("r-1") };
                 assert_eq!(world.ask(&host, ask).await.expect("an answer").status(), 200);
             }
-            world.targets[at].seen().len() - before
+            world.targets[at].received().len() - before
         };
         let only =
             async |at: usize, what: &str| until(what, async || gets(1 - at).await == 0).await;
         let used = async |at: usize| until("it is used again", async || 0 < gets(at).await).await;
         let usual = gets(1).await;
-        world.store.put("servers", "t-1", world.targets[0].entry("draining", 1));
+        world.store.put("servers", "t-1", world.targets[0].store_entry("draining", 1));
         only(1, "the draining target gets nothing").await;
-        world.store.put("servers", "t-1", world.targets[0].entry("ready", 2));
+        world.store.put("servers", "t-1", world.targets[0].store_entry("ready", 2));
         // Targets and evacuations are watched apart: told at once, none may be usable for a moment.
         used(0).await;
         world.store.put("evacuations", "north-b", json!({}));
@@ -351,15 +360,15 @@
     run(async {
         let world = World::spawn(TWO).await;
         let host = world.host("a").await;
-        world.store.spoil("servers", "t-1");
-        world.store.spoil("servers", "odd");
+        world.store.put_undecodable("servers", "t-1");
+        world.store.put_undecodable("servers", "odd");
         until("the spoiled entry's target gets nothing", async || {
-            let before = world.targets[0].seen().len();
+            let before = world.targets[0].received().len();
             for object in ["1", "2", "3", "4", "5", "6", "7", "8"] {
                 let ask = Ask { object: Some(object), ..read("r-1") };
                 assert_eq!(world.ask(&host, ask).await.expect("an answer").status(), 200);
             }
-            before == world.targets[0].seen().len()
+            before == world.targets[0].received().len()
         })
         .await;
     });
@@ -373,12 +382,12 @@
         let world = World::spawn(ONE).await;
         let host = world.host("a").await;
         world.store.put("config", "main", config_with(5, "elsewhere", json!([])));
-        world.store.forget();
+        world.store.compact();
         let status = async || world.ask(&host, read("r-1")).await.expect("an answer").status();
         until("the new configuration is in force", async || status().await == 503).await;
         world.store.put("config", "main", config(4));
-        world.store.put("servers", "t-1", world.targets[0].entry("draining", 1));
-        world.store.put("servers", "t-1", world.targets[0].entry("ready", 3));
+        world.store.put("servers", "t-1", world.targets[0].store_entry("draining", 1));
+        world.store.put("servers", "t-1", world.targets[0].store_entry("ready", 3));
         world.store.put("config", "main", config(6));
         until("the newest configuration is in force", async || status().await == 200).await;
         world.store.set_down(true);
@@ -415,7 +424,7 @@
         let world = World::spawn(ONE).await;
         let host = world.host("a").await;
         let listen = host.listen().clone();
-        world.targets[0].set_work(Duration::from_millis(700));
+        world.targets[0].set_processing_time(Duration::from_millis(700));
         let url = format!("http://{}/bookings/one", listen.callers);
         let req =
             world.http.post(url).header("Host", HOST).header("Lavenderplank-Attempt-Id", "b-1");
@@ -496,14 +505,14 @@
         let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let control = silent.local_addr().expect("an address");
         let (tx, told) = tokio::sync::watch::channel(Stamp::default());
-        until("the host, still alone, watches", async || 0 < world.store.watches()).await;
+        until("the host, still alone, watches", async || 0 < world.store.pending_watches()).await;
         for name in ["w-1", "w-2", "w-3", "w-4", "w-5", "w-6"] {
             tokio::task::spawn_local(beat(name, control, host.listen().gossip, told.clone()));
         }
         // Between two watches there is none for a moment.
         let idle = async || {
             for _ in 0..30 {
-                if 0 < world.store.watches() {
+                if 0 < world.store.pending_watches() {
                     return false;
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/entry_log.rs
+++ b/tests/entry_log.rs
@@ -9,7 +9,7 @@
 use lavenderplank::{
     base::{ErrorKind, Ran},
     event_log::{AttemptEnd, End, Event},
-    platform::standin::Conduct,
+    platform::standin::ResponseMode,
 };
 use serde_json::json;
 use support::{Ask, World, booking, read, run, until};
@@ -35,7 +35,7 @@
         assert_matches!(&good[3], Event::Answered { end: End::Served, sent: 1, status: 200, .. });
         assert_eq!(good.len(), 4, "{good:?}");
 
-        world.targets[0].then(&[Conduct::Reset]);
+        world.targets[0].queue_responses(&[ResponseMode::Reset]);
         world.ask(&host, booking("lost")).await.expect("an answer");
         let lost = world.events.of("lost");
         assert_matches!(&lost[2], Event::AttemptEnded { end: AttemptEnd::Lost, .. });
@@ -80,7 +80,7 @@
     run(async {
         let world = World::spawn(ONE).await;
         let host = world.host("a").await;
-        world.targets[0].then(&[Conduct::Hang]);
+        world.targets[0].queue_responses(&[ResponseMode::Hang]);
         let asked = tokio::time::timeout(Duration::from_millis(200), world.ask(&host, read("r-1")));
         assert!(asked.await.is_err(), "the target is silent");
         until("the leaving is told", async || {
--- a/tests/entry_store.rs
+++ b/tests/entry_store.rs
@@ -23,8 +23,12 @@
 fn an_old_first_listing_is_caught_up_with() {
     run(async {
         let world = World::spawn(TWO).await;
-        world.store.lag();
-        world.store.put("servers", world.targets[0].id(), world.targets[0].entry("draining", 2));
+        world.store.freeze_stale_reads();
+        world.store.put(
+            "servers",
+            world.targets[0].id(),
+            world.targets[0].store_entry("draining", 2),
+        );
         world.store.put("config", "main", config_with(2, "elsewhere", json!([])));
         let host = world.host("a").await;
         let status = async || world.ask(&host, read("r-1")).await.expect("an answer").status();
@@ -44,7 +48,7 @@
         for name in ["a", "b", "c"] {
             hosts.push(world.host(name).await);
         }
-        let records = || world.store.count("lavenderplank-hosts");
+        let records = || world.store.object_count("lavenderplank-hosts");
         let heard = |host: &str| {
             let host = HostId::from(host);
             world
--- a/tests/support/entry.rs
+++ b/tests/support/entry.rs
@@ -14,7 +14,7 @@
     event_log::{Event, EventSink, RequestKey},
     platform::{
         ObjectStore, PlatformProtocol,
-        standin::{StoreStandin, TargetDraft, TargetStandin, loopback_settings},
+        standin::{StoreStandin, TargetIdentity, TargetStandin, loopback_settings},
     },
 };
 use reqwest::{Method, Response};
@@ -89,7 +89,7 @@
         const IDS: [&str; 4] = ["t-1", "t-2", "t-3", "t-4"];
         let mut targets = Vec::new();
         for (id, zone) in IDS.into_iter().zip(zones) {
-            let draft = TargetDraft { id, service: "desk", zone };
+            let draft = TargetIdentity { id, service: "desk", zone };
             targets.push(TargetStandin::spawn(draft).await.expect("loopback has free ports"));
         }
         let store = StoreStandin::spawn().await.expect("loopback has free ports");
@@ -100,7 +100,7 @@
     /// Writes all targets' entries.
     pub fn enlist(&self) {
         for target in &self.targets {
-            self.store.put("servers", target.id(), target.entry("ready", 1));
+            self.store.put("servers", target.id(), target.store_entry("ready", 1));
         }
     }
 
@@ -113,7 +113,7 @@
 
     /// A host that may not serve yet.
     pub async fn host_of(&self, settings: EntrySettings) -> EntryHost {
-        let store = Arc::new(ObjectStore::open(settings.store).expect("a client"));
+        let store = Arc::new(ObjectStore::new(settings.store).expect("a client"));
         let (clock, protocol) = (Arc::new(BootClock), Arc::new(PlatformProtocol));
         let events = self.events.clone();
         EntryHost::spawn(EntryParts { clock, events, protocol, settings, store })
@@ -144,7 +144,7 @@
 
     /// Requests that any target got, but for those of health.
     pub fn arrivals(&self) -> usize {
-        self.targets.iter().map(|target| target.seen().len()).sum()
+        self.targets.iter().map(|target| target.received().len()).sum()
     }
 }
 
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use lavenderplank::{entry::EntryHost, platform::standin::Conduct};
+use lavenderplank::{entry::EntryHost, platform::standin::ResponseMode};
 use serde_json::{Value, json};
 use support::{Ask, HOST, World, booking, config, read, run, settings, until};
 use tokio::{
@@ -37,7 +37,7 @@
     world.store.put("config", "main", teams(1, &["k-old"]));
     world.enlist();
     let host = world.host("a").await;
-    until("the host watches the store", async || 0 < world.store.watches()).await;
+    until("the host watches the store", async || 0 < world.store.pending_watches()).await;
     world.store.put("config", "main", teams(2, keys));
     until("unknown keys are rejected permanently", async || {
         ask(&world, &host, read("probe"), &["none"]).await == 401
@@ -68,7 +68,7 @@
         for keys in [&[][..], &["k-old"], &["k-lyra", "k-lyra"], &["k-vega", "k-lyra"]] {
             assert_eq!(ask(&world, &host, booking("b-2"), keys).await, 401, "{keys:?}");
         }
-        let seen = world.targets[0].seen();
+        let seen = world.targets[0].received();
         let teams: Vec<_> = seen.iter().map(|seen| seen.team.as_deref()).collect();
         assert_eq!(teams, [Some("lyra"), Some("vega")]);
         assert!(seen.iter().all(|seen| !seen.has_key));
@@ -103,7 +103,7 @@
         .await;
         let statuses: Vec<&str> = got.split("HTTP/1.1 ").skip(1).map(|text| &text[..3]).collect();
         assert_eq!(statuses, ["200", "200", "401", "200", "200"]);
-        let mut seen: Vec<_> = world.targets[0].seen();
+        let mut seen: Vec<_> = world.targets[0].received();
         seen.retain(|seen| seen.path != "/reads/one?page=2");
         seen.sort_by(|a, b| a.path.cmp(&b.path));
         let teams: Vec<_> = seen.iter().filter_map(|seen| seen.team.as_deref()).collect();
@@ -143,7 +143,7 @@
 fn requests_are_not_retried_after_key_revocation() {
     run(async {
         let (world, host) = world_of(&["north-a", "north-b"], &["k-lyra"]).await;
-        world.targets.iter().for_each(|target| target.then(&[Conduct::Hang]));
+        world.targets.iter().for_each(|target| target.queue_responses(&[ResponseMode::Hang]));
         let runs = world.arrivals();
         let request = async {
             let late = Ask { time_left: 2_000, ..read("r-1") };
@@ -166,11 +166,11 @@
         let world = World::bare(&["north-a"]).await;
         world.store.put("config", "main", teams(1, &["k-lyra"]));
         world.enlist();
-        world.store.lag();
+        world.store.freeze_stale_reads();
         let host = world.host("a").await;
         assert_eq!(ask(&world, &host, read("r-1"), &["k-new"]).await, 503);
         assert_eq!(ask(&world, &host, read("r-2"), &["k-lyra"]).await, 200);
-        until("the host watches the store", async || 0 < world.store.watches()).await;
+        until("the host watches the store", async || 0 < world.store.pending_watches()).await;
         world.store.put("config", "main", teams(2, &["k-lyra", "k-new"]));
         until("the new key is known", async || {
             ask(&world, &host, read("r-3"), &["k-new"]).await == 200
