--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -198,7 +198,7 @@
         (host, answer.and_then(|status| status.sequence))
     });
     for (host, sequence) in futures::future::join_all(asked).await {
-        in_force.add(&host.zone, &host.id, sequence);
+        in_force.record(&host.zone, &host.id, sequence);
     }
     in_force
 }
--- a/src/manifest/accept.rs
+++ b/src/manifest/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting a manifest: one conditional update of the member's head decides.
+//! Publishes a manifest on the platform by one conditional write of the member's head object.
 
 use ed25519_dalek::VerifyingKey;
 
@@ -14,10 +14,10 @@
     },
 };
 
-/// Result of an attempt at acceptance.
+/// Result of `accept` or `preview`.
 pub type Result<T> = std::result::Result<T, AcceptError>;
 
-/// A signed manifest and the parts that it names.
+/// A signed manifest with the client-block parts that it refers to.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
@@ -27,24 +27,24 @@
     pub signed: SignedManifest,
 }
 
-/// How an attempt ended well.
+/// Outcome of a successful `accept`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AcceptOutcome {
-    /// It is the accepted one now.
+    /// The manifest was accepted.
     Accepted { change: ManifestDiff, version: Version },
-    /// It was the accepted one already: nothing was changed.
+    /// It was already the accepted one; nothing was written.
     Unchanged,
-    /// It was accepted, and a later one has replaced it since.
+    /// It was accepted, and a later one has replaced it since then.
     Superseded { by: Sequence },
 }
 
-/// Why a manifest was not accepted. Nothing in force changed.
+/// Why a manifest was not accepted. Unless the variant says otherwise, nothing in force changed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum AcceptError {
-    #[error("it would break {} limits: {}", .0.breaches.len(), breaches(.0))]
+    #[error("the change would exceed {} limits: {}", .0.breaches.len(), describe_breaches(.0))]
     LimitsExceeded(ManifestDiff),
     #[error(
-        "another pipeline was faster: sequence {accepted} is accepted now; build on it and try again"
+        "sequence {accepted} from another pipeline was accepted first; build on it and try again"
     )]
     Conflict { accepted: Sequence },
     #[error("sequence {accepted} is accepted already; give this one a higher sequence")]
@@ -55,18 +55,19 @@
     Refused(#[from] ManifestError),
     #[error("the manifest is larger than one object; give its client blocks with `sign --blocks`")]
     TooLarge,
-    #[error("no answer came and it can't be told whether it was accepted; apply it again")]
+    #[error("no response to the write: it is unknown whether it was accepted; apply it again")]
     OutcomeUnknown,
 }
 
-/// The accepted manifest, as found on the platform.
+/// The accepted manifest as stored on the platform.
 struct AcceptedState {
     head: Option<Head>,
     manifest: Option<Manifest>,
     object: Option<Versioned>,
 }
 
-/// Verifies, compares and, unless a limit breaks, writes parts first and the head last.
+/// Verifies the proposal, compares it with the accepted manifest and, unless a limit is exceeded,
+/// writes the parts first and the head last.
 pub async fn accept(
     platform: &dyn Platform,
     proposal: &Proposal,
@@ -74,26 +75,26 @@
     loads: &LoadShares,
 ) -> Result<AcceptOutcome> {
     let manifest = verified(proposal, key)?;
-    let held = read_accepted(platform, &proposal.member, key).await?;
-    if is_same(&held, &proposal.signed) {
+    let accepted = read_accepted(platform, &proposal.member, key).await?;
+    if is_same(&accepted, &proposal.signed) {
         return Ok(AcceptOutcome::Unchanged);
     }
-    let change = check_change(&held, &manifest, loads)?;
+    let change = check_change(&accepted, &manifest, loads)?;
     let operation = new_operation();
-    let done = Acceptance {
+    let acceptance = Acceptance {
         digest: proposal.signed.digest(),
         operation: operation.clone(),
         sequence: manifest.sequence,
     };
-    let head = Head::next(held.head.as_ref(), proposal.signed.clone(), done);
+    let head = Head::next(accepted.head.as_ref(), proposal.signed.clone(), acceptance);
     let value = head.encode().ok_or(AcceptError::TooLarge)?;
-    write_parts(platform, proposal, &held).await?;
+    write_parts(platform, proposal, &accepted).await?;
     let head_key = Head::key(&proposal.member);
-    let expect = Expect::unchanged(held.object.as_ref());
+    let expect = Expect::unchanged(accepted.object.as_ref());
     match put_settled(platform, &head_key, expect, value, operation.clone()).await {
         Ok(Settled::Written(version)) => {
-            // What is left over costs room only: a failure here is made good by the next one.
-            let _ = delete_unused_parts(platform, &proposal.member, &head, &held).await;
+            // Leftover parts only cost storage; the next accepted manifest deletes them.
+            let _ = delete_unused_parts(platform, &proposal.member, &head, &accepted).await;
             Ok(AcceptOutcome::Accepted { change, version })
         }
         Ok(Settled::Conflict { current, uncertain }) => {
@@ -106,7 +107,7 @@
     }
 }
 
-/// What `accept` would change; writes nothing.
+/// Returns what `accept` would change; writes nothing.
 pub async fn preview(
     platform: &dyn Platform,
     proposal: &Proposal,
@@ -114,25 +115,30 @@
     loads: &LoadShares,
 ) -> Result<ManifestDiff> {
     let manifest = verified(proposal, key)?;
-    let held = read_accepted(platform, &proposal.member, key).await?;
-    if is_same(&held, &proposal.signed) {
+    let accepted = read_accepted(platform, &proposal.member, key).await?;
+    if is_same(&accepted, &proposal.signed) {
         return Ok(ManifestDiff::default());
     }
-    check_change(&held, &manifest, loads)
+    check_change(&accepted, &manifest, loads)
 }
 
 fn verified(proposal: &Proposal, key: &VerifyingKey) -> Result<Manifest> {
-    let head = proposal.signed.verify(&proposal.member, key)?;
-    Ok(proposal.signed.assemble(head, &proposal.parts)?)
+    let manifest = proposal.signed.verify(&proposal.member, key)?;
+    Ok(proposal.signed.assemble(manifest, &proposal.parts)?)
 }
 
-fn is_same(held: &AcceptedState, signed: &SignedManifest) -> bool {
-    let digest = held.head.as_ref().map(|head| head.signed.digest());
-    held.manifest.is_some() && digest == Some(signed.digest())
+fn is_same(accepted: &AcceptedState, signed: &SignedManifest) -> bool {
+    let digest = accepted.head.as_ref().map(|head| head.signed.digest());
+    accepted.manifest.is_some() && digest == Some(signed.digest())
 }
 
-fn check_change(held: &AcceptedState, new: &Manifest, loads: &LoadShares) -> Result<ManifestDiff> {
-    let Some(old) = &held.manifest else { return Ok(ManifestDiff::default()) };
+/// Compares `new` with the accepted manifest and checks its sequence and the limits.
+fn check_change(
+    accepted: &AcceptedState,
+    new: &Manifest,
+    loads: &LoadShares,
+) -> Result<ManifestDiff> {
+    let Some(old) = &accepted.manifest else { return Ok(ManifestDiff::default()) };
     if new.sequence < old.sequence {
         return Err(AcceptError::Older { accepted: old.sequence });
     }
@@ -143,47 +149,47 @@
     if change.breaches.is_empty() { Ok(change) } else { Err(AcceptError::LimitsExceeded(change)) }
 }
 
-/// Reads the accepted manifest. What does not verify was not put there by the member's pipeline:
-/// it counts as absent, so that a rival's garbage can't keep the member from its own settings.
+/// Reads the accepted manifest. An object that does not verify was not written by the member's
+/// pipeline. It is treated as absent, so that it can't block the member's next manifest.
 async fn read_accepted(
     platform: &dyn Platform,
     member: &MemberId,
     key: &VerifyingKey,
 ) -> Result<AcceptedState> {
     let object = platform.get(&Head::key(member)).await?;
-    let mut held = AcceptedState { head: None, manifest: None, object };
-    let Some(head) = held.object.as_ref().and_then(|object| Head::decode(&object.value)) else {
-        return Ok(held);
+    let mut accepted = AcceptedState { head: None, manifest: None, object };
+    let Some(head) = accepted.object.as_ref().and_then(|object| Head::decode(&object.value)) else {
+        return Ok(accepted);
     };
-    let Ok(manifest) = head.signed.verify(member, key) else { return Ok(held) };
+    let Ok(manifest) = head.signed.verify(member, key) else { return Ok(accepted) };
     let parts = fetch_parts(platform, member, &head.signed.parts).await?;
-    // Without its parts the old manifest still has a sequence and limits to compare with.
-    let whole = head.signed.assemble(manifest.clone(), &parts);
-    held.manifest = Some(whole.unwrap_or(manifest));
-    held.head = Some(head);
-    Ok(held)
+    // Without its parts the accepted manifest still has a sequence and limits to compare with.
+    let assembled = head.signed.assemble(manifest.clone(), &parts);
+    accepted.manifest = Some(assembled.unwrap_or(manifest));
+    accepted.head = Some(head);
+    Ok(accepted)
 }
 
-/// Writes each part that the accepted head does not name, also one that is there already: the write
-/// raises its version, which keeps another pipeline's clean-up from removing it (see `delete_unused_parts`).
+/// Writes each part that the accepted head does not refer to, even if it already exists: the write
+/// raises its version, which protects it from another pipeline's `delete_unused_parts`.
 async fn write_parts(
     platform: &dyn Platform,
     proposal: &Proposal,
-    held: &AcceptedState,
+    accepted: &AcceptedState,
 ) -> Result<()> {
-    let named = held.head.as_ref().map(|head| &head.signed.parts[..]).unwrap_or_default();
+    let referenced = accepted.head.as_ref().map(|head| &head.signed.parts[..]).unwrap_or_default();
     for part in &proposal.parts {
         let key = Head::part_key(&proposal.member, &part.id());
         let found = platform.get(&key).await?;
         let value = bytes::Bytes::copy_from_slice(part.text.as_bytes());
-        let is_whole = found.as_ref().is_some_and(|object| object.value == value);
-        if is_whole && named.contains(&part.id()) {
+        let is_intact = found.as_ref().is_some_and(|object| object.value == value);
+        if is_intact && referenced.contains(&part.id()) {
             continue;
         }
         let expect = Expect::unchanged(found.as_ref());
         match put_settled(platform, &key, expect, value.clone(), new_operation()).await? {
             Settled::Written(_) => {}
-            // The content is in the name: whoever wrote it, it is the same, or it is garbage.
+            // The id is a hash of the content, so an equal value is the same part whoever wrote it.
             Settled::Conflict { current: Some(current), .. } if current.value == value => {}
             Settled::Conflict { .. } => {
                 return Err(AcceptError::Refused(ManifestError::PartsMismatch));
@@ -193,26 +199,27 @@
     Ok(())
 }
 
-/// Removes parts that neither the new nor the replaced head names and that are older than the
+/// Deletes parts that neither the new nor the replaced head refers to and that are older than the
 /// replaced head.
 ///
-/// Safe against a pipeline that has written its parts and not yet its head: it read the head first
-/// and wrote the parts after, so parts older than the replaced head belong to an attempt whose own
-/// conditional update can only fail. Readers of the replaced head still find its parts; readers of
-/// an older one find some missing and read the head again.
+/// Safe against a concurrent pipeline that has written its parts but not yet its head: it reads the
+/// head before it writes the parts, so parts older than the replaced head belong to an attempt
+/// whose conditional write can only fail. Readers of the replaced head still find its parts;
+/// readers of an older head find some missing and read the head again.
 async fn delete_unused_parts(
     platform: &dyn Platform,
     member: &MemberId,
     head: &Head,
     replaced: &AcceptedState,
 ) -> crate::store::Result<()> {
-    let Some(before) = &replaced.object else { return Ok(()) };
-    let kept = replaced.head.as_ref().map(|head| &head.signed.parts[..]).unwrap_or_default();
+    let Some(replaced_head) = &replaced.object else { return Ok(()) };
+    let replaced_ids =
+        replaced.head.as_ref().map(|head| &head.signed.parts[..]).unwrap_or_default();
     let prefix = Head::parts_prefix(member);
     for found in platform.keys(&prefix).await? {
         let id: PartId = found.key[prefix.len()..].into();
-        let is_named = head.signed.parts.contains(&id) || kept.contains(&id);
-        if !is_named && found.version < before.version {
+        let is_referenced = head.signed.parts.contains(&id) || replaced_ids.contains(&id);
+        if !is_referenced && found.version < replaced_head.version {
             let expect = Expect::Version(found.version);
             match platform.delete(&found.key, expect, new_operation()).await {
                 Ok(_) | Err(PlatformError::Conflict { .. }) => {}
@@ -223,6 +230,8 @@
     Ok(())
 }
 
+/// Decides how the attempt ended after a conditional write found another head. If the result of the
+/// write is uncertain, the history of that head tells whether it took effect.
 fn resolve_conflict(
     current: Option<Versioned>,
     uncertain: bool,
@@ -239,7 +248,7 @@
     Err(AcceptError::Conflict { accepted })
 }
 
-fn breaches(change: &ManifestDiff) -> String {
+fn describe_breaches(change: &ManifestDiff) -> String {
     let breaches: Vec<String> = change.breaches.iter().map(ToString::to_string).collect();
     breaches.join("; ")
 }
--- a/src/manifest/blocks.rs
+++ b/src/manifest/blocks.rs
@@ -1,4 +1,4 @@
-//! Client blocks of a manifest, in parts that manifests share.
+//! Client blocks of a manifest, in parts that several manifests can share.
 
 use crate::{
     lookup::{BlockError, BlockPart, BlockTable},
@@ -7,45 +7,44 @@
 
 use super::ClientBlock;
 
-/// Where callers live. A clone, or the blocks of a manifest that changes one part, shares the other
-/// parts: at 770,000 blocks a second copy would be a third of what a host may hold.
+/// Client blocks with their home regions. Clones share all parts, and successive manifests share
+/// the parts that did not change: at 770,000 blocks a second copy would take a third of a host's
+/// memory limit.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Vec<ClientBlock>")]
 pub struct ClientBlocks {
-    /// As the manifest's text lists them.
+    /// Blocks in the manifest's text, in its order.
     listed: Arc<[ClientBlock]>,
     table: Arc<BlockTable>,
 }
 
 impl ClientBlocks {
-    /// The same list with these parts in place of the former ones.
+    /// Returns the listed blocks with `parts` in place of the current parts.
     pub fn with_parts(&self, parts: &[Arc<BlockPart>]) -> Result<Self, BlockError> {
         let table = Arc::new(self.table.with_parts(parts)?);
         Ok(Self { listed: self.listed.clone(), table })
     }
 
-    /// The blocks that stand in the manifest's text, as it lists them.
+    /// Blocks in the manifest's text, in its order.
     pub fn listed(&self) -> &[ClientBlock] {
         &self.listed
     }
 
-    /// All blocks: those of the text first, then the parts, ascending.
+    /// All blocks: first those in the text, then those of the parts in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = ClientBlock> + '_ {
         let parts = self.table.parts().skip(1).flat_map(|part| part.iter());
         self.listed.iter().cloned().chain(parts)
     }
 
-    /// The table that finds a caller's home.
+    /// Lookup table from a client address to its home region.
     pub fn table(&self) -> &Arc<BlockTable> {
         &self.table
     }
 
-    /// Number of blocks.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -65,8 +64,8 @@
 }
 
 impl PartialEq for ClientBlocks {
-    // A host compares its view at each tick: parts that are shared are equal without a look at
-    // hundreds of thousands of blocks.
+    // A host compares its view at each tick. Shared parts are equal without comparing hundreds of
+    // thousands of blocks.
     fn eq(&self, other: &Self) -> bool {
         if self.listed == other.listed && self.table.shares_parts(&other.table) {
             return true;
--- a/src/manifest/change.rs
+++ b/src/manifest/change.rs
@@ -1,8 +1,9 @@
-//! What would change between two manifests, held against the caps and the regions' headroom.
+//! Difference between two manifests, checked against the caps and the regions' headroom.
 //!
-//! The load of a region is taken as a share of the slots it had before. Work that its own slots can
-//! no longer hold is served elsewhere: that share is held against the service's cap, and the work
-//! against the other regions' slots less their reserve and their own callers' work.
+//! The load of a region is given as a share of its slots in the old manifest. Load that exceeds its
+//! slots in the new manifest is served by other regions. Its share must not exceed the service's
+//! shift cap, and the load must fit in the other regions' slots minus their reserve and the load of
+//! their own clients.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -11,21 +12,21 @@
 use super::{DrainScope, Manifest, Service, Share};
 use crate::prelude::*;
 
-/// LoadShare that is assumed where none is given, as a share of a region's slots.
+/// Load assumed where none is given, as a share of a region's slots.
 pub const DEFAULT_LOAD: Share = 0.5;
 
-/// Rounding must not turn a share that equals its cap into a breach.
+/// Keeps rounding errors from turning a share that equals its cap into a breach.
 const TOLERANCE: f64 = 1e-9;
 
-/// LoadShare of each region and service, as a share of its slots.
+/// Load of each service in each region, as a share of its slots.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadShares {
     pub entries: Vec<LoadShare>,
-    /// Where none is known.
+    /// Load of regions and services without an entry.
     pub default: Share,
 }
 
-/// LoadShare of one service in one region.
+/// Load of one service in one region, as a share of its slots.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadShare {
     pub region: RegionId,
@@ -33,47 +34,50 @@
     pub share: Share,
 }
 
-/// Share of a region's own traffic of a service that would be served elsewhere.
+/// How much of a region's own traffic of a service other regions would serve.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TrafficMove {
-    /// Share of the home's callers that become callers of another region.
+    /// Share of the home region's clients that get another home region.
     pub rehomed: Share,
+    /// Shift cap of the service.
     pub cap: Share,
     pub home: RegionId,
+    /// Share of the home region's traffic that other regions would serve, `rehomed` included.
     pub moved: Share,
     pub service: ServiceId,
-    /// Usable slots in the home region.
+    /// Slots in the home region that are not drained.
     pub slots_after: u64,
     pub slots_before: u64,
 }
 
-/// Why a change is refused.
+/// A limit that the change would exceed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Breach {
-    /// More than the cap would be served elsewhere.
+    /// Other regions would serve a larger share of the traffic than the cap allows.
     Cap { cap: Share, home: RegionId, moved: Share, service: ServiceId },
-    /// Own callers and work from elsewhere together would need more slots than there are.
+    /// Load that would shift needs more slots than the other regions have free.
     Headroom { needed: f64, room: f64, service: ServiceId },
-    /// A region's own callers would need more slots than it has.
+    /// A region's own clients would need more slots than it has.
     Overfilled { needed: f64, region: RegionId, service: ServiceId, slots: u64 },
 }
 
-/// What a manifest would change.
+/// Effects of replacing one manifest by another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ManifestDiff {
     pub breaches: Vec<Breach>,
     pub moves: Vec<TrafficMove>,
+    /// Other differences, as text for operators.
     pub notes: Vec<Arc<str>>,
 }
 
 impl LoadShares {
-    /// The same load everywhere.
+    /// The same load for every region and service.
     pub fn uniform(share: Share) -> Self {
         Self { entries: Vec::new(), default: share }
     }
 
-    fn of(&self, region: &str, service: &str) -> Share {
+    fn get(&self, region: &str, service: &str) -> Share {
         let matches = |load: &&LoadShare| &*load.region == region && &*load.service == service;
         self.entries.iter().find(matches).map_or(self.default, |load| load.share)
     }
@@ -84,19 +88,19 @@
         match self {
             Breach::Cap { cap, home, moved, service } => write!(
                 f,
-                "{service}: {:.1} % of {home}'s traffic would be served elsewhere, its cap is \
-                 {:.1} %; take it in smaller steps or raise shift_cap",
+                "{service}: {:.1} % of {home}'s traffic would be served by other regions, the cap \
+                 is {:.1} %; change it in smaller steps or raise shift_cap",
                 100.0 * moved,
                 100.0 * cap
             ),
             Breach::Headroom { needed, room, service } => write!(
                 f,
-                "{service}: {needed:.1} slots of work would move, the other regions have room for \
-                 {room:.1}; add targets or take it in smaller steps"
+                "{service}: {needed:.1} slots of load would shift, the other regions have room for \
+                 {room:.1}; add targets or change it in smaller steps"
             ),
             Breach::Overfilled { needed, region, service, slots } => write!(
                 f,
-                "{service}: callers that become {region}'s would need {needed:.1} slots, it has \
+                "{service}: clients of {region} would need {needed:.1} slots, the region has \
                  {slots}; add targets or move fewer client blocks"
             ),
         }
@@ -118,45 +122,59 @@
     }
 }
 
-/// Compares two manifests at the assumed load.
+/// Compares two manifests at the default load.
 pub fn diff(old: &Manifest, new: &Manifest) -> ManifestDiff {
     diff_with_loads(old, new, &LoadShares::uniform(DEFAULT_LOAD))
 }
 
 /// Compares two manifests at the given loads.
 pub fn diff_with_loads(old: &Manifest, new: &Manifest, loads: &LoadShares) -> ManifestDiff {
-    let mut change = ManifestDiff { notes: notes(old, new), ..ManifestDiff::default() };
-    let rehomed = HomeChanges::between(old, new);
+    let mut change =
+        ManifestDiff { notes: describe_differences(old, new), ..ManifestDiff::default() };
+    let home_changes = HomeChanges::between(old, new);
     for service in &new.services {
         if let Some(before) = old.service(&service.name) {
-            judge(&mut change, &Comparison { loads, new, old, rehomed: &rehomed }, before, service);
+            compare_service(
+                &mut change,
+                &Comparison { loads, new, old, home_changes: &home_changes },
+                before,
+                service,
+            );
         }
     }
     change
 }
 
+/// Inputs of the comparison that are the same for all services.
 struct Comparison<'a> {
     loads: &'a LoadShares,
     new: &'a Manifest,
     old: &'a Manifest,
-    rehomed: &'a HomeChanges,
+    home_changes: &'a HomeChanges,
 }
 
-fn judge(change: &mut ManifestDiff, sides: &Comparison<'_>, before: &Service, after: &Service) {
+/// Adds the moves and breaches of one service to `change`.
+fn compare_service(
+    change: &mut ManifestDiff,
+    comparison: &Comparison<'_>,
+    before: &Service,
+    after: &Service,
+) {
     let service = &after.name;
-    let demands = sides.demands(before);
-    let (mut moving, mut room) = (0.0, 0.0);
+    let demands = comparison.demands(before);
+    let (mut shifted_slots, mut room) = (0.0, 0.0);
     for (home, demand) in &demands {
-        let slots_before = usable_slots(sides.old, before, home);
-        let slots_after = usable_slots(sides.new, after, home);
-        let rehomed = sides.rehomed.leaving(home);
-        let excess = (demand.now - slots_after as f64).max(0.0);
-        let stays = if demand.now == 0.0 { 0.0 } else { excess / demand.now };
-        let moved = rehomed + (1.0 - rehomed) * stays;
-        let grown = demand.before + TOLERANCE < demand.now;
-        if grown && slots_after as f64 + TOLERANCE < demand.now && slots_before <= slots_after {
+        let slots_before = usable_slots(comparison.old, before, home);
+        let slots_after = usable_slots(comparison.new, after, home);
+        let rehomed = comparison.home_changes.share_leaving(home);
+        let excess = (demand.after - slots_after as f64).max(0.0);
+        let overflow = if demand.after == 0.0 { 0.0 } else { excess / demand.after };
+        let moved = rehomed + (1.0 - rehomed) * overflow;
+        let has_grown = demand.before + TOLERANCE < demand.after;
+        if has_grown && slots_after as f64 + TOLERANCE < demand.after && slots_before <= slots_after
+        {
             let region = home.clone();
-            let (needed, slots) = (demand.now, slots_after);
+            let (needed, slots) = (demand.after, slots_after);
             change.breaches.push(Breach::Overfilled {
                 needed,
                 region,
@@ -181,50 +199,51 @@
                 slots_before,
             });
         }
-        let reserve = sides.new.regions.iter().find(|region| region.name == *home);
+        let reserve = comparison.new.regions.iter().find(|region| region.name == *home);
         let reserve = reserve.map_or(0.0, |region| region.reserve);
-        moving += excess;
-        room += (slots_after as f64 * (1.0 - reserve) - demand.now).max(0.0);
+        shifted_slots += excess;
+        room += (slots_after as f64 * (1.0 - reserve) - demand.after).max(0.0);
     }
-    if room + TOLERANCE < moving {
-        let (needed, service) = (moving, service.clone());
+    if room + TOLERANCE < shifted_slots {
+        let (needed, service) = (shifted_slots, service.clone());
         change.breaches.push(Breach::Headroom { needed, room, service });
     }
 }
 
-/// Slots that a region's callers keep busy.
+/// Slots that a region's own clients use.
 struct Demand {
     before: f64,
-    now: f64,
+    after: f64,
 }
 
 impl Comparison<'_> {
+    /// Demand of each region before and after the change of home regions.
     fn demands(&self, before: &Service) -> BTreeMap<RegionId, Demand> {
         let mut demands = BTreeMap::new();
         for region in self.old.regions.iter().chain(&self.new.regions) {
             let slots = usable_slots(self.old, before, &region.name) as f64;
-            let busy = slots * self.loads.of(&region.name, &before.name);
-            demands.insert(region.name.clone(), Demand { before: busy, now: busy });
+            let busy = slots * self.loads.get(&region.name, &before.name);
+            demands.insert(region.name.clone(), Demand { before: busy, after: busy });
         }
-        for flow in &self.rehomed.flows {
-            let work = demands.get(&flow.from).map_or(0.0, |demand| demand.before) * flow.share;
+        for flow in &self.home_changes.flows {
+            let slots = demands.get(&flow.from).map_or(0.0, |demand| demand.before) * flow.share;
             if let Some(demand) = demands.get_mut(&flow.from) {
-                demand.now -= work;
+                demand.after -= slots;
             }
             if let Some(demand) = demands.get_mut(&flow.to) {
-                demand.now += work;
+                demand.after += slots;
             }
         }
         demands
     }
 }
 
-/// Client blocks that changed their home region.
+/// Changes of home regions between two manifests.
 struct HomeChanges {
     flows: Vec<Flow>,
 }
 
-/// Share of a region's callers (by number of its blocks) that go to another.
+/// Share of a region's clients, by number of client blocks, that get another home region.
 struct Flow {
     from: RegionId,
     share: Share,
@@ -233,12 +252,12 @@
 
 impl HomeChanges {
     fn between(old: &Manifest, new: &Manifest) -> Self {
-        let now: BTreeMap<IpNet, RegionId> =
+        let new_homes: BTreeMap<IpNet, RegionId> =
             new.client_blocks.iter().map(|block| (block.block, block.home)).collect();
         let mut totals: BTreeMap<RegionId, f64> = BTreeMap::new();
         let mut moved: BTreeMap<(RegionId, RegionId), f64> = BTreeMap::new();
         for block in old.client_blocks.iter() {
-            let new_home = now.get(&block.block).filter(|home| **home != block.home);
+            let new_home = new_homes.get(&block.block).filter(|home| **home != block.home);
             if let Some(new_home) = new_home {
                 *moved.entry((block.home.clone(), new_home.clone())).or_default() += 1.0;
             }
@@ -251,7 +270,8 @@
         Self { flows: moved.into_iter().map(flow).collect() }
     }
 
-    fn leaving(&self, home: &str) -> Share {
+    /// Share of the region's clients that get another home region.
+    fn share_leaving(&self, home: &str) -> Share {
         self.flows.iter().filter(|flow| &*flow.from == home).map(|flow| flow.share).sum()
     }
 }
@@ -273,8 +293,8 @@
         .sum()
 }
 
-/// What else changes, in words.
-fn notes(old: &Manifest, new: &Manifest) -> Vec<Arc<str>> {
+/// Describes differences other than load shifts, for operators.
+fn describe_differences(old: &Manifest, new: &Manifest) -> Vec<Arc<str>> {
     let mut notes = Vec::new();
     let mut compare = |what: &str, before: BTreeSet<String>, after: BTreeSet<String>| {
         for name in after.difference(&before) {
--- a/src/manifest/check.rs
+++ b/src/manifest/check.rs
@@ -1,4 +1,4 @@
-//! What the types of a manifest can't express: ranges, names that are used once, names that exist.
+//! Semantic checks of a manifest: ranges, unique names, references to existing names.
 
 use std::collections::BTreeSet;
 
@@ -9,30 +9,30 @@
     yaml::{Finding, Step},
 };
 
-/// Longest attempt at a target, in milliseconds.
+/// Upper bound of a service's time limit for one attempt, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 10 * 60 * 1000;
 
-/// Largest request body that a service may allow, in bytes.
+/// Upper bound of a service's limit on request bodies.
 const MAX_REQUEST_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Most slots or connections of one target.
-const MAX_PER_TARGET: u32 = 100_000;
+/// Upper bound of the slots, and of the connections, of one target.
+const MAX_SLOTS_OR_CONNECTIONS: u32 = 100_000;
 
-/// Every problem of `manifest`, in its order.
+/// Returns every problem of `manifest`, in the order of its fields.
 pub(super) fn check(manifest: &Manifest) -> Vec<Finding> {
     check_with(manifest, manifest.client_blocks.listed())
 }
 
-/// As `check`, with `blocks` in place of the listed ones.
+/// Like `check`, but checks `blocks` in place of the blocks in the manifest's text.
 pub(super) fn check_with(manifest: &Manifest, blocks: &[ClientBlock]) -> Vec<Finding> {
-    let mut check = Checker { blocks, findings: Vec::new(), manifest };
-    check.head();
-    check.regions();
-    check.services();
-    check.blocks();
-    check.parts();
-    check.drains();
-    check.findings
+    let mut checker = Checker { blocks, findings: Vec::new(), manifest };
+    checker.top_level();
+    checker.regions();
+    checker.services();
+    checker.blocks();
+    checker.parts();
+    checker.drains();
+    checker.findings
 }
 
 struct Checker<'a> {
@@ -42,17 +42,21 @@
 }
 
 impl Checker<'_> {
-    fn head(&mut self) {
+    fn top_level(&mut self) {
         let manifest = self.manifest;
         self.check_name(&[Step::Key("member")], &manifest.member);
         if manifest.sequence == 0 {
-            self.report(&[Step::Key("sequence")], "is 0", "begin with 1 and let it rise");
+            self.report(
+                &[Step::Key("sequence")],
+                "is 0",
+                "start with 1 and increase it with each manifest",
+            );
         }
         if manifest.regions.is_empty() {
-            self.report(&[Step::Key("regions")], "names no region", "add at least one");
+            self.report(&[Step::Key("regions")], "lists no region", "add at least one");
         }
         if manifest.services.is_empty() {
-            self.report(&[Step::Key("services")], "names no service", "add at least one");
+            self.report(&[Step::Key("services")], "lists no service", "add at least one");
         }
     }
 
@@ -67,7 +71,7 @@
             self.check_share(&join(&path, &[Step::Key("reserve")]), region.reserve);
             if region.zones.is_empty() {
                 let zones = join(&path, &[Step::Key("zones")]);
-                self.report(&zones, "names no zone", "add at least one");
+                self.report(&zones, "lists no zone", "add at least one");
             }
             for (index, zone) in region.zones.iter().enumerate() {
                 let zone_path = join(&path, &[Step::Key("zones"), Step::Index(index)]);
@@ -92,17 +96,21 @@
                 let name = join(&path, &[Step::Key("name")]);
                 self.check_name(&name, &target.name);
                 self.check_unique(&mut targets, &target.name, &name, "target");
-                // Two targets at one address would have their slots counted twice: an overload.
+                // Two targets at one address would count its slots twice and overload it.
                 let address = join(&path, &[Step::Key("address")]);
                 self.check_unique(&mut addresses, &target.address, &address, "target address");
                 if target.address.port() == 0 {
                     self.report(&address, "has port 0", "give a port from 1 to 65535");
                 }
                 if target.address.ip().is_unspecified() || target.address.ip().is_multicast() {
-                    self.report(&address, "is not the address of one machine", "give its IP");
+                    self.report(
+                        &address,
+                        "is not the address of one machine",
+                        "give its IP address",
+                    );
                 }
                 let slots = join(&path, &[Step::Key("slots")]);
-                self.check_range(&slots, target.slots.into(), 1, MAX_PER_TARGET.into());
+                self.check_range(&slots, target.slots.into(), 1, MAX_SLOTS_OR_CONNECTIONS.into());
                 if self.manifest.region_of(&target.zone).is_none() {
                     let zone = join(&path, &[Step::Key("zone")]);
                     self.report_unknown(&zone, "zone", &target.zone);
@@ -113,7 +121,12 @@
 
     fn service(&mut self, path: &[Step], service: &Service) {
         let connections = join(path, &[Step::Key("connections")]);
-        self.check_range(&connections, service.connections.into(), 1, MAX_PER_TARGET.into());
+        self.check_range(
+            &connections,
+            service.connections.into(),
+            1,
+            MAX_SLOTS_OR_CONNECTIONS.into(),
+        );
         let max_body = join(path, &[Step::Key("max_body")]);
         self.check_range(&max_body, service.max_body, 0, MAX_REQUEST_BODY_BYTES);
         self.check_share(&join(path, &[Step::Key("shift_cap")]), service.shift_cap);
@@ -121,7 +134,7 @@
         self.check_range(&timeout, service.timeout_ms, 1, MAX_TIMEOUT_MS);
         if service.targets.is_empty() {
             let targets = join(path, &[Step::Key("targets")]);
-            self.report(&targets, "names no target", "add at least one");
+            self.report(&targets, "lists no target", "add at least one");
         }
     }
 
@@ -140,26 +153,26 @@
                 self.report(&field, "has bits set past its prefix", &fix);
             }
         }
-        // Hundreds of thousands of blocks come sorted: sorting them again costs one pass, where a
-        // set would cost a host a third of a second with every manifest.
+        // Hundreds of thousands of blocks arrive sorted, so sorting them takes one pass; inserting
+        // them into a set would take a host a third of a second per manifest.
         let mut order: Vec<usize> = (0..blocks.len()).collect();
         order.sort_by_key(|index| blocks[*index].block.trunc());
         for pair in order.windows(2) {
             if blocks[pair[0]].block.trunc() == blocks[pair[1]].block.trunc() {
                 let path = [Step::Key("client_blocks"), Step::Index(pair[1]), Step::Key("block")];
-                let wrong = format!("block {} is there twice", blocks[pair[1]].block);
-                self.report(&path, &wrong, "give it once");
+                let wrong = format!("block {} is listed twice", blocks[pair[1]].block);
+                self.report(&path, &wrong, "list it once");
             }
         }
     }
 
-    /// What a part holds was checked when it was read; which regions there are, the manifest says.
+    /// Checks only the regions: the blocks of a part were checked when it was decoded.
     fn parts(&mut self) {
         let manifest = self.manifest;
-        let known: BTreeSet<&str> = manifest.regions.iter().map(|region| &*region.name).collect();
-        let named = manifest.client_blocks.table().parts().skip(1);
-        let named: BTreeSet<&RegionId> = named.flat_map(|part| part.regions()).collect();
-        for region in named.into_iter().filter(|region| !known.contains(&***region)) {
+        let defined: BTreeSet<&str> = manifest.regions.iter().map(|region| &*region.name).collect();
+        let used = manifest.client_blocks.table().parts().skip(1);
+        let used: BTreeSet<&RegionId> = used.flat_map(|part| part.regions()).collect();
+        for region in used.into_iter().filter(|region| !defined.contains(&***region)) {
             self.report_unknown(&[Step::Key("client_blocks")], "region", region);
         }
     }
@@ -196,7 +209,7 @@
 
     fn check_name(&mut self, path: &[Step], name: &str) {
         if !is_name(name) {
-            self.report(path, "is no name", NAME_FIX);
+            self.report(path, "is not a valid name", NAME_FIX);
         }
     }
 
@@ -208,18 +221,18 @@
         what: &str,
     ) {
         if !seen.insert(name.clone()) {
-            self.report(path, &format!("{what} {name} is there twice"), "give it once");
+            self.report(path, &format!("{what} {name} is listed twice"), "list it once");
         }
     }
 
-    fn check_range(&mut self, path: &[Step], value: u64, least: u64, most: u64) {
-        if !(least..=most).contains(&value) {
-            self.report(path, &format!("is {value}"), &format!("give {least} to {most}"));
+    fn check_range(&mut self, path: &[Step], value: u64, min: u64, max: u64) {
+        if !(min..=max).contains(&value) {
+            self.report(path, &format!("is {value}"), &format!("give {min} to {max}"));
         }
     }
 
     fn check_share(&mut self, path: &[Step], share: Share) {
-        // Written so that NaN is refused too.
+        // Negated so that NaN is reported too.
         if !(0.0..=1.0).contains(&share) {
             let fix = "give a share from 0 to 1, such as 0.2 for 20 %";
             self.report(path, &format!("is {share}"), fix);
--- a/src/manifest/fetch.rs
+++ b/src/manifest/fetch.rs
@@ -1,4 +1,4 @@
-//! From the platform into a host's store.
+//! Reads manifests and their parts from the platform.
 
 use super::{Head, ManifestError, ManifestStore, OfferOutcome, Part, PartId};
 use crate::{
@@ -6,7 +6,8 @@
     store::{Platform, Result},
 };
 
-/// Reads the member's head and offers it, with the parts that it needs. `None` when there is none.
+/// Reads the member's head object and offers its manifest, with missing parts, to `store`. `None`
+/// if there is no head.
 pub async fn fetch(
     platform: &dyn Platform,
     member: &MemberId,
@@ -15,7 +16,7 @@
     let Some(object) = platform.get(&Head::key(member)).await? else { return Ok(None) };
     let Some(head) = Head::decode(&object.value) else {
         return Ok(Some(OfferOutcome::Refused(ManifestError::Invalid(
-            "the object is no head".into(),
+            "the platform's object is not a manifest head".into(),
         ))));
     };
     match store.offer(head.signed.clone()) {
@@ -29,7 +30,7 @@
     }
 }
 
-/// Reads the parts of those names, as far as the platform has them whole.
+/// Reads the parts with these ids, except those that are missing or whose content doesn't match.
 pub async fn fetch_parts(
     platform: &dyn Platform,
     member: &MemberId,
--- a/src/manifest/head.rs
+++ b/src/manifest/head.rs
@@ -1,4 +1,4 @@
-//! The object that says which manifest of a member is accepted.
+//! The head: the platform object that holds a member's accepted manifest.
 
 use bytes::Bytes;
 
@@ -8,64 +8,70 @@
     store::{MAX_VALUE, OperationId},
 };
 
-/// Acceptances that the head remembers: enough for a writer whose answer was lost to find its own
-/// among those that replaced it in the meantime.
+/// Length of the head's history: enough for a pipeline that lost the response to its write to find
+/// its operation, even after later manifests have replaced it.
 const MAX_HISTORY: usize = 32;
 
-/// One acceptance.
+/// Record of one accepted manifest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Acceptance {
+    /// `SignedManifest::digest`.
     pub digest: Arc<str>,
+    /// The write that made it the accepted one.
     pub operation: OperationId,
     pub sequence: Sequence,
 }
 
-/// The accepted manifest and the acceptances that led to it. Only `signed` is trusted by hosts.
+/// The accepted manifest and the latest accepted ones before it. Hosts trust only `signed`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
-    /// The latest last.
+    /// In order of acceptance, the current one last.
     pub history: Vec<Acceptance>,
     pub signed: SignedManifest,
 }
 
 impl Head {
-    /// Key of a member's head.
+    /// Platform key of a member's head.
     pub fn key(member: &str) -> String {
         format!("manifests/{member}")
     }
 
-    /// Begin of the keys of a member's parts.
+    /// Prefix of the platform keys of a member's parts.
     pub fn parts_prefix(member: &str) -> String {
         format!("manifest-parts/{member}/")
     }
 
-    /// Key of a part.
+    /// Platform key of a part.
     pub fn part_key(member: &str, id: &PartId) -> String {
         format!("{}{id}", Self::parts_prefix(member))
     }
 
-    /// `None` if the bytes are no head.
+    /// `None` if the bytes don't encode a head.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         serde_json::from_slice(bytes).ok()
     }
 
-    /// `None` if it is larger than the platform takes.
+    /// `None` if the head is larger than the platform's limit on values.
     pub fn encode(&self) -> Option<Bytes> {
         let bytes = serde_json::to_vec(self).ok()?;
         (bytes.len() <= MAX_VALUE).then(|| bytes.into())
     }
 
-    /// The head that follows this one, or the first one.
-    pub(super) fn next(before: Option<&Self>, signed: SignedManifest, done: Acceptance) -> Self {
-        let mut history = before.map(|head| head.history.clone()).unwrap_or_default();
-        history.push(done);
+    /// The successor of `previous`, or the first head.
+    pub(super) fn next(
+        previous: Option<&Self>,
+        signed: SignedManifest,
+        acceptance: Acceptance,
+    ) -> Self {
+        let mut history = previous.map(|head| head.history.clone()).unwrap_or_default();
+        history.push(acceptance);
         let excess = history.len().saturating_sub(MAX_HISTORY);
         history.drain(..excess);
         Self { history, signed }
     }
 
-    /// Whether the write of that operation was accepted, now or before.
+    /// Whether the write of this operation took effect, now or earlier in the history.
     pub fn has_accepted(&self, operation: &OperationId) -> bool {
-        self.history.iter().any(|done| done.operation == *operation)
+        self.history.iter().any(|accepted| accepted.operation == *operation)
     }
 }
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -1,7 +1,7 @@
-//! A member's declared intent: services, targets, limits, caps, client blocks, drains.
+//! Declarative configuration of a member: services, targets, limits, caps, client blocks, drains.
 //!
-//! The member's pipeline writes and signs it; every host verifies it for itself, and moves from one
-//! manifest to another only upwards. See `docs/design/control.md`.
+//! The member's deployment pipeline writes and signs it. Every host verifies it independently, and
+//! replaces the manifest in force only by one with a higher sequence. See `docs/design/control.md`.
 
 mod accept;
 mod blocks;
--- a/src/manifest/model.rs
+++ b/src/manifest/model.rs
@@ -1,20 +1,20 @@
-//! The manifest as data, one to one with its YAML.
+//! Data model of the manifest, with the structure of its YAML.
 
 use ipnet::IpNet;
 
 use super::ClientBlocks;
 use crate::prelude::*;
 
-/// A part of a whole, from 0 to 1.
+/// A fraction of a whole, from 0 to 1.
 pub type Share = f64;
 
-/// What a member weighs first when a target is chosen.
+/// What target selection optimizes for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Weighing {
-    /// Keep spare slots in every region.
+    /// Spare slots in every region.
     Headroom,
-    /// Answer fast.
+    /// Short response times.
     Latency,
 }
 
@@ -22,34 +22,34 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServiceKind {
-    /// Must run at most once; answers are held whole.
+    /// Must run at most once; responses are buffered completely.
     Booking,
-    /// Large repeatable read; answers are streamed.
+    /// Large idempotent read; responses are streamed.
     File,
-    /// Small repeatable read.
+    /// Small idempotent read.
     Read,
 }
 
 impl ServiceKind {
-    /// Whether a request may be sent to a second target after the first byte.
+    /// Whether a request may be sent to a second target although it may already have run.
     pub fn is_idempotent(self) -> bool {
         self != ServiceKind::Booking
     }
 }
 
-/// Declared intent of one member.
+/// Declarative configuration of one member.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// Where callers live: longest prefix wins.
+    /// Home regions of clients, by address; the longest prefix wins.
     #[serde(default)]
     pub client_blocks: ClientBlocks,
-    /// What is being retired.
+    /// Hosts, targets, zones and regions that are being drained.
     #[serde(default, with = "serde_norway::with::singleton_map_recursive")]
     pub drains: Vec<DrainScope>,
     pub member: MemberId,
     pub regions: Vec<Region>,
-    /// Rises with every manifest of the pipeline.
+    /// Increases with every manifest of the member.
     pub sequence: Sequence,
     pub services: Vec<Service>,
     pub weighing: Weighing,
@@ -60,7 +60,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Region {
     pub name: RegionId,
-    /// Share of slots that callers from other regions never get.
+    /// Share of the slots that is not available to clients of other regions.
     pub reserve: Share,
     pub zones: Vec<ZoneId>,
 }
@@ -69,31 +69,31 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Most connections to one target.
+    /// Maximum number of connections to one target.
     pub connections: u32,
     pub kind: ServiceKind,
     /// Largest request body, in bytes.
     pub max_body: u64,
     pub name: ServiceId,
-    /// Most of a home region's requests that may be served by other regions.
+    /// Maximum share of a home region's requests that other regions may serve.
     pub shift_cap: Share,
     pub targets: Vec<Target>,
-    /// Longest time for one attempt at a target, in milliseconds.
+    /// Time limit of one attempt at a target, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// One back end.
+/// One backend server of a service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     pub address: SocketAddr,
     pub name: TargetId,
-    /// Requests that it runs at the same time.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
     pub zone: ZoneId,
 }
 
-/// A block of callers and the region they belong to.
+/// An address block of clients and their home region.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientBlock {
@@ -101,7 +101,7 @@
     pub home: RegionId,
 }
 
-/// What a drain takes out of use.
+/// What a drain removes from service.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "lowercase")]
 pub enum DrainScope {
@@ -112,8 +112,8 @@
 }
 
 impl DrainScope {
-    /// Whether it takes the target out of use. A host's drain takes none: its targets get another
-    /// owner.
+    /// Whether a drain of this scope removes the target from service. The drain of a host removes
+    /// none: its targets are handed to other hosts.
     pub fn covers(&self, target: &Target, manifest: &Manifest) -> bool {
         match self {
             DrainScope::Host(_) => false,
@@ -127,12 +127,11 @@
 }
 
 impl Manifest {
-    /// The region that a zone is part of.
+    /// The region that contains `zone`.
     pub fn region_of(&self, zone: &str) -> Option<&Region> {
         self.regions.iter().find(|region| region.zones.iter().any(|name| &**name == zone))
     }
 
-    /// The service of that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| &*service.name == name)
     }
--- a/src/manifest/part.rs
+++ b/src/manifest/part.rs
@@ -1,7 +1,8 @@
-//! Client blocks of a large manifest, cut into objects that the platform can hold.
+//! Client blocks of a large manifest, split into parts that fit into platform objects.
 //!
-//! A part is named by the hash of its content. The cuts depend on the blocks themselves, not on
-//! their position, so that one added block changes one part and hosts fetch only that one.
+//! The id of a part is the hash of its content. Boundaries between parts depend on the blocks'
+//! content and not on their position, so an added block changes one part only and hosts fetch just
+//! that one.
 
 use ipnet::IpNet;
 use sha2::{Digest, Sha256};
@@ -10,23 +11,23 @@
 use super::ClientBlock;
 use crate::{lookup::BlockPart, prelude::*};
 
-/// Largest part, in bytes; the platform holds values up to a megabyte.
+/// Largest part; the platform stores values of up to a megabyte.
 pub const MAX_PART_BYTES: usize = 900_000;
 
-/// Mean number of blocks between two cuts. A change sends one part and the names of all: at 770,000
-/// blocks these are about the same at this mean, and their sum is least.
+/// Mean number of blocks between two boundaries. A change sends one part and the ids of all parts;
+/// at 770,000 blocks and this mean both have about the same size, which minimizes their sum.
 pub const MEAN_BLOCKS_PER_PART: u64 = 2048;
 
-/// SHA-256 of a part's bytes, as 64 hex digits.
+/// SHA-256 hash of a part's text, as 64 hex digits.
 pub type PartId = Arc<str>;
 
-/// A run of client blocks, sorted, one `BLOCK HOME` a line.
+/// A sorted run of client blocks, one `BLOCK REGION` per line.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Part {
     pub text: Arc<str>,
 }
 
-/// A part that can't be used.
+/// Why client blocks can't be used.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PartError {
     #[error("client block {block} has bits set past its prefix; write {}", .block.trunc())]
@@ -35,7 +36,7 @@
         "line {line} of the client blocks must read `BLOCK REGION`, such as `10.1.0.0/16 east`"
     )]
     InvalidLine { line: usize },
-    #[error("client block {block} is there twice or out of order; sign the blocks again")]
+    #[error("client block {block} is listed twice or out of order; sign the blocks again")]
     OutOfOrder { block: IpNet },
     #[error(
         "the part is larger than {MAX_PART_BYTES} bytes; split the blocks with `sign --blocks`"
@@ -44,17 +45,17 @@
 }
 
 impl Part {
-    /// `None` if the bytes are no text.
+    /// `None` if the bytes aren't UTF-8.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         std::str::from_utf8(bytes).ok().map(|text| Self { text: text.into() })
     }
 
-    /// The name of this part.
+    /// Hash of the content.
     pub fn id(&self) -> PartId {
         hex::encode(Sha256::digest(self.text.as_bytes())).into()
     }
 
-    /// The blocks in it.
+    /// Decodes the blocks without checking their order.
     pub fn blocks(&self) -> Result<Vec<ClientBlock>, PartError> {
         if MAX_PART_BYTES < self.text.len() {
             return Err(PartError::TooLarge);
@@ -62,8 +63,9 @@
         parse_blocks(&self.text)
     }
 
-    /// The blocks in it as a table. They must ascend, each once and without bits past its prefix:
-    /// the place of an address among the parts says where to look for it.
+    /// Builds the lookup table of the blocks. They must be in strictly ascending order and without
+    /// bits set past their prefix, because the lookup of an address selects the part by its first
+    /// block.
     pub fn build_table(&self) -> Result<BlockPart, PartError> {
         let blocks = self.blocks()?;
         if let Some(wrong) = blocks.iter().find(|block| block.block != block.block.trunc()) {
@@ -76,10 +78,10 @@
     }
 }
 
-/// Reads `BLOCK REGION` lines; empty lines and lines that begin with `#` are skipped.
+/// Parses `BLOCK REGION` lines; skips empty lines and lines that start with `#`.
 pub fn parse_blocks(text: &str) -> Result<Vec<ClientBlock>, PartError> {
     let mut blocks = Vec::new();
-    // Few regions, many blocks: one allocation for each region's name.
+    // Many blocks share few regions, so each region name is allocated once.
     let mut homes: BTreeMap<&str, RegionId> = BTreeMap::new();
     for (index, line) in text.lines().enumerate() {
         let line = line.trim();
@@ -95,7 +97,7 @@
     Ok(blocks)
 }
 
-/// Sorts `blocks` and cuts them into parts.
+/// Sorts `blocks` and splits them into parts.
 pub fn split_blocks(blocks: &[ClientBlock]) -> Vec<Part> {
     let mut sorted: Vec<&ClientBlock> = blocks.iter().collect();
     sorted.sort_by_key(|block| block.block);
--- a/src/manifest/read.rs
+++ b/src/manifest/read.rs
@@ -1,10 +1,10 @@
-//! From the pipeline's YAML to a checked manifest.
+//! Parses and checks a manifest's YAML.
 
 use super::{ClientBlock, Manifest, Problem, check};
 use crate::yaml::{self, Finding};
 
 impl Manifest {
-    /// Decodes and checks a manifest; every problem is returned, at least one.
+    /// Decodes and checks a manifest. On error, returns every problem found, at least one.
     pub fn parse(text: &str, file: &str) -> Result<Self, Vec<Problem>> {
         let manifest: Self = yaml::decode(text, file).map_err(|problem| vec![problem])?;
         let findings = check::check(&manifest);
@@ -14,17 +14,17 @@
         Err(yaml::located(&findings, text, file))
     }
 
-    /// Every problem of a manifest that did not come from a text; without lines.
+    /// Checks a manifest whose text is not at hand; the problems have no line numbers.
     pub fn check(&self) -> Vec<Problem> {
-        unplaced(check::check(self))
+        without_lines(check::check(self))
     }
 
-    /// As `check`, with `blocks` in place of the listed ones.
+    /// Like `check`, but checks `blocks` in place of the blocks in the manifest's text.
     pub(super) fn check_with(&self, blocks: &[ClientBlock]) -> Vec<Problem> {
-        unplaced(check::check_with(self, blocks))
+        without_lines(check::check_with(self, blocks))
     }
 }
 
-fn unplaced(findings: Vec<Finding>) -> Vec<Problem> {
+fn without_lines(findings: Vec<Finding>) -> Vec<Problem> {
     findings.into_iter().map(|finding| finding.unplaced("manifest")).collect()
 }
--- a/src/manifest/rollout.rs
+++ b/src/manifest/rollout.rs
@@ -1,62 +1,62 @@
-//! Where a manifest is in force, by zone.
+//! Progress of a manifest's rollout, by zone.
 
 use std::fmt;
 
 use super::Manifest;
 use crate::prelude::*;
 
-/// What the hosts of each zone said.
+/// At which hosts a manifest is in force, by zone.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RolloutStatus {
     pub sequence: Sequence,
     pub zones: Vec<ZoneRollout>,
 }
 
-/// What the hosts of one zone said.
+/// At which hosts of one zone a manifest is in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ZoneRollout {
-    /// Hosts with an older manifest, or none.
+    /// Hosts with an older manifest.
     pub behind: Vec<HostId>,
-    /// Hosts that have it.
+    /// Hosts with this manifest or a later one.
     pub done: Vec<HostId>,
-    /// Hosts that did not answer.
+    /// Hosts that did not respond or have no manifest.
     pub silent: Vec<HostId>,
     pub zone: ZoneId,
 }
 
 impl ZoneRollout {
-    /// Whether every known host has it, and there is at least one.
+    /// Whether the zone has hosts and the manifest is in force at all of them.
     pub fn is_complete(&self) -> bool {
         !self.done.is_empty() && self.behind.is_empty() && self.silent.is_empty()
     }
 
-    /// Whether no host answers: cut off, or without a live host.
+    /// Whether no host responded: the zone is cut off or has no live host.
     pub fn is_unreachable(&self) -> bool {
         self.done.is_empty() && self.behind.is_empty()
     }
 }
 
 impl RolloutStatus {
-    /// No host was asked yet.
+    /// A status in which no host has responded yet.
     pub fn new(manifest: &Manifest) -> Self {
         let zones = manifest.regions.iter().flat_map(|region| &region.zones);
         let zones = zones.map(|zone| ZoneRollout { zone: zone.clone(), ..Default::default() });
         Self { sequence: manifest.sequence, zones: zones.collect() }
     }
 
-    /// Adds what a host said; `None` if it did not answer or has no manifest.
-    pub fn add(&mut self, zone: &ZoneId, host: &HostId, sequence: Option<Sequence>) {
-        let wanted = self.sequence;
-        let Some(zone) = self.zones.iter_mut().find(|known| known.zone == *zone) else { return };
+    /// Records the sequence in force at a host; `None` if it did not respond or has no manifest.
+    pub fn record(&mut self, zone: &ZoneId, host: &HostId, sequence: Option<Sequence>) {
+        let expected = self.sequence;
+        let Some(zone) = self.zones.iter_mut().find(|entry| entry.zone == *zone) else { return };
         let list = match sequence {
             None => &mut zone.silent,
-            Some(sequence) if sequence < wanted => &mut zone.behind,
+            Some(sequence) if sequence < expected => &mut zone.behind,
             Some(_) => &mut zone.done,
         };
         list.push(host.clone());
     }
 
-    /// Whether it is in force in every zone.
+    /// Whether the manifest is in force in every zone.
     pub fn is_complete(&self) -> bool {
         self.zones.iter().all(ZoneRollout::is_complete)
     }
--- a/src/manifest/signed.rs
+++ b/src/manifest/signed.rs
@@ -1,4 +1,4 @@
-//! A manifest with its pipeline's signature, as it is stored and passed between hosts.
+//! A manifest with the signature of its pipeline, as stored on the platform and sent between hosts.
 
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use sha2::{Digest, Sha256};
@@ -6,47 +6,48 @@
 use super::{ClientBlock, Manifest, ManifestError, Part, PartError, PartId, split_blocks};
 use crate::{lookup::BlockPart, prelude::*};
 
-/// Largest signed text, in bytes: head, part names and signature stay under the platform's limit.
+/// Largest signed text. With history, part ids and signature the head stays within the platform's
+/// limit on values.
 pub const MAX_BODY_BYTES: usize = 900_000;
 
-/// Most parts that one manifest names.
+/// Maximum number of parts of one manifest.
 const MAX_PARTS: usize = 1024;
 
-/// Keeps a signature of a manifest from standing for anything else that the key may sign.
+/// Domain separation: a manifest's signature is not valid for anything else that the key signs.
 const SIGNING_DOMAIN: &[u8] = b"lavenderplank manifest 1\n";
 
-/// The signed text and what it names. Member and sequence stand inside the text.
+/// The signed text and the ids of its parts. Member and sequence are inside the text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedManifest {
     /// The manifest's YAML.
     pub body: Arc<str>,
-    /// Client blocks that stand outside `body`, in order.
+    /// Parts with the client blocks that are not in `body`, in ascending order.
     #[serde(default)]
     pub parts: Vec<PartId>,
-    /// Ed25519 signature over body and part names, 128 hex digits.
+    /// Ed25519 signature over body and part ids, 128 hex digits.
     pub signature: Arc<str>,
 }
 
-/// Why a text was not signed.
+/// Why a manifest was not signed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum SignError {
     #[error(
         "the manifest is larger than {MAX_BODY_BYTES} bytes; give its client blocks with `--blocks`"
     )]
     BodyTooLarge,
-    #[error("{} of the manifest's fields are wrong", .0.len())]
+    #[error("the manifest has {} invalid fields", .0.len())]
     Problems(Vec<super::Problem>),
-    #[error("the client blocks make more than {MAX_PARTS} parts; merge neighbouring blocks")]
+    #[error("the client blocks need more than {MAX_PARTS} parts; merge neighbouring blocks")]
     TooManyParts,
 }
 
-/// Signs a manifest that holds all its client blocks.
+/// Signs a manifest whose text contains all its client blocks.
 pub fn sign(text: &str, key: &SigningKey) -> Result<SignedManifest, SignError> {
     sign_with_blocks(text, &[], key).map(|(signed, _)| signed)
 }
 
-/// Signs a manifest whose further client blocks are kept in parts.
+/// Signs a manifest with further client blocks, which are split into parts.
 pub fn sign_with_blocks(
     text: &str,
     blocks: &[ClientBlock],
@@ -71,8 +72,8 @@
 }
 
 impl SignedManifest {
-    /// Verifies the signature before anything else is read, then decodes and checks the text.
-    /// Client blocks in parts are not in the result: see `assemble`.
+    /// Verifies the signature before anything else is decoded, then decodes and checks the text.
+    /// Client blocks in parts are not in the result; see `assemble`.
     pub fn verify(&self, member: &MemberId, key: &VerifyingKey) -> Result<Manifest, ManifestError> {
         let manifest = self.verify_any_member(key)?;
         if manifest.member != *member {
@@ -81,7 +82,7 @@
         Ok(manifest)
     }
 
-    /// As `verify`, for the owner of the key, whatever member the text names.
+    /// Like `verify`, but accepts any member, for the owner of the key.
     pub fn verify_any_member(&self, key: &VerifyingKey) -> Result<Manifest, ManifestError> {
         if MAX_BODY_BYTES < self.body.len() || MAX_PARTS < self.parts.len() {
             return Err(ManifestError::TooLarge);
@@ -99,7 +100,7 @@
             .map_err(|problems| ManifestError::invalid(&problems[0]))
     }
 
-    /// Adds the client blocks of `parts` to a verified manifest and checks the whole again.
+    /// Adds the client blocks of `parts` to a verified manifest and checks the result.
     pub fn assemble(&self, manifest: Manifest, parts: &[Part]) -> Result<Manifest, ManifestError> {
         if !parts.iter().map(Part::id).eq(self.parts.iter().cloned()) {
             return Err(ManifestError::PartsMismatch);
@@ -109,13 +110,13 @@
         assemble_parts(manifest, &parts)
     }
 
-    /// SHA-256 of all that is signed, as hex: two manifests with one digest are the same.
+    /// SHA-256 hash of the signed data, as hex digits. Manifests with equal digests are the same.
     pub fn digest(&self) -> Arc<str> {
         hex::encode(Sha256::digest(signing_input(&self.body, &self.parts))).into()
     }
 }
 
-/// Adds client blocks, part by part, and checks the whole.
+/// Adds the client blocks of `parts` to `manifest` and checks the result.
 pub(super) fn assemble_parts(
     mut manifest: Manifest,
     parts: &[Arc<BlockPart>],
@@ -128,7 +129,8 @@
     }
 }
 
-/// What is signed: the lengths keep text and part names apart.
+/// The data that is signed. The length prefixes make the boundaries of text and part ids
+/// unambiguous.
 pub(super) fn signing_input(body: &str, parts: &[PartId]) -> Vec<u8> {
     let mut buf = SIGNING_DOMAIN.to_vec();
     buf.extend_from_slice(&(body.len() as u64).to_be_bytes());
--- a/src/manifest/store.rs
+++ b/src/manifest/store.rs
@@ -1,11 +1,11 @@
-//! The highest manifest that a host has verified.
+//! The verified manifest with the highest sequence that a host has received.
 
 use ed25519_dalek::VerifyingKey;
 
 use super::{Manifest, Part, PartError, PartId, SignedManifest, signed::assemble_parts};
 use crate::{base::invariant, lookup::BlockPart, prelude::*};
 
-/// Why a manifest was not taken.
+/// Why a manifest was refused.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ManifestError {
     #[error(
@@ -14,13 +14,13 @@
     Conflict { sequence: Sequence },
     #[error("the manifest is not valid: {0}")]
     Invalid(Arc<str>),
-    #[error("the manifest is of member {0}")]
+    #[error("the manifest belongs to member {0}")]
     OtherMember(MemberId),
-    #[error("the client blocks are not those that the manifest names")]
+    #[error("the client blocks don't match the part ids in the manifest")]
     PartsMismatch,
     #[error("the signature does not match the member's key")]
     InvalidSignature,
-    #[error("the manifest is larger than allowed")]
+    #[error("the manifest exceeds the size limit")]
     TooLarge,
 }
 
@@ -30,45 +30,47 @@
     }
 }
 
-/// What became of an offered manifest.
+/// Result of offering a manifest to a store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OfferOutcome {
-    /// Its client blocks are needed first: `add_part`, then offer it again.
+    /// These parts are missing: pass them to `add_part`, then offer the manifest again.
     Missing(Vec<PartId>),
-    /// Now in force.
+    /// The manifest is now in force.
     Newer(Arc<Manifest>),
-    /// A higher one is in force.
+    /// A manifest with a higher sequence is in force.
     Older,
     Refused(ManifestError),
-    /// It is the one in force.
+    /// The manifest was already in force.
     Same,
 }
 
-/// Verifies what it is offered and only ever moves up. Holds the member's public key, so that
-/// neither the platform nor a peer can put another member's or an older manifest in force.
+/// Verifies offered manifests and puts one in force only if its sequence is higher. Verification
+/// uses the member's public key, so that neither the platform nor a peer can put another member's
+/// or an older manifest in force.
 #[derive(Debug)]
 pub struct ManifestStore {
     current: Option<CurrentManifest>,
     key: VerifyingKey,
     member: MemberId,
-    /// Parts of the manifest in force and of the one that is being fetched.
+    /// Parts of the manifest in force and of the pending one.
     parts: BTreeMap<PartId, CachedPart>,
     pending: Option<PendingManifest>,
 }
 
-/// A part whose content matches its name. Read once: with every manifest again it would cost a host
-/// more than its share of a core at thousands of changes a day.
+/// A part whose content matches its id, decoded once: decoding all parts again for every manifest
+/// would exceed a host's CPU budget at thousands of changes a day.
 #[derive(Debug)]
 struct CachedPart {
     blocks: Result<Arc<BlockPart>, PartError>,
     part: Part,
 }
 
-/// A manifest that lacks parts. It is offered again with them: verified and read twice, its text
-/// would cost a host as much again as the changed part.
+/// A verified manifest that lacks parts. Kept decoded until it is offered again with its parts:
+/// verifying and decoding the text twice would cost a host as much as processing the changed part.
 #[derive(Debug)]
 struct PendingManifest {
-    head: Manifest,
+    /// Without the client blocks of the parts.
+    manifest: Manifest,
     signed: SignedManifest,
 }
 
@@ -79,41 +81,45 @@
 }
 
 impl ManifestStore {
-    /// An empty store of one member.
+    /// Creates an empty store for one member.
     pub fn new(member: MemberId, key: VerifyingKey) -> Self {
         Self { current: None, key, member, parts: BTreeMap::new(), pending: None }
     }
 
-    /// Puts `signed` in force if it is this member's, valid and higher than the one in force.
+    /// Puts `signed` in force if it is valid, belongs to this member and has a higher sequence than
+    /// the manifest in force.
     pub fn offer(&mut self, signed: SignedManifest) -> OfferOutcome {
-        // Peers offer the one in force all the time: no signature check for it.
+        // Peers keep offering the manifest in force; skip its signature check.
         if self.current.as_ref().is_some_and(|current| *current.signed == signed) {
             return OfferOutcome::Same;
         }
-        let head = match self.verified(&signed) {
-            Ok(head) => head,
+        let manifest = match self.verified(&signed) {
+            Ok(manifest) => manifest,
             Err(reason) => return OfferOutcome::Refused(reason),
         };
         if let Some(current) = &self.current {
-            let held = current.manifest.sequence;
-            if head.sequence < held {
+            let current_sequence = current.manifest.sequence;
+            if manifest.sequence < current_sequence {
                 return OfferOutcome::Older;
             }
-            if head.sequence == held && signed.digest() == current.signed.digest() {
+            if manifest.sequence == current_sequence && signed.digest() == current.signed.digest() {
                 return OfferOutcome::Same;
             }
-            if head.sequence == held {
-                return OfferOutcome::Refused(ManifestError::Conflict { sequence: held });
+            if manifest.sequence == current_sequence {
+                return OfferOutcome::Refused(ManifestError::Conflict {
+                    sequence: current_sequence,
+                });
             }
         }
-        self.put_in_force(head, signed)
+        self.apply_verified(manifest, signed)
     }
 
-    /// Keeps a part that a waiting manifest names. Others are refused: `false`.
+    /// Stores a part of the pending manifest. Returns `false` for any other part.
     pub fn add_part(&mut self, part: Part) -> bool {
         let id = part.id();
-        let wanted = self.pending.as_ref().is_some_and(|wait| wait.signed.parts.contains(&id));
-        if !wanted {
+        let is_needed =
+            self.pending.as_ref().is_some_and(|pending| pending.signed.parts.contains(&id));
+        if !is_needed {
             return false;
         }
         let blocks = part.build_table().map(Arc::new);
@@ -121,12 +127,12 @@
         true
     }
 
-    /// A part of the manifest in force, for peers that lack it.
+    /// Returns a stored part, for peers that lack it.
     pub fn part(&self, id: &str) -> Option<&Part> {
-        self.parts.get(id).map(|kept| &kept.part)
+        self.parts.get(id).map(|cached| &cached.part)
     }
 
-    /// The manifest in force, decoded and as signed.
+    /// The manifest in force, decoded and signed.
     pub fn current(&self) -> Option<(Arc<Manifest>, Arc<SignedManifest>)> {
         let current = self.current.as_ref()?;
         Some((current.manifest.clone(), current.signed.clone()))
@@ -139,30 +145,31 @@
 
     fn verified(&self, signed: &SignedManifest) -> Result<Manifest, ManifestError> {
         match &self.pending {
-            Some(wait) if wait.signed == *signed => Ok(wait.head.clone()),
+            Some(pending) if pending.signed == *signed => Ok(pending.manifest.clone()),
             _ => signed.verify(&self.member, &self.key),
         }
     }
 
-    fn put_in_force(&mut self, head: Manifest, signed: SignedManifest) -> OfferOutcome {
-        let lacking = |id: &&PartId| !self.parts.contains_key(*id);
-        let missing: Vec<PartId> = signed.parts.iter().filter(lacking).cloned().collect();
+    /// Puts a verified manifest in force, or keeps it as pending if parts are missing.
+    fn apply_verified(&mut self, manifest: Manifest, signed: SignedManifest) -> OfferOutcome {
+        let is_missing = |id: &&PartId| !self.parts.contains_key(*id);
+        let missing: Vec<PartId> = signed.parts.iter().filter(is_missing).cloned().collect();
         if !missing.is_empty() {
-            self.pending = Some(PendingManifest { head, signed });
+            self.pending = Some(PendingManifest { manifest, signed });
             return OfferOutcome::Missing(missing);
         }
         let blocks = signed.parts.iter().map(|id| self.parts[id].blocks.clone());
         let assembled = match blocks.collect::<Result<Vec<_>, PartError>>() {
-            Ok(blocks) => assemble_parts(head, &blocks),
+            Ok(blocks) => assemble_parts(manifest, &blocks),
             Err(err) => Err(ManifestError::invalid(err)),
         };
         let manifest = match assembled {
             Ok(manifest) => Arc::new(manifest),
             Err(reason) => return OfferOutcome::Refused(reason),
         };
-        let before = self.sequence();
-        invariant::hold(before < Some(manifest.sequence), "manifest-only-moves-up", || {
-            format!("from {before:?} to {}", manifest.sequence)
+        let previous = self.sequence();
+        invariant::hold(previous < Some(manifest.sequence), "manifest-only-moves-up", || {
+            format!("from {previous:?} to {}", manifest.sequence)
         });
         self.parts.retain(|id, _| signed.parts.contains(id));
         self.pending = None;
--- a/src/manifest/tests/accept.rs
+++ b/src/manifest/tests/accept.rs
@@ -9,8 +9,8 @@
     prelude::*,
     standin::platform::{Door, Faults, Outage, PlatformStandin},
     store::{
-        Changes, Expect, Listing, OperationId, Platform, PlatformError, Result as Answer, Version,
-        Versioned, new_operation,
+        Changes, Expect, Listing, OperationId, Platform, PlatformError, Result as StoreResult,
+        Version, Versioned, new_operation,
     },
 };
 
@@ -28,14 +28,14 @@
     accept(platform, proposal, &key(1).verifying_key(), &LoadShares::uniform(0.1)).await
 }
 
-async fn held(platform: &dyn Platform) -> Option<Sequence> {
+async fn accepted_sequence(platform: &dyn Platform) -> Option<Sequence> {
     let mut store = ManifestStore::new("himalaya-tara".into(), key(1).verifying_key());
     fetch(platform, &"himalaya-tara".into(), &mut store).await.unwrap();
     store.sequence()
 }
 
-/// Lets another pipeline act between this one's reading of the head and its write, or between its
-/// write and the answer to it, which is then lost.
+/// A platform on which another pipeline is accepted between a read of the head and its write
+/// (`before`), or after the write, whose response is then lost (`after`).
 struct Raced {
     after: Mutex<Option<Proposal>>,
     before: Mutex<Option<Proposal>>,
@@ -50,15 +50,15 @@
 
 #[async_trait]
 impl Platform for Raced {
-    async fn delete(&self, key: &str, expect: Expect, op: OperationId) -> Answer<Version> {
+    async fn delete(&self, key: &str, expect: Expect, op: OperationId) -> StoreResult<Version> {
         self.door.delete(key, expect, op).await
     }
 
-    async fn get(&self, key: &str) -> Answer<Option<Versioned>> {
+    async fn get(&self, key: &str) -> StoreResult<Option<Versioned>> {
         self.door.get(key).await
     }
 
-    async fn list(&self, prefix: &str) -> Answer<Listing> {
+    async fn list(&self, prefix: &str) -> StoreResult<Listing> {
         self.door.list(prefix).await
     }
 
@@ -68,7 +68,7 @@
         expect: Expect,
         value: Bytes,
         op: OperationId,
-    ) -> Answer<Version> {
+    ) -> StoreResult<Version> {
         let is_head = key == Head::key("himalaya-tara");
         let before = self.before.lock().unwrap().take_if(|_| is_head);
         if let Some(before) = before {
@@ -83,13 +83,13 @@
         written
     }
 
-    async fn watch(&self, prefix: &str, from: Version, wait: Duration) -> Answer<Changes> {
+    async fn watch(&self, prefix: &str, from: Version, wait: Duration) -> StoreResult<Changes> {
         self.door.watch(prefix, from, wait).await
     }
 }
 
 #[tokio::test]
-async fn only_a_higher_one_of_the_member_itself_is_accepted() {
+async fn accepts_only_higher_sequence_of_same_member() {
     let standin = PlatformStandin::in_memory();
     let door = standin.door();
     assert_matches!(offer(door, &proposal(7)).await, Ok(AcceptOutcome::Accepted { .. }));
@@ -99,55 +99,57 @@
     other.signed = sign(&numbered(7).replace("slots: 3", "slots: 4"), &key(1)).unwrap();
     let conflict = ManifestError::Conflict { sequence: 7 };
     assert_eq!(offer(door, &other).await, Err(AcceptError::Refused(conflict)));
-    let rival = Proposal { signed: sign(&numbered(9), &key(2)).unwrap(), ..proposal(9) };
+    let forged = Proposal { signed: sign(&numbered(9), &key(2)).unwrap(), ..proposal(9) };
     assert_eq!(
-        offer(door, &rival).await,
+        offer(door, &forged).await,
         Err(AcceptError::Refused(ManifestError::InvalidSignature))
     );
-    let member = Proposal { member: "gradski-servis".into(), ..proposal(9) };
+    let other_member = Proposal { member: "gradski-servis".into(), ..proposal(9) };
     assert_matches!(
-        offer(door, &member).await,
+        offer(door, &other_member).await,
         Err(AcceptError::Refused(ManifestError::OtherMember(_)))
     );
     assert_eq!(door.counts().writes, 1);
-    assert_eq!(held(door).await, Some(7));
+    assert_eq!(accepted_sequence(door).await, Some(7));
 }
 
 #[tokio::test]
-async fn a_change_past_the_limits_is_refused_with_its_figure() {
+async fn rejects_change_that_exceeds_limits() {
     let standin = PlatformStandin::in_memory();
     offer(standin.door(), &proposal(7)).await.unwrap();
     let text = numbered(8).replace("- zone: bagmati-b", "- zone: bagmati-a");
     let drained = Proposal { signed: sign(&text, &key(1)).unwrap(), ..proposal(8) };
     let err = offer(standin.door(), &drained).await.unwrap_err();
     assert!(err.to_string().contains("100.0 % of bagmati's traffic"), "{err}");
-    assert_eq!(held(standin.door()).await, Some(7));
+    assert_eq!(accepted_sequence(standin.door()).await, Some(7));
 }
 
 #[tokio::test]
-async fn of_two_racing_pipelines_one_wins_and_one_is_told() {
-    // Both read sequence 7. The second one writes while the first is still comparing. The first
-    // one's write would take back what the second one set; it must fail, and say who won.
+async fn concurrent_pipelines_conflict() {
+    // Both pipelines read sequence 7. The second writes while the first is still comparing. The
+    // first one's write would undo the second one's change; it must fail and report the sequence
+    // that won.
     let standin = PlatformStandin::in_memory();
     offer(standin.door(), &proposal(7)).await.unwrap();
     let raced = Raced::new(&standin, Some(proposal(8)), None);
     assert_eq!(offer(&raced, &proposal(9)).await, Err(AcceptError::Conflict { accepted: 8 }));
-    assert_eq!(held(standin.door()).await, Some(8));
+    assert_eq!(accepted_sequence(standin.door()).await, Some(8));
 }
 
 #[tokio::test]
-async fn a_lost_answer_and_a_racing_pipeline_are_told_apart() {
-    // The write takes effect, its answer is lost, and before the pipeline reads back another one
-    // is accepted on top of it. Reading back finds the other's operation: told "conflict", the
-    // pipeline would believe that its targets were never in force. The head's history shows it.
+async fn lost_response_followed_by_another_write_is_not_a_conflict() {
+    // The write takes effect, its response is lost, and another manifest is accepted before the
+    // pipeline reads the head back. The head then has the other operation. If that were reported as
+    // a conflict, the pipeline would assume that its targets were never in force. The history shows
+    // that they were.
     let standin = PlatformStandin::in_memory();
     let raced = Raced::new(&standin, None, Some(proposal(8)));
     assert_eq!(offer(&raced, &proposal(7)).await, Ok(AcceptOutcome::Superseded { by: 8 }));
-    assert_eq!(held(standin.door()).await, Some(8));
+    assert_eq!(accepted_sequence(standin.door()).await, Some(8));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_platform_that_is_down_is_told_and_nothing_changes() {
+async fn reports_platform_outage_and_retries_lost_responses() {
     let standin = PlatformStandin::in_memory();
     offer(standin.door(), &proposal(7)).await.unwrap();
     standin.set_faults(Faults { outage: Outage::Refuse, ..Faults::default() });
@@ -158,10 +160,10 @@
 }
 
 #[tokio::test]
-async fn what_a_rival_wrote_over_the_head_does_not_stay() {
-    // A rival with write access replaces the head by garbage, or by a well-formed head that its own
-    // key signed with a high number. Hosts refuse it and keep theirs; the member's next manifest
-    // takes its place.
+async fn forged_head_does_not_block_next_manifest() {
+    // An attacker with write access replaces the head by garbage, or by a well-formed head with a
+    // high sequence signed with another key. Hosts refuse it and keep their manifest, and the
+    // member's next manifest replaces it.
     let signed = sign(&numbered(1000), &key(2)).unwrap();
     let forged = Head { history: Vec::new(), signed }.encode().unwrap();
     for written in [Bytes::from("garbage"), forged] {
@@ -171,14 +173,14 @@
         let key = Head::key("himalaya-tara");
         let expect = Expect::unchanged(door.get(&key).await.unwrap().as_ref());
         door.put(&key, expect, written, new_operation()).await.unwrap();
-        assert_eq!(held(door).await, None);
+        assert_eq!(accepted_sequence(door).await, None);
         assert_matches!(offer(door, &proposal(8)).await, Ok(AcceptOutcome::Accepted { .. }));
-        assert_eq!(held(door).await, Some(8));
+        assert_eq!(accepted_sequence(door).await, Some(8));
     }
 }
 
 #[tokio::test]
-async fn parts_come_before_the_head_and_old_ones_go() {
+async fn deletes_unreferenced_parts() {
     let standin = PlatformStandin::in_memory();
     let door = standin.door();
     let mut counts = Vec::new();
@@ -187,15 +189,16 @@
         assert_matches!(offer(door, &proposal).await, Ok(AcceptOutcome::Accepted { .. }));
         counts.push(door.list("manifest-parts/").await.unwrap().entries.len());
     }
-    // The replaced head's parts stay for its readers; the ones before it are gone.
+    // The parts of the replaced head stay for its readers; those of older heads are deleted.
     assert_eq!(counts, [1, 2, 2]);
-    assert_eq!(held(door).await, Some(9));
+    assert_eq!(accepted_sequence(door).await, Some(9));
 }
 
 #[tokio::test]
-async fn a_clean_up_takes_no_parts_from_a_pipeline_under_way() {
-    // One pipeline has written its parts and not yet its head when another is accepted, which
-    // cleans up. Its parts must stay until its own write has failed.
+async fn keeps_parts_of_concurrent_pipeline() {
+    // One pipeline has written its parts but not yet its head when another manifest is accepted,
+    // which deletes unreferenced parts. The first one's parts must stay until its own write has
+    // failed.
     let standin = PlatformStandin::in_memory();
     let door = standin.door();
     offer(door, &proposal(7)).await.unwrap();
@@ -204,5 +207,5 @@
     assert_eq!(offer(&raced, &slow).await, Err(AcceptError::Conflict { accepted: 8 }));
     assert_eq!(door.list("manifest-parts/").await.unwrap().entries.len(), 2);
     assert_matches!(offer(door, &slow).await, Ok(AcceptOutcome::Accepted { .. }));
-    assert_eq!(held(door).await, Some(9));
+    assert_eq!(accepted_sequence(door).await, Some(9));
 }
--- a/src/manifest/tests/cached_head.rs
+++ b/src/manifest/tests/cached_head.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-// A host that watches nothing looks at the version of the head only. It must read the whole head
-// when that is another one, written back to an older one, or gone, and also when the one that it
-// read never got in force, since its parts did not come: nobody else may offer it again.
+// A host without a watch polls only the version of the head. It must read the whole head when the
+// version differs, also if it is lower, or the object is gone. It must also read it again when the
+// cached manifest never got in force because its parts were missing: nobody else may offer it
+// again.
 #[test]
-fn a_head_is_read_again_unless_it_is_in_force() {
+fn head_is_read_again_unless_in_force() {
     let signed = sign(&numbered(8), &key(1)).unwrap();
     let other = sign(&numbered(7), &key(1)).unwrap();
-    let heard = CachedHead { signed: signed.clone(), version: 40 };
-    assert!(heard.is_current(Some(40), Some(&signed)));
+    let cached = CachedHead { signed: signed.clone(), version: 40 };
+    assert!(cached.is_current(Some(40), Some(&signed)));
     for (object, in_force) in [
         (Some(41), Some(&signed)),
         (Some(39), Some(&signed)),
@@ -16,6 +17,6 @@
         (Some(40), Some(&other)),
         (Some(40), None),
     ] {
-        assert!(!heard.is_current(object, in_force), "{object:?}");
+        assert!(!cached.is_current(object, in_force), "{object:?}");
     }
 }
--- a/src/manifest/tests/change.rs
+++ b/src/manifest/tests/change.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::prelude::*;
 
-/// Two regions of ten slots each, one zone a region, client blocks as given.
+/// Two regions with one zone and ten slots each; `homes` are the home regions of four client
+/// blocks.
 fn manifest(cap: f64, drains: &[DrainScope], homes: [&str; 4]) -> Manifest {
     let region = |name: &str| Region {
         name: name.into(),
@@ -44,12 +45,12 @@
 }
 
 #[test]
-fn a_change_is_held_against_cap_and_headroom() {
+fn checks_change_against_cap_and_headroom() {
     let even = ["east", "east", "west", "west"];
     let east = || vec![DrainScope::Region("east".into())];
     let one = || vec![DrainScope::Target("e1".into())];
     let table = [
-        ("half the slots at half load: all stays", 0.2, one(), even, 0.5, ""),
+        ("half the slots at half load: nothing shifts", 0.2, one(), even, 0.5, ""),
         ("half the slots at higher load", 0.2, one(), even, 0.8, "s: 37.5 % of east's traffic"),
         ("the same under a cap that allows it", 0.4, one(), even, 0.6, ""),
         ("a whole region", 0.2, east(), even, 0.1, "s: 100.0 % of east's traffic"),
@@ -59,11 +60,11 @@
             east(),
             even,
             0.5,
-            "s: 5.0 slots of work",
+            "s: 5.0 slots of load",
         ),
         ("a whole region, allowed, enough room", 1.0, east(), even, 0.4, ""),
         (
-            "half the callers, past the cap",
+            "half the clients, above the cap",
             0.2,
             vec![],
             ["east", "west", "west", "west"],
@@ -71,12 +72,12 @@
             "s: 50.0 %",
         ),
         (
-            "all callers, over-filled",
+            "all clients, too few slots",
             1.0,
             vec![],
             ["west"; 4],
             0.6,
-            "s: callers that become west's",
+            "s: clients of west would need",
         ),
     ];
     for (what, cap, drains, homes, load, expected) in table {
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn what_else_changes_is_told() {
+fn notes_describe_other_differences() {
     let old = manifest(0.2, &[], ["east"; 4]);
     let mut new = manifest(0.2, &[DrainScope::Target("e1".into())], ["east"; 4]);
     new.services[0].targets.pop();
--- a/src/manifest/tests/load.rs
+++ b/src/manifest/tests/load.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_manifest_round_trips() {
+fn manifest_round_trips() {
     let manifest = Manifest::parse(TEXT, "m.yaml").unwrap();
     assert_eq!(manifest.drains, [DrainScope::Zone("bagmati-b".into())]);
     let text = serde_norway::to_string(&manifest).unwrap();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_mistake_names_line_field_and_remedy() {
+fn problems_name_line_field_and_fix() {
     let table = [
         ("[bagmati-a, bagmati-b]", "[bagmati-a, bagmati-a]", "m.yaml:7: regions[0].zones[1]: zone"),
         ("reserve: 0.2", "reserve: 1.2", "m.yaml:6: regions[0].reserve: is 1.2; give a share"),
@@ -40,16 +40,16 @@
 }
 
 #[test]
-fn every_problem_is_listed_in_the_order_of_lines() {
+fn lists_every_problem_in_line_order() {
     let text = TEXT.replace("slots: 3", "slots: 0").replace("reserve: 0.2", "reserve: -1");
     let lines: Vec<_> = Manifest::parse(&text, "").unwrap_err().iter().map(|p| p.line).collect();
     assert_eq!(lines, [6, 16]);
 }
 
 #[test]
-fn a_store_only_moves_up() {
-    // A host is offered manifests by the platform and by peers in any order. Callers of a region
-    // that fell back to an older one would meet caps and targets that were withdrawn.
+fn store_takes_only_higher_sequence() {
+    // The platform and peers offer manifests to a host in any order. Hosts that returned to an
+    // older one would use caps and targets that were withdrawn.
     let mut store = store();
     let seven = sign(&numbered(7), &key(1)).unwrap();
     assert_matches!(store.offer(seven.clone()), OfferOutcome::Newer(_));
@@ -62,25 +62,26 @@
 }
 
 #[test]
-fn what_the_member_did_not_sign_is_refused() {
-    // A rival with write access to the platform stores its own manifest, one signed by itself for
-    // this member, or this member's text with a changed line. Nothing in force may change.
+fn refuses_manifest_not_signed_by_member() {
+    // An attacker with write access to the platform stores a manifest of another member, one for
+    // this member signed with another key, or this member's text with a changed line. The manifest
+    // in force must not change.
     let mut store = store();
     store.offer(sign(TEXT, &key(1)).unwrap());
-    let held = store.current();
-    let rival = sign(&numbered(8), &key(2)).unwrap();
-    assert_eq!(store.offer(rival), OfferOutcome::Refused(ManifestError::InvalidSignature));
+    let current = store.current();
+    let forged = sign(&numbered(8), &key(2)).unwrap();
+    assert_eq!(store.offer(forged), OfferOutcome::Refused(ManifestError::InvalidSignature));
     let other = numbered(8).replace("himalaya-tara", "gradski-servis");
     let other = sign(&other, &key(1)).unwrap();
     assert_matches!(store.offer(other), OfferOutcome::Refused(ManifestError::OtherMember(_)));
     let mut altered = sign(&numbered(8), &key(1)).unwrap();
     altered.body = altered.body.replace("slots: 3", "slots: 9").into();
     assert_eq!(store.offer(altered), OfferOutcome::Refused(ManifestError::InvalidSignature));
-    assert_eq!(store.current(), held);
+    assert_eq!(store.current(), current);
 }
 
 #[test]
-fn blocks_in_parts_are_awaited_and_checked() {
+fn waits_for_parts_and_checks_them() {
     let blocks = parse_blocks("10.2.0.0/16 bagmati\n# more\n2001:db8::/32 bagmati\n").unwrap();
     let (signed, parts) = sign_with_blocks(TEXT, &blocks, &key(1)).unwrap();
     let mut store = store();
--- a/src/peer/api.rs
+++ b/src/peer/api.rs
@@ -1,10 +1,10 @@
-//! The methods as `jsonrpsee` carries them.
+//! JSON-RPC interface between hosts, as `jsonrpsee` generates client and server from it.
 
 use jsonrpsee::{core::RpcResult, proc_macros::rpc};
 
 use super::envelope::Envelope;
 
-/// The methods of a host.
+/// RPC methods that a host serves.
 #[rpc(client, server)]
 pub(super) trait PeerApi {
     #[method(name = "exchange", with_extensions)]
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: found out from the request's headers before any message is read.
+//! Authentication of RPC requests by their headers, before any message is decoded.
 
 use http::{HeaderMap, header::AUTHORIZATION};
 
@@ -8,7 +8,7 @@
 };
 use crate::settings::Secret;
 
-/// Who calls.
+/// Authenticated identity of the sender of an RPC request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Principal {
     Operator,
@@ -17,26 +17,27 @@
 }
 
 impl Principal {
-    pub fn identify(headers: &HeaderMap, keys: &PeerCredentials) -> Self {
+    /// Compares the bearer token with the keys in `credentials`.
+    pub fn identify(headers: &HeaderMap, credentials: &PeerCredentials) -> Self {
         let value = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
         let Some(token) = value.and_then(|value| value.strip_prefix("Bearer ")) else {
             return Principal::Unauthenticated;
         };
         let token = Secret::new(token);
-        // A missing setting opens no door: an empty secret proves nothing.
+        // Without a configured key the secret is empty; an empty token must not match it.
         if token.expose().is_empty() {
             return Principal::Unauthenticated;
         }
-        if keys.peer == token {
+        if credentials.peer == token {
             Principal::Peer
-        } else if keys.operator == token {
+        } else if credentials.operator == token {
             Principal::Operator
         } else {
             Principal::Unauthenticated
         }
     }
 
-    /// Lets only the named callers through.
+    /// Returns `Unauthorized` unless this principal is one of `allowed`.
     pub fn authorize(self, allowed: &[Principal]) -> Result<()> {
         if allowed.contains(&self) { Ok(()) } else { Err(PeerError::Unauthorized) }
     }
--- a/src/peer/credentials.rs
+++ b/src/peer/credentials.rs
@@ -1,13 +1,13 @@
-//! What a host checks the callers of its RPC server against.
+//! Keys and tokens that the RPC server accepts.
 
 use crate::{prelude::*, settings::Secret};
 
-/// What a host checks the callers of its RPC server against.
+/// Credentials that the RPC server of a host accepts.
 #[derive(Clone, Debug)]
 pub struct PeerCredentials {
     pub member: MemberId,
-    /// Proves an operator.
+    /// Token of the operators.
     pub operator: Secret,
-    /// Proves a host of the same member.
+    /// Key shared by the hosts of the member.
     pub peer: Secret,
 }
--- a/src/peer/envelope.rs
+++ b/src/peer/envelope.rs
@@ -1,4 +1,4 @@
-//! What every message travels in.
+//! Envelope of every RPC message: protocol version, member and encoded body.
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -6,12 +6,12 @@
 use super::error::{PeerError, Result};
 use crate::prelude::*;
 
-/// Version of the messages that this build sends.
+/// Protocol version that this build sends and accepts.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// A message with its protocol version and member. The body stays unread until both are checked:
-/// a body of an unknown version may not be readable at all, and the sender should be told of the
-/// version and not of a missing field.
+/// A message with its protocol version and member. The body is decoded only after both are checked:
+/// the body of another version may not decode at all, and the sender should get an error about the
+/// version and not about a missing field.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Envelope {
     body: Box<RawValue>,
@@ -20,14 +20,14 @@
 }
 
 impl Envelope {
-    /// Wraps a message.
+    /// Encodes a message.
     pub fn encode<T: Serialize>(member: &MemberId, message: &T) -> Result<Self> {
         let text = serde_json::to_string(message).map_err(malformed)?;
         let body = RawValue::from_string(text).map_err(malformed)?;
         Ok(Self { body, member: member.clone(), version: PROTOCOL_VERSION })
     }
 
-    /// Checks version and member, then reads the message.
+    /// Checks version and member, then decodes the message.
     pub fn decode<T: DeserializeOwned>(&self, member: &MemberId) -> Result<T> {
         if self.version != PROTOCOL_VERSION {
             let (ours, theirs) = (PROTOCOL_VERSION, self.version);
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -1,28 +1,28 @@
-//! Why a call between hosts, or from an operator, failed.
+//! Errors of RPC calls between hosts and from operators, and their JSON-RPC error codes.
 
 use jsonrpsee::{core::ClientError, types::ErrorObjectOwned};
 
 use crate::prelude::*;
 
-/// Result of a call.
+/// Result of an RPC call.
 pub type Result<T, E = PeerError> = std::result::Result<T, E>;
 
-/// Why a call failed.
+/// Why an RPC call failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PeerError {
     #[error("{0}")]
     Conflict(String),
-    #[error("the message cannot be read: {0}; run hosts of the same release")]
+    #[error("the message cannot be decoded: {0}; run the same release on all hosts")]
     Malformed(String),
-    #[error("this host serves another member than {0}; correct the member or the address")]
+    #[error("this host does not serve member {0}; correct the member or the address")]
     OtherMember(MemberId),
-    #[error("the key or token is not the one of this host's member; correct it in the settings")]
+    #[error("the key or token is not that of this host's member; correct it in the settings")]
     Unauthorized,
-    #[error("no answer from {to}: {why}")]
+    #[error("no response from {to}: {why}")]
     Unreachable { to: SocketAddr, why: String },
-    #[error("protocol version {theirs} is unknown here, this host knows {ours}; upgrade it")]
+    #[error("this host supports protocol version {ours}, not {theirs}; upgrade it")]
     UnsupportedVersion { ours: u32, theirs: u32 },
-    #[error("not now: {0}")]
+    #[error("temporarily unavailable: {0}")]
     Unavailable(String),
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl PeerError {
-    /// The error that the called host gave, or `Unreachable` if it gave none.
+    /// Decodes the error that the called host returned; `Unreachable` if it returned none.
     pub(super) fn from_client_error(to: SocketAddr, error: ClientError) -> Self {
         let ClientError::Call(object) = error else {
             return PeerError::Unreachable { to, why: error.to_string() };
--- a/src/peer/handler.rs
+++ b/src/peer/handler.rs
@@ -1,4 +1,4 @@
-//! What a host does with calls.
+//! Interface between the RPC server and the host that serves the calls.
 
 use async_trait::async_trait;
 
@@ -16,51 +16,51 @@
     timeline::{Event, Filter},
 };
 
-/// What a host does with calls. The server has checked key, version and member before. A call that
-/// a handler does not serve is `Unavailable`.
+/// Serves RPC calls after the server has checked key, version and member. The default methods
+/// return `Unavailable`.
 #[async_trait]
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Takes over what a peer tells and answers with what it lacks.
+    /// Applies a peer's digest and returns what the peer lacks.
     async fn exchange(&self, _digest: Digest) -> Result<Digest> {
         Err(not_supported())
     }
 
-    /// The signed manifest in force here.
+    /// Returns the signed manifest in force at this host.
     async fn manifest(&self) -> Result<ManifestReply> {
         Err(not_supported())
     }
 
-    /// Client blocks of a large manifest.
+    /// Returns one part of a manifest's client blocks.
     async fn part(&self, _request: PartRequest) -> Result<PartReply> {
         Err(not_supported())
     }
 
-    /// Takes a part of a stopping host's ledger.
+    /// Receives a part of a stopping host's ledger.
     async fn handover(&self, _chunk: HandoverChunk) -> Result<HandoverAck> {
         Err(not_supported())
     }
 
-    /// Events of this host's time line.
+    /// Returns the events of this host's timeline that match the filter.
     async fn events(&self, _filter: Filter) -> Result<Vec<Event>> {
         Err(not_supported())
     }
 
-    /// What this host knows and does.
+    /// Returns the status of this host.
     async fn status(&self) -> Result<HostStatus> {
         Err(not_supported())
     }
 
-    /// Where a request would go now, and why.
+    /// Returns which target would be chosen for a request now, and why.
     async fn explain(&self, _request: ExplainRequest) -> Result<Explanation> {
         Err(not_supported())
     }
 
-    /// Orders a drain; the same id twice is one drain.
+    /// Starts a drain. Idempotent: a repeated id is the same drain.
     async fn drain(&self, _order: DrainOrder) -> Result<DrainRecord> {
         Err(not_supported())
     }
 
-    /// Takes drains back and answers with them.
+    /// Undoes drains and returns their records.
     async fn undrain(&self, _order: UndrainOrder) -> Result<Vec<DrainRecord>> {
         Err(not_supported())
     }
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no other slice owns.
+//! Request and response messages that are not defined by another module.
 
 use crate::{
     drain::DrainId,
@@ -7,15 +7,15 @@
     prelude::*,
 };
 
-/// An empty message.
+/// Request without parameters.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EmptyRequest {}
 
-/// Asks what a host knows and does.
+/// Asks for the status of a host.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StatusRequest {
-    /// Leaves out the live hosts that it knows. Who asks all hosts needs that list from one of them:
-    /// from 1,700 it would be 1,700 times the fleet. An older host sends it all the same.
+    /// Omits the list of live hosts. A client that asks all hosts needs the list from only one of
+    /// them: from 1,700 hosts it would get 1,700 copies. An older host sends the list anyway.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub without_hosts: bool,
 }
@@ -23,7 +23,7 @@
 /// The signed manifest in force at a host.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ManifestReply {
-    /// `None` if the host has none yet. The receiver checks the signature for itself.
+    /// `None` if the host has none yet. The receiver verifies the signature itself.
     #[serde(default)]
     pub signed: Option<SignedManifest>,
 }
@@ -37,7 +37,7 @@
 /// One part of a manifest's client blocks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PartReply {
-    /// `None` if the host does not hold it.
+    /// `None` if the host does not have the part.
     #[serde(default)]
     pub part: Option<Part>,
 }
@@ -51,39 +51,40 @@
     pub part: SealedPart,
 }
 
-/// The successor holds this part.
+/// Confirms that the successor has stored a part.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HandoverAck {
-    /// Whether the successor now holds all parts and answers for the incarnation.
+    /// Whether the successor now has all parts and has taken over the incarnation's ledger.
     pub complete: bool,
-    /// `SealedPart::index` of the part.
+    /// `SealedPart::index` of the confirmed part.
     pub index: u32,
 }
 
-/// Where would this go now, and why.
+/// Asks which target would be chosen for a request now, and why.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ExplainRequest {
-    /// Address of the caller.
+    /// Address of the client that would send the request.
     #[serde(default)]
     pub caller: Option<std::net::IpAddr>,
     pub service: ServiceId,
 }
 
-/// An operator's order to drain.
+/// An operator's command to start a drain.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DrainOrder {
-    /// Who orders it.
+    /// Name of the operator.
     pub by: Arc<str>,
-    /// Chosen by the client, so that an order sent twice is one drain.
+    /// Chosen by the client, so that a resent command starts one drain only.
     pub id: DrainId,
     pub scope: DrainScope,
 }
 
-/// An operator's order to take a drain back.
+/// An operator's command to undo drains.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UndrainOrder {
+    /// Name of the operator.
     pub by: Arc<str>,
-    /// The drain to take back; without it, whatever drains the scope.
+    /// The drain to undo; without it, every drain of the scope.
     #[serde(default)]
     pub id: Option<DrainId>,
     pub scope: DrainScope,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,10 +1,10 @@
 //! RPC between the hosts of one member, and from operators to a host.
 //!
-//! Every message travels in an `Envelope` with the protocol version and the member. A peer proves
-//! itself with the member's peer key, an operator with the operator token, both as
-//! `authorization: Bearer`. Fields may be added to messages (older hosts skip them, newer ones take
-//! the default), so hosts of two releases work together during a rolling restart; a change that
-//! older hosts would misread raises `PROTOCOL_VERSION`.
+//! Every message is sent in an `Envelope` with the protocol version and the member. A peer
+//! authenticates with the member's peer key, an operator with the operator token, both as
+//! `authorization: Bearer`. Fields may be added to messages: older hosts ignore them, newer hosts
+//! use the default for a missing one. So hosts of two releases work together during a rolling
+//! restart. A change that older hosts would misinterpret must increase `PROTOCOL_VERSION`.
 
 mod api;
 mod auth;
@@ -32,5 +32,5 @@
     server::{MIN_COMPRESSED_BYTES, PeerServer},
 };
 
-/// Largest message in bytes, either way.
+/// Largest request or response, in bytes after decompression.
 pub const MAX_MESSAGE_BYTES: u32 = 2 * 1024 * 1024;
--- a/src/peer/request_compression.rs
+++ b/src/peer/request_compression.rs
@@ -1,4 +1,4 @@
-//! Compressed questions to hosts that read them.
+//! Gzip compression of requests to hosts that accept it.
 
 use std::{
     io::Write,
@@ -23,27 +23,27 @@
 
 const GZIP: HeaderValue = HeaderValue::from_static("gzip");
 
-/// Compresses questions to one host once it has given a compressed answer. A host of the release
-/// before gives none and would not read them; one that is taken back to that release refuses, and
-/// the next question is plain again.
+/// Compresses requests to one host once it has sent a compressed response. A host of the previous
+/// release sends none and cannot decode compressed requests. If a host is downgraded to that
+/// release, it refuses the request, and the next one is sent uncompressed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GzipRequestLayer {
-    /// Whether the host reads compressed questions.
-    pub reads: Arc<AtomicBool>,
+    /// Whether the host accepts compressed requests.
+    pub accepts_gzip: Arc<AtomicBool>,
 }
 
-/// The service that `GzipRequestLayer` makes.
+/// Service built by `GzipRequestLayer`.
 #[derive(Clone, Debug)]
 pub(super) struct GzipRequestService<S> {
     inner: S,
-    reads: Arc<AtomicBool>,
+    accepts_gzip: Arc<AtomicBool>,
 }
 
 impl<S> Layer<S> for GzipRequestLayer {
     type Service = GzipRequestService<S>;
 
     fn layer(&self, inner: S) -> Self::Service {
-        GzipRequestService { inner, reads: self.reads.clone() }
+        GzipRequestService { inner, accepts_gzip: self.accepts_gzip.clone() }
     }
 }
 
@@ -62,34 +62,35 @@
 
     fn call(&mut self, req: HttpRequest) -> Self::Future {
         let clone = self.inner.clone();
-        // The one that said it is ready is the one to call.
+        // Readiness belongs to the polled instance, so that one is called and the clone is kept.
         let mut inner = std::mem::replace(&mut self.inner, clone);
-        let reads = self.reads.clone();
+        let accepts_gzip = self.accepts_gzip.clone();
         Box::pin(async move {
-            let req = if reads.load(Ordering::Relaxed) { compressed(req).await } else { req };
+            let req = if accepts_gzip.load(Ordering::Relaxed) { compress(req).await } else { req };
             let res = inner.call(req).await?;
             if !res.status().is_success() {
-                reads.store(false, Ordering::Relaxed);
+                accepts_gzip.store(false, Ordering::Relaxed);
             } else if res.headers().get(CONTENT_ENCODING) == Some(&GZIP) {
-                reads.store(true, Ordering::Relaxed);
+                accepts_gzip.store(true, Ordering::Relaxed);
             }
             Ok(res)
         })
     }
 }
 
-async fn compressed(req: HttpRequest) -> HttpRequest {
+/// Compresses the body, unless it is too small to gain from it.
+async fn compress(req: HttpRequest) -> HttpRequest {
     let (mut head, body) = req.into_parts();
-    // The body is a text in memory: reading it cannot fail.
+    // The body is in memory, so collecting it cannot fail.
     let plain = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
     if plain.len() < usize::from(MIN_COMPRESSED_BYTES) {
         return HttpRequest::from_parts(head, HttpBody::from(plain.to_vec()));
     }
     let mut encoder = GzEncoder::new(Vec::new(), Compression::default());
-    let Ok(packed) = encoder.write_all(&plain).and_then(|()| encoder.finish()) else {
+    let Ok(compressed) = encoder.write_all(&plain).and_then(|()| encoder.finish()) else {
         return HttpRequest::from_parts(head, HttpBody::from(plain.to_vec()));
     };
     head.headers.remove(CONTENT_LENGTH);
     head.headers.insert(CONTENT_ENCODING, GZIP);
-    HttpRequest::from_parts(head, HttpBody::from(packed))
+    HttpRequest::from_parts(head, HttpBody::from(compressed))
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -23,31 +23,31 @@
 };
 use crate::{membership::Digest, prelude::*};
 
-/// Most connections at a time; past it new ones are refused, so that a flood cannot use up memory.
+/// Connections at a time. Further ones are refused, so that a flood of them cannot exhaust memory.
 const MAX_CONNECTIONS: u32 = 512;
 
-/// Smallest answer in bytes that is compressed, for callers that ask for it: text and parts of a
-/// manifest shrink to a fraction, an answer to an exchange by a third or more. The heads that say
-/// that an answer is compressed outweigh what a shorter one would save.
+/// Smallest message that is compressed. Text and parts of a manifest shrink to a fraction of their
+/// size, the response to an exchange by a third or more; for shorter messages the headers that
+/// declare the compression outweigh the savings.
 pub const MIN_COMPRESSED_BYTES: u16 = 256;
 
 const OPERATOR_ONLY: &[Principal] = &[Principal::Operator];
 const PEER_ONLY: &[Principal] = &[Principal::Peer];
 const PEER_OR_OPERATOR: &[Principal] = &[Principal::Operator, Principal::Peer];
 
-/// A running RPC server; dropping it stops it.
+/// A running RPC server; stops when dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     handle: ServerHandle,
-    local: SocketAddr,
+    local_addr: SocketAddr,
 }
 
 impl PeerServer {
-    /// Listens on `addr` and serves calls by `handler`.
+    /// Listens on `addr` and passes authenticated calls to `handler`.
     pub async fn bind(
         addr: SocketAddr,
         handler: Arc<dyn PeerHandler>,
-        keys: PeerCredentials,
+        credentials: PeerCredentials,
     ) -> std::io::Result<Self> {
         let cfg = ServerConfig::builder()
             .http_only()
@@ -57,32 +57,32 @@
             .set_batch_request_config(BatchRequestConfig::Disabled)
             .set_tcp_no_delay(true)
             .build();
-        let member = keys.member.clone();
+        let member = credentials.member.clone();
         let identify = move |mut req: HttpRequest<HttpBody>| {
-            let caller = Principal::identify(req.headers(), &keys);
-            req.extensions_mut().insert(caller);
+            let principal = Principal::identify(req.headers(), &credentials);
+            req.extensions_mut().insert(principal);
             req
         };
         let compression =
             CompressionLayer::new().compress_when(SizeAbove::new(MIN_COMPRESSED_BYTES));
-        // The limit on a question counts what comes out of the decompression.
+        // The size limit on a request applies to its decompressed bytes.
         let middleware = tower::ServiceBuilder::new()
             .layer(compression)
             .map_request(identify)
             .layer(RequestDecompressionLayer::new());
         let server =
             Server::builder().set_config(cfg).set_http_middleware(middleware).build(addr).await?;
-        let local = server.local_addr()?;
+        let local_addr = server.local_addr()?;
         let handle = server.start(RpcMethods { handler, member }.into_rpc());
-        Ok(Self { handle, local })
+        Ok(Self { handle, local_addr })
     }
 
-    /// Where it listens.
+    /// Address on which the server listens.
     pub fn local_addr(&self) -> SocketAddr {
-        self.local
+        self.local_addr
     }
 
-    /// Takes no more calls, ends those that run and waits for them.
+    /// Accepts no more calls, ends those in progress and waits for them.
     pub async fn stop(self) {
         if self.handle.stop().is_ok() {
             self.handle.clone().stopped().await;
@@ -96,6 +96,7 @@
     }
 }
 
+/// Authorizes and decodes calls, and passes them to the handler.
 struct RpcMethods {
     handler: Arc<dyn PeerHandler>,
     member: MemberId,
@@ -112,8 +113,8 @@
         message.decode(&self.member)
     }
 
-    fn encode<T: Serialize>(&self, answer: Result<T>) -> RpcResult<Envelope> {
-        Ok(Envelope::encode(&self.member, &answer?)?)
+    fn encode<T: Serialize>(&self, response: Result<T>) -> RpcResult<Envelope> {
+        Ok(Envelope::encode(&self.member, &response?)?)
     }
 }
 
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -41,7 +41,7 @@
 #[async_trait]
 impl PeerHandler for Host {
     async fn exchange(&self, mut digest: Digest) -> Result<Digest> {
-        // A marker that the test sees come back, and an answer too slow for any caller.
+        // Never responds to sequence 99; increments any other, to mark the response.
         if digest.sequence == 99 {
             std::future::pending::<()>().await;
         }
@@ -104,60 +104,60 @@
 }
 
 #[tokio::test]
-async fn peers_exchange_and_operators_order() {
+async fn serves_peers_and_operators() {
     let server = bind().await;
     let to = server.local_addr();
     let peer = client("peer-key", "agency");
-    let answer = peer.exchange(to, &digest()).await.unwrap();
-    assert_eq!(answer.sequence, digest().sequence + 1);
+    let response = peer.exchange(to, &digest()).await.unwrap();
+    assert_eq!(response.sequence, digest().sequence + 1);
     let operator = client("operator-token", "agency");
     assert_eq!(operator.status(to).await.unwrap().own, host());
-    let order = UndrainOrder { by: "ana".into(), id: None, scope: drained() };
+    let order = UndrainOrder { by: "ana".into(), id: None, scope: drain_scope() };
     let conflict = operator.undrain(to, &order).await;
     assert_eq!(conflict, Err(PeerError::Conflict("taken back by ana before".into())));
     server.stop().await;
     assert_matches!(peer.exchange(to, &digest()).await, Err(PeerError::Unreachable { .. }));
 }
 
-fn drained() -> crate::manifest::DrainScope {
+fn drain_scope() -> crate::manifest::DrainScope {
     crate::manifest::DrainScope::Zone("east-1".into())
 }
 
-// A rival, or a peer without the right to operate, calls with some key. The message is refused
-// before it is read, and the refusal names neither key.
+// A call with a wrong key, or with the peer key on an operator method, is refused before its
+// message is decoded, and the error reveals neither key.
 #[tokio::test]
-async fn wrong_keys_and_wrong_members_are_refused() {
+async fn rejects_wrong_key_and_wrong_member() {
     let server = bind().await;
     let to = server.local_addr();
-    let order = DrainOrder { by: "eve".into(), id: "1".into(), scope: drained() };
+    let order = DrainOrder { by: "eve".into(), id: "1".into(), scope: drain_scope() };
     for key in ["", "peer-ke", "peer-keyx", "rivals-key", "operator-token"] {
-        let answer = client(key, "agency").exchange(to, &digest()).await;
-        assert_eq!(answer, Err(PeerError::Unauthorized), "{key:?}");
+        let response = client(key, "agency").exchange(to, &digest()).await;
+        assert_eq!(response, Err(PeerError::Unauthorized), "{key:?}");
     }
     for key in ["", "rivals-key", "peer-key"] {
-        let answer = client(key, "agency").drain(to, &order).await;
-        assert_eq!(answer, Err(PeerError::Unauthorized), "{key:?}");
+        let response = client(key, "agency").drain(to, &order).await;
+        assert_eq!(response, Err(PeerError::Unauthorized), "{key:?}");
     }
-    let answer = client("peer-key", "planetarium").exchange(to, &digest()).await;
-    assert_eq!(answer, Err(PeerError::OtherMember("planetarium".into())));
+    let response = client("peer-key", "planetarium").exchange(to, &digest()).await;
+    assert_eq!(response, Err(PeerError::OtherMember("planetarium".into())));
 }
 
-// Without a key in the settings both secrets are empty. Nobody may then get in with an empty key.
+// Without keys in the settings both secrets are empty. An empty token must not authenticate then.
 #[tokio::test]
-async fn an_empty_key_proves_nothing() {
+async fn rejects_empty_key() {
     let empty = Secret::new("");
     let keys = PeerCredentials { member: "agency".into(), operator: empty.clone(), peer: empty };
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     let handler = Arc::new(Host { view: host() });
     let server = PeerServer::bind(addr, handler, keys).await.unwrap();
-    let answer = client("", "agency").exchange(server.local_addr(), &digest()).await;
-    assert_eq!(answer, Err(PeerError::Unauthorized));
+    let response = client("", "agency").exchange(server.local_addr(), &digest()).await;
+    assert_eq!(response, Err(PeerError::Unauthorized));
 }
 
-// During a rolling upgrade a host of a later protocol calls with a body that this one cannot read.
-// The caller is told of the version, not of a missing field.
+// During a rolling upgrade a host of a later protocol version sends a body that this host cannot
+// decode. The error must name the version, not a missing field.
 #[tokio::test]
-async fn an_unknown_version_is_named() {
+async fn reports_unsupported_version() {
     let server = bind().await;
     let headers = http::HeaderMap::from_iter([(
         http::header::AUTHORIZATION,
@@ -166,33 +166,33 @@
     let url = format!("http://{}", server.local_addr());
     let raw = HttpClientBuilder::default().set_headers(headers).build(url).unwrap();
     let later = serde_json::json!({"body": ["other"], "member": "agency", "version": 9});
-    let answer: std::result::Result<Envelope, _> = raw.request("exchange", [later]).await;
-    let error = PeerError::from_client_error(server.local_addr(), answer.unwrap_err());
+    let response: std::result::Result<Envelope, _> = raw.request("exchange", [later]).await;
+    let error = PeerError::from_client_error(server.local_addr(), response.unwrap_err());
     assert_eq!(error, PeerError::UnsupportedVersion { ours: PROTOCOL_VERSION, theirs: 9 });
     let broken = serde_json::json!({"body": ["other"], "member": "agency", "version": 1});
-    let answer: std::result::Result<Envelope, _> = raw.request("exchange", [broken]).await;
-    let error = PeerError::from_client_error(server.local_addr(), answer.unwrap_err());
+    let response: std::result::Result<Envelope, _> = raw.request("exchange", [broken]).await;
+    let error = PeerError::from_client_error(server.local_addr(), response.unwrap_err());
     assert_matches!(error, PeerError::Malformed(_));
 }
 
 #[tokio::test]
-async fn messages_over_the_limit_are_refused() {
+async fn rejects_oversized_message() {
     let server = bind().await;
     let scope =
         crate::manifest::DrainScope::Zone("z".repeat(MAX_MESSAGE_BYTES as usize + 1).into());
     let order = DrainOrder { by: "ana".into(), id: "1".into(), scope };
     let operator = client("operator-token", "agency");
-    let answer = operator.drain(server.local_addr(), &order).await;
-    assert_matches!(answer, Err(PeerError::Unreachable { .. }));
+    let response = operator.drain(server.local_addr(), &order).await;
+    assert_matches!(response, Err(PeerError::Unreachable { .. }));
     assert!(operator.status(server.local_addr()).await.is_ok());
 }
 
-// A peer takes the call and never answers, as a paused host does. The caller gives up in time.
+// A peer accepts the call and never responds, as a paused host does. The call times out.
 #[tokio::test]
-async fn a_call_without_answer_ends() {
+async fn call_without_response_times_out() {
     let server = bind().await;
     let mut slow = digest();
     slow.sequence = 99;
-    let answer = client("peer-key", "agency").exchange(server.local_addr(), &slow).await;
-    assert_matches!(answer, Err(PeerError::Unreachable { .. }));
+    let response = client("peer-key", "agency").exchange(server.local_addr(), &slow).await;
+    assert_matches!(response, Err(PeerError::Unreachable { .. }));
 }
--- a/src/peer/tests/compression.rs
+++ b/src/peer/tests/compression.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::manifest::Part;
 
-/// The part that `Host` gives for this name.
+/// Id of the part that `Host` has.
 const LARGE: &str = "large";
 
 pub(super) fn part(id: &str) -> Option<Part> {
@@ -17,14 +17,14 @@
     (id == LARGE).then(|| Part { text: text.into() })
 }
 
-fn packed(bytes: &[u8]) -> Vec<u8> {
+fn gzip(bytes: &[u8]) -> Vec<u8> {
     let mut encoder = GzEncoder::new(Vec::new(), Compression::default());
     encoder.write_all(bytes).unwrap();
     encoder.finish().unwrap()
 }
 
-/// Answers one call with `body`, said to be compressed.
-async fn answering(body: Vec<u8>) -> SocketAddr {
+/// Responds to one call with `body`, declared as gzip.
+async fn respond_once(body: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let to = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -37,18 +37,18 @@
             body.len(),
         );
         let _ = stream.write_all(&[head.as_bytes(), &body].concat()).await;
-        // The caller closes first, when it has read or refused the answer.
+        // The client closes first, after it has read or refused the response.
         let _ = stream.read(&mut buf).await;
     });
     to
 }
 
-async fn ask(to: SocketAddr) -> Result<PartReply> {
+async fn request_part(to: SocketAddr) -> Result<PartReply> {
     client("peer-key", "agency").part(to, &PartRequest { id: LARGE.into() }).await
 }
 
-/// Length of the whole answer to a call, as it comes over the wire.
-async fn raw_answer(to: SocketAddr, more_headers: &str) -> usize {
+/// Length of the whole HTTP response to a call, before decompression.
+async fn response_len(to: SocketAddr, more_headers: &str) -> usize {
     let request = PartRequest { id: LARGE.into() };
     let message = Envelope::encode(&"agency".into(), &request).unwrap();
     let call = serde_json::json!({
@@ -57,74 +57,82 @@
     post(to, more_headers, call.to_string().as_bytes()).await.len()
 }
 
-// A part of a manifest goes to each host of the fleet at each change. It goes compressed, and comes
-// out as it was. A host of the release before does not ask for that and gets it plain.
+// Each change sends a part of a manifest to every host of the fleet, so it is sent compressed and
+// must decompress to the same content. A host of the previous release does not accept compressed
+// responses and gets it uncompressed.
 #[tokio::test]
-async fn large_answers_are_compressed_for_those_who_ask() {
+async fn compresses_large_responses_on_request() {
     let server = bind().await;
     let to = server.local_addr();
-    assert_eq!(ask(to).await.unwrap().part, part(LARGE));
+    assert_eq!(request_part(to).await.unwrap().part, part(LARGE));
     let len = part(LARGE).unwrap().text.len();
-    let plain = raw_answer(to, "").await;
+    let plain = response_len(to, "").await;
     assert!(len < plain, "{plain} bytes");
-    let packed = raw_answer(to, "accept-encoding: gzip\r\n").await;
-    assert!(packed < len / 10, "{packed} bytes");
+    let compressed = response_len(to, "accept-encoding: gzip\r\n").await;
+    assert!(compressed < len / 10, "{compressed} bytes");
 }
 
-// A faulty peer, or one that was taken over, answers with a few kilobytes that unpack to far more
-// than a message may have. The caller stops at the limit of a message and is told so; without that,
-// its memory would be gone.
+// A faulty or compromised peer responds with a few kilobytes that decompress to far more than the
+// message limit. The client must stop at the limit and report it, or it would run out of memory.
 #[tokio::test]
-async fn an_answer_that_unpacks_past_the_limit_is_refused() {
+async fn rejects_response_that_decompresses_past_limit() {
     let bomb = format!("{{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":\"{}\"}}", "a".repeat(64 << 20));
-    let bomb = packed(bomb.as_bytes());
+    let bomb = gzip(bomb.as_bytes());
     assert!(bomb.len() < 128 << 10);
-    let why = assert_matches!(ask(answering(bomb).await).await, Err(PeerError::Unreachable { why, .. }) => why);
+    let why = assert_matches!(
+        request_part(respond_once(bomb).await).await,
+        Err(PeerError::Unreachable { why, .. }) => why
+    );
     assert!(why.contains("limit"), "{why}");
 }
 
-// Compressed bytes come damaged, cut short, or are none. The caller gets an error, never a part of
-// an answer, and asks another host.
+// Compressed bytes arrive damaged, truncated or not at all. The client must return an error and
+// never a partial response, so that the caller can ask another host.
 #[tokio::test]
-async fn damaged_compressed_answers_are_refused() {
-    let whole = packed(&raw_json());
+async fn rejects_damaged_compressed_response() {
+    let whole = gzip(&response_json());
     let mut damaged = whole.clone();
     let middle = damaged.len() / 2;
     damaged[middle] ^= 0xff;
-    let mut wrong_sum = whole.clone();
-    let sum = wrong_sum.len() - 6;
-    wrong_sum[sum] ^= 0xff;
-    let cut = whole[..whole.len() - 9].to_vec();
-    for body in [damaged, wrong_sum, cut, b"no gzip at all".to_vec(), Vec::new()] {
-        assert_matches!(ask(answering(body).await).await, Err(PeerError::Unreachable { .. }));
+    let mut wrong_checksum = whole.clone();
+    let checksum = wrong_checksum.len() - 6;
+    wrong_checksum[checksum] ^= 0xff;
+    let truncated = whole[..whole.len() - 9].to_vec();
+    for body in [damaged, wrong_checksum, truncated, b"no gzip at all".to_vec(), Vec::new()] {
+        assert_matches!(
+            request_part(respond_once(body).await).await,
+            Err(PeerError::Unreachable { .. })
+        );
     }
-    assert_eq!(ask(answering(whole).await).await.unwrap().part, part(LARGE));
+    assert_eq!(request_part(respond_once(whole).await).await.unwrap().part, part(LARGE));
 }
 
-/// A right answer to the first call of a client, unpacked.
-fn raw_json() -> Vec<u8> {
+/// Valid response to the first call of a client, uncompressed.
+fn response_json() -> Vec<u8> {
     let reply = PartReply { part: part(LARGE) };
     let result = Envelope::encode(&"agency".into(), &reply).unwrap();
     serde_json::json!({ "id": 0, "jsonrpc": "2.0", "result": result }).to_string().into_bytes()
 }
 
-/// Answers calls in turn, as the list says, and tells which questions came compressed.
-async fn peer(answers: Vec<PeerAnswer>) -> (SocketAddr, tokio::task::JoinHandle<Vec<bool>>) {
+/// Responds to one call per element of `responses`; returns which requests were compressed.
+async fn scripted_peer(
+    responses: Vec<PeerResponse>,
+) -> (SocketAddr, tokio::task::JoinHandle<Vec<bool>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let to = listener.local_addr().unwrap();
-    let seen = tokio::spawn(async move {
-        let mut seen = Vec::new();
+    let were_compressed = tokio::spawn(async move {
+        let mut were_compressed = Vec::new();
         let mut id = 0;
-        for answer in answers {
+        for response in responses {
             let (mut stream, _) = listener.accept().await.unwrap();
-            seen.push(read_question(&mut stream).await);
+            were_compressed.push(read_request(&mut stream).await);
             let result = Envelope::encode(&"agency".into(), &digest()).unwrap();
             let json = serde_json::json!({ "id": id, "jsonrpc": "2.0", "result": result });
             let plain = json.to_string().into_bytes();
-            let (status, encoding, body) = match answer {
-                PeerAnswer::Packed => ("200 OK", "content-encoding: gzip\r\n", packed(&plain)),
-                PeerAnswer::Plain => ("200 OK", "", plain),
-                PeerAnswer::Refused => ("400 Bad Request", "", Vec::new()),
+            let (status, encoding, body) = match response {
+                PeerResponse::Gzip => ("200 OK", "content-encoding: gzip\r\n", gzip(&plain)),
+                PeerResponse::Plain => ("200 OK", "", plain),
+                PeerResponse::Refused => ("400 Bad Request", "", Vec::new()),
             };
             let head = format!(
                 "HTTP/1.1 {status}\r\ncontent-type: application/json\r\nconnection: close\r\n\
@@ -132,84 +140,89 @@
                 body.len(),
             );
             stream.write_all(&[head.as_bytes(), &body].concat()).await.unwrap();
-            // A refusal ends the connection, and the next one counts its questions anew.
+            // A refused request closes the connection; request ids start again on the next one.
             id = if status.starts_with("200") { id + 1 } else { 0 };
         }
-        seen
+        were_compressed
     });
-    (to, seen)
+    (to, were_compressed)
 }
 
 #[derive(Clone, Copy)]
-enum PeerAnswer {
-    Packed,
+enum PeerResponse {
+    Gzip,
     Plain,
     Refused,
 }
 
-/// Reads one question to its end; whether it was compressed.
-async fn read_question(stream: &mut TcpStream) -> bool {
-    let mut question = Vec::new();
+/// Reads one whole request and returns whether it was compressed.
+async fn read_request(stream: &mut TcpStream) -> bool {
+    let mut request = Vec::new();
     loop {
         let mut buf = vec![0; 4096];
         let count = stream.read(&mut buf).await.unwrap();
-        question.extend_from_slice(&buf[..count]);
-        let text = String::from_utf8_lossy(&question).into_owned();
+        request.extend_from_slice(&buf[..count]);
+        let text = String::from_utf8_lossy(&request).into_owned();
         let Some((head, _)) = text.split_once("\r\n\r\n") else { continue };
         let len = head.lines().find_map(|line| line.strip_prefix("content-length: ")).unwrap();
-        if head.len() + 4 + len.parse::<usize>().unwrap() <= question.len() {
+        if head.len() + 4 + len.parse::<usize>().unwrap() <= request.len() {
             return head.contains("content-encoding: gzip");
         }
     }
 }
 
-// During a rolling upgrade, or back again, a host does not read compressed questions. It is only
-// sent one after it has answered compressed; one that refuses gets the next one plain.
+// During a rolling upgrade or downgrade a host may not accept compressed requests. It is sent one
+// only after a compressed response, and after a refusal the next request is uncompressed.
 #[tokio::test]
-async fn questions_are_compressed_only_for_hosts_that_read_them() {
-    use PeerAnswer::{Packed, Plain, Refused};
-    let (to, seen) = peer(vec![Plain, Packed, Packed, Refused, Packed]).await;
+async fn compresses_requests_only_for_hosts_that_accept_it() {
+    use PeerResponse::{Gzip, Plain, Refused};
+    let (to, were_compressed) = scripted_peer(vec![Plain, Gzip, Gzip, Refused, Gzip]).await;
     let client = client("peer-key", "agency");
     for _ in 0..3 {
         assert_eq!(client.exchange(to, &digest()).await, Ok(digest()));
     }
     assert_matches!(client.exchange(to, &digest()).await, Err(PeerError::Unreachable { .. }));
     assert_eq!(client.exchange(to, &digest()).await, Ok(digest()));
-    assert_eq!(seen.await.unwrap(), [false, false, true, true, false]);
+    assert_eq!(were_compressed.await.unwrap(), [false, false, true, true, false]);
 }
 
-// The same over a real server: the second question comes compressed and is answered as the first.
+// Against the real server, the second request is compressed and gets the same response as the
+// first.
 #[tokio::test]
-async fn a_host_reads_compressed_questions() {
+async fn server_accepts_compressed_requests() {
     let server = bind().await;
     let to = server.local_addr();
     let client = client("peer-key", "agency");
     let first = client.exchange(to, &digest()).await.unwrap();
     assert_eq!(client.exchange(to, &digest()).await.unwrap(), first);
-    let body = packed(&question(&digest()));
-    let answer = post(to, "content-encoding: gzip\r\n", &body).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let body = gzip(&exchange_request(&digest()));
+    let response = post(to, "content-encoding: gzip\r\n", &body).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
-// Somebody sends a few kilobytes that unpack to far more than a message may have, damaged bytes, or
-// a form that this host does not know. Each is refused, and the host goes on answering.
+// Requests that decompress to far more than the message limit, are damaged or have an unsupported
+// encoding are refused, and the server keeps serving others.
 #[tokio::test]
-async fn compressed_questions_that_cannot_be_read_are_refused() {
+async fn rejects_undecodable_compressed_requests() {
     let server = bind().await;
     let to = server.local_addr();
-    let bomb = packed(&[question(&digest()), vec![b' '; 64 << 20]].concat());
+    let bomb = gzip(&[exchange_request(&digest()), vec![b' '; 64 << 20]].concat());
     assert!(bomb.len() < 128 << 10);
-    let mut damaged = packed(&question(&digest()));
+    let mut damaged = gzip(&exchange_request(&digest()));
     let middle = damaged.len() / 2;
     damaged[middle] ^= 0xff;
-    for (encoding, body) in [("gzip", bomb), ("gzip", damaged), ("br", question(&digest()))] {
-        let answer = post(to, &format!("content-encoding: {encoding}\r\n"), &body).await;
-        assert!(!answer.starts_with("HTTP/1.1 200") || answer.contains("\"error\""), "{answer}");
+    for (encoding, body) in [("gzip", bomb), ("gzip", damaged), ("br", exchange_request(&digest()))]
+    {
+        let response = post(to, &format!("content-encoding: {encoding}\r\n"), &body).await;
+        assert!(
+            !response.starts_with("HTTP/1.1 200") || response.contains("\"error\""),
+            "{response}"
+        );
     }
     assert!(client("peer-key", "agency").exchange(to, &digest()).await.is_ok());
 }
 
-fn question(digest: &Digest) -> Vec<u8> {
+fn exchange_request(digest: &Digest) -> Vec<u8> {
     let message = Envelope::encode(&"agency".into(), digest).unwrap();
     let params = serde_json::json!({ "message": message });
     let call = serde_json::json!({
@@ -227,8 +240,8 @@
     );
     let mut stream = TcpStream::connect(to).await.unwrap();
     stream.write_all(&[head.as_bytes(), body].concat()).await.unwrap();
-    let mut answer = Vec::new();
-    // A refused question may be cut off before it is read whole.
-    let _ = stream.read_to_end(&mut answer).await;
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    // The server may close the connection before it has read a refused request completely.
+    let _ = stream.read_to_end(&mut response).await;
+    String::from_utf8_lossy(&response).into_owned()
 }
--- a/tests/control_commands.rs
+++ b/tests/control_commands.rs
@@ -84,7 +84,7 @@
     let capped = MANIFEST.replacen("shift_cap: 0.2", "shift_cap: 1.2", 1);
     let table: [(&str, Vec<u8>, &str); 9] = [
         ("unknown field", format!("{HOST}colour: red\n").into(), ":19: colour: unknown field"),
-        ("zone twice", twice.into(), ":9: regions[0].zones[2]: zone bagmati-a is there twice"),
+        ("zone twice", twice.into(), ":9: regions[0].zones[2]: zone bagmati-a is listed twice"),
         ("port 0", HOST.replace(":9000", ":0").into(), ":11: platform: has port 0; give a port"),
         ("cap over 100 %", capped.into(), ".shift_cap: is 1.2; give a share from 0 to 1"),
         ("empty", Vec::new(), ": is empty; give the fields"),
@@ -142,7 +142,13 @@
         (&two, &public, &[], 0, "manifest 2: same"),
         (&two, &rival, &[], 1, "refused: the signature does not match the member's key"),
         (&one, &public, &[], 1, "refused: sequence 2 is accepted already"),
-        (&drained, &public, &[], 1, "100.0 % of bagmati's traffic would be served elsewhere"),
+        (
+            &drained,
+            &public,
+            &[],
+            1,
+            "100.0 % of bagmati's traffic would be served by other regions",
+        ),
         (&drained, &public, &["--dry-run"], 1, "would be refused: bookings: 100.0 %"),
         (&drained, &public, &["--json"], 1, "\"result\": \"refused\""),
     ];
