--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,4 +1,5 @@
-//! The control side of an entry host: one actor that owns what the host believes.
+//! The control side of an entry host: an actor that owns the host's copy of the store's objects and
+//! its list of live hosts, exchanges both with other hosts, and publishes them to the traffic side.
 
 mod handlers;
 mod messages;
@@ -15,10 +16,11 @@
 use xtra::{Address, Mailbox, WeakAddress};
 
 pub use self::messages::{
-    Datagram, HostsListed, Leave, Registered, Reload, StateAnswer, StateQuery, StoreUpdate, Tick,
+    Datagram, HostRecordWritten, HostRecordsRead, Leave, PeerQueryResult, Reload, StateQuery,
+    StoreUpdate, Tick,
 };
 
-use self::peering::{LIST_HOSTS_FIRST, REGISTER_FIRST};
+use self::peering::{FIRST_READ_RECORDS_DELAY, FIRST_WRITE_RECORD_DELAY};
 use super::{
     EntrySettings, KnownState, LiveHost, Protocol, StorePart, View, ViewCell,
     peer_queries::PeerQueries,
@@ -34,23 +36,25 @@
     store::{FollowPace, Followed, Follower, Platform},
 };
 
-/// Messages that may wait for the actor; past it senders wait.
-const MAILBOX: usize = 256;
+/// Number of messages that may be queued for the actor; further senders wait.
+const MAILBOX_CAPACITY: usize = 256;
 
-/// Time between heartbeats to hosts of the own zone, and between reports of a zone: hosts of a region
-/// share targets, and what is in attempt there bounds the wait.
-pub const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Interval of heartbeats to hosts of the own zone, and of the reports of a zone. Hosts of a region
+/// share targets, so each has to know with little delay what the others have in flight there.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Updates of one part that may wait for the actor.
-const UPDATES_WAITING: usize = 16;
+/// Number of updates of one part that may be queued before they are sent to the actor.
+const MAX_QUEUED_UPDATES: usize = 16;
 
-/// How often the store is asked. Hosts tell each other when one of them has seen more, so nothing
-/// has to be compared. Each watch is a call; the wait bounds how long one is believed whose answer was
-/// lost on a connection that lives, which the client's keep-alive probes do not show.
+/// How often watchers call the store. Versions are compared only once a day, since heartbeats show
+/// when another host has newer data. Each watch counts as a call to the store. `wait` bounds how
+/// long a watch whose response was lost stays unnoticed: if its connection stays open, the client's
+/// keep-alive probes do not detect the loss.
 ///
-/// A new host lists at once, so that it can serve, but watches only when it has had time to hear of
-/// others that do: heartbeats come every 100 ms, a new host's probes every 200 ms.
-const PACE: FollowPace = FollowPace {
+/// A new host lists at once, so that it can serve, but starts to watch only after `after_list`,
+/// when it has received messages of other hosts and knows whether it has to watch: heartbeats are
+/// sent every 100 ms, and the probes of a new host every 200 ms.
+const FOLLOW_PACE: FollowPace = FollowPace {
     after_list: Duration::from_millis(600),
     compare_every: Duration::from_secs(86_400),
     first_may_lag: true,
@@ -58,11 +62,11 @@
     wait: Duration::from_secs(5),
 };
 
-/// Pause of a region's second watcher after a change. Targets come and go all the time in a large
-/// fleet, and what the first one has told already need not be fetched at once again.
-const SECOND_SETTLE: Duration = Duration::from_secs(1);
+/// Pause of a standby watcher after a change. In a large fleet targets change all the time, and the
+/// standby need not fetch at once what the region's first watcher has already distributed.
+const STANDBY_SETTLE: Duration = Duration::from_secs(1);
 
-/// What the control side is built from.
+/// Dependencies and shared state of the control side.
 pub struct ControlParts {
     pub clock: Arc<dyn Clock>,
     pub events: Arc<dyn EventSink>,
@@ -72,44 +76,47 @@
     pub settings: Arc<EntrySettings>,
     pub socket: Arc<UdpSocket>,
     pub store: Arc<dyn Platform>,
-    /// Whether the traffic side gets too little of the processor.
+    /// Whether the traffic side gets too little CPU time.
     pub strained: Arc<AtomicBool>,
     pub view: ViewCell,
 }
 
-/// The actor's state.
+/// The control actor.
 pub struct EntryControl {
     fleet: Fleet,
     peer_client: PeerClient,
     known_state: KnownState,
     /// When the store last confirmed to this host that its declaration is the latest.
-    declared_checked_at: Option<Moment>,
+    declaration_checked_at: Option<Moment>,
     response_cache: ResponseCache,
-    register_at: Option<Moment>,
-    /// The tasks that follow the store, while this host watches.
+    /// When this host's record is to be written; `None` once it is.
+    write_record_at: Option<Moment>,
+    /// The tasks that follow the store; empty while this host does not watch it.
     followers: Vec<FollowTask>,
+    /// Whether this host is shutting down.
     leaving: bool,
-    /// Parts of the store that do not answer, and since when.
+    /// Parts of the store that cannot be read, and since when.
     lost_parts: BTreeMap<StorePart, Moment>,
     parts: ControlParts,
-    questions: PeerQueries,
-    raw: RawObjects,
-    records: StaleRecordTracker,
-    list_hosts_at: Moment,
-    /// When the store's word last came, by itself or another host.
-    told_at: Moment,
+    peer_queries: PeerQueries,
+    raw_objects: RawObjects,
+    stale_records: StaleRecordTracker,
+    /// When the records of all hosts are to be read next.
+    read_records_at: Moment,
+    /// When the store or another host last responded with the store's state.
+    state_received_at: Moment,
     election: WatcherElection,
 }
 
-/// A follower, and the task that passes on what it tells; both end when dropped.
+/// A follower, and the task that forwards its updates to the actor; both end when dropped.
 struct FollowTask {
     follower: Follower,
-    pass_on: tokio::task::AbortHandle,
+    forwarder: tokio::task::AbortHandle,
 }
 
 impl Drop for FollowTask {
     fn drop(&mut self) {
-        self.pass_on.abort();
+        self.forwarder.abort();
     }
 }
 
@@ -117,30 +124,30 @@
     /// Starts the actor on the current runtime.
     pub fn spawn(parts: ControlParts, peer_client: PeerClient) -> Address<Self> {
         let now = parts.clock.now();
-        let fleet = Fleet::new(fleet_parts(&parts.settings));
+        let fleet = Fleet::new(fleet_config(&parts.settings));
         let control = Self {
             fleet,
             peer_client,
             known_state: KnownState::default(),
-            declared_checked_at: None,
+            declaration_checked_at: None,
             response_cache: ResponseCache::default(),
-            register_at: Some(now + REGISTER_FIRST),
+            write_record_at: Some(now + FIRST_WRITE_RECORD_DELAY),
             followers: Vec::new(),
             leaving: false,
             lost_parts: BTreeMap::new(),
-            questions: PeerQueries::new(parts.settings.listen.control),
-            raw: BTreeMap::new(),
-            records: StaleRecordTracker::default(),
-            list_hosts_at: now + LIST_HOSTS_FIRST,
-            told_at: now,
+            peer_queries: PeerQueries::new(parts.settings.listen.control),
+            raw_objects: BTreeMap::new(),
+            stale_records: StaleRecordTracker::default(),
+            read_records_at: now + FIRST_READ_RECORDS_DELAY,
+            state_received_at: now,
             election: WatcherElection::new(now),
             parts,
         };
-        xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX))
+        xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX_CAPACITY))
     }
 
-    /// Records an event of the host itself.
-    fn record(&self, event: Event) {
+    /// Records an event that belongs to no single request.
+    fn record_event(&self, event: Event) {
         self.parts.events.record(None, event);
     }
 
@@ -148,17 +155,17 @@
         self.parts.clock.now()
     }
 
-    /// Publishes what the traffic side decides with.
-    fn publish(&mut self) {
+    /// Publishes the current state to the traffic side and to the metrics.
+    fn publish_view(&mut self) {
         let now = self.now();
         let settings = &self.parts.settings;
-        let declared = self.known_state.declaration().cloned();
+        let declaration = self.known_state.declaration().cloned();
         let targets = self.known_state.usable_targets().clone();
-        let declared_checked_at = self.latest_declared_check(now);
+        let declaration_checked_at = self.latest_declaration_check(now);
         let mut view = View {
             published_at: now,
-            declaration: declared,
-            declared_checked_at,
+            declaration,
+            declaration_checked_at,
             targets,
             ..View::default()
         };
@@ -192,8 +199,8 @@
                 sum.0 = sum.0.saturating_add(*arrived);
                 sum.1 = sum.1.saturating_add(*admitted);
             }
-            for (print, crashes) in &load.crashes {
-                let sum = view.crashes.entry(*print).or_default();
+            for (fingerprint, crashes) in &load.crashes {
+                let sum = view.crashes.entry(*fingerprint).or_default();
                 *sum = sum.saturating_add(*crashes);
             }
         }
@@ -209,18 +216,18 @@
         view.known_hosts = self.fleet.known_hosts(now);
         view.peers_started_earlier = self.fleet.peers_started_earlier(now);
         view.demand = demand;
-        self.parts.metrics.control(self.figures(&view));
+        self.parts.metrics.control(self.control_figures(&view));
         self.parts.view.store(Some(Arc::new(view)));
     }
 
-    /// When the store last confirmed the declaration as the latest, to this host or another one;
-    /// `None` if it never did, or a later declaration is known.
-    fn latest_declared_check(&self, now: Moment) -> Option<Moment> {
+    /// When the store last confirmed to this host or another one that the declaration is the
+    /// latest; `None` if it never did, or another host knows a later one.
+    fn latest_declaration_check(&self, now: Moment) -> Option<Moment> {
         let version = self.known_state.declaration()?.version;
         let checks = self.fleet.declaration_checks(now);
-        let mut latest = self.declared_checked_at;
-        for DeclarationCheck { at, version: known } in checks {
-            if version < known {
+        let mut latest = self.declaration_checked_at;
+        for DeclarationCheck { at, version: known_version } in checks {
+            if version < known_version {
                 return None;
             }
             latest = latest.max(Some(at));
@@ -228,67 +235,68 @@
         latest
     }
 
-    fn figures(&self, view: &View) -> ControlFigures {
+    fn control_figures(&self, view: &View) -> ControlFigures {
         let now = self.now();
         let targets = || view.targets.values().flat_map(|targets| targets.iter());
         let cold = targets().filter(|target| target.is_cold(now)).count();
         ControlFigures {
-            declaration: view.declaration.as_ref().map_or(0, |declared| declared.version),
+            declaration: view.declaration.as_ref().map_or(0, |declaration| declaration.version),
             hosts: view.hosts.len(),
-            store_age: now.saturating_sub(self.told_at),
+            store_age: now.saturating_sub(self.state_received_at),
             targets_cold: cold,
             targets_warm: targets().count() - cold,
         }
     }
 
-    /// Starts or ends following the store.
-    fn watch(&mut self, own: &WeakAddress<Self>) {
+    /// Starts or stops following the store: a host follows it while it is elected as a watcher, or
+    /// while hosts with newer data do not answer its queries.
+    fn update_followers(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
         let settings = &self.parts.settings;
         let peers = self.fleet.live(now);
-        let unanswered = self.questions.is_unanswered(now);
-        let wanted =
-            self.election.decide(&settings.host, &settings.region, peers, now) || unanswered;
-        let settle = match self.election.is_standby() && !unanswered {
-            true => SECOND_SETTLE,
-            false => PACE.settle,
+        let is_unanswered = self.peer_queries.is_unanswered(now);
+        let should_watch =
+            self.election.decide(&settings.host, &settings.region, peers, now) || is_unanswered;
+        let settle = match self.election.is_standby() && !is_unanswered {
+            true => STANDBY_SETTLE,
+            false => FOLLOW_PACE.settle,
         };
         self.followers.iter().for_each(|task| task.follower.set_settle(settle));
-        if wanted != self.followers.is_empty() {
+        if should_watch != self.followers.is_empty() {
             return;
         }
         self.followers.clear();
-        if !wanted {
+        if !should_watch {
             self.lost_parts.clear();
-            return self.record(Event::WatchEnded);
+            return self.record_event(Event::WatchEnded);
         }
-        let reason = if unanswered { WatchReason::Unanswered } else { WatchReason::Elected };
-        self.record(Event::WatchBegun { reason });
-        let keys = self.parts.protocol.store_prefixes();
+        let reason = if is_unanswered { WatchReason::Unanswered } else { WatchReason::Elected };
+        self.record_event(Event::WatchBegun { reason });
+        let prefixes = self.parts.protocol.store_prefixes();
         for (part, prefix) in [
-            (StorePart::Declared, keys.declared),
-            (StorePart::Targets, keys.targets),
-            (StorePart::Evacuations, keys.evacuations),
+            (StorePart::Declared, prefixes.declared),
+            (StorePart::Targets, prefixes.targets),
+            (StorePart::Evacuations, prefixes.evacuations),
         ] {
             let (store, clock) = (self.parts.store.clone(), self.parts.clock.clone());
-            // What is known already must not be replaced by what was so some seconds ago.
+            // A first listing that may be some seconds old must not replace newer objects.
             let first_may_lag = self.known_state.revisions().of(part) == 0;
-            let pace = FollowPace { first_may_lag, settle, ..PACE };
-            let (tx, rx) = mpsc::channel(UPDATES_WAITING);
+            let pace = FollowPace { first_may_lag, settle, ..FOLLOW_PACE };
+            let (tx, rx) = mpsc::channel(MAX_QUEUED_UPDATES);
             let follower = Follower::spawn(store, clock, prefix, pace, tx);
-            let pass_on = tokio::spawn(pass_on(part, rx, own.clone())).abort_handle();
-            self.followers.push(FollowTask { follower, pass_on });
+            let forwarder = tokio::spawn(forward_updates(part, rx, own.clone())).abort_handle();
+            self.followers.push(FollowTask { follower, forwarder });
         }
     }
 }
 
-/// Milliseconds of the time of day.
-fn wall_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+/// Wall-clock time in milliseconds since the Unix epoch.
+fn unix_time_ms() -> u64 {
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-fn fleet_parts(settings: &EntrySettings) -> FleetConfig {
+fn fleet_config(settings: &EntrySettings) -> FleetConfig {
     FleetConfig {
         callers: settings.listen.callers,
         control: settings.listen.control,
@@ -296,26 +304,27 @@
         host: settings.host.clone(),
         region: settings.region.clone(),
         seeds: gossip_seeds(settings),
-        start_ms: wall_ms(),
+        start_ms: unix_time_ms(),
         zone: settings.zone.clone(),
         zones: settings.zones.clone(),
     }
 }
 
-/// Seeds name control listeners; datagrams go to the same port at all hosts.
+/// Gossip addresses of the seeds. The settings list their control listeners; all hosts receive
+/// datagrams on the same port.
 fn gossip_seeds(settings: &EntrySettings) -> Vec<SocketAddr> {
     let port = settings.listen.gossip.port();
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect()
 }
 
-/// Passes on what the store tells of one part.
-async fn pass_on(
+/// Forwards the updates of one part to the actor.
+async fn forward_updates(
     part: StorePart,
     mut rx: mpsc::Receiver<Followed>,
     control: WeakAddress<EntryControl>,
 ) {
-    while let Some(told) = rx.recv().await {
-        if control.send(StoreUpdate(part, told)).await.is_err() {
+    while let Some(update) = rx.recv().await {
+        if control.send(StoreUpdate(part, update)).await.is_err() {
             return;
         }
     }
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -1,10 +1,13 @@
-//! What this host tells others and asks of them and of the store.
+//! Heartbeats and state queries to other hosts, and the records of hosts in the store.
 
 use std::sync::atomic::Ordering;
 
 use xtra::WeakAddress;
 
-use super::{EntryControl, HEARTBEAT, HostsListed, Registered, StateAnswer, wall_ms};
+use super::{
+    EntryControl, HEARTBEAT_INTERVAL, HostRecordWritten, HostRecordsRead, PeerQueryResult,
+    unix_time_ms,
+};
 use crate::{
     entry::{Protocol, peer_queries::QueryOutcome, stale_records::HostRecord},
     event_log::Event,
@@ -13,31 +16,35 @@
     store::{Entry, Expect, Platform, PlatformError, new_operation},
 };
 
-/// Length of a turn at sending the zone's report, in milliseconds of the time of day.
-const SLOT_MS: u64 = HEARTBEAT.as_millis() as u64;
+/// Length of the time slots into which the wall clock is divided. The hosts of a zone take turns,
+/// by slot, to send the zone's report.
+const REPORT_SLOT_MS: u64 = HEARTBEAT_INTERVAL.as_millis() as u64;
 
-/// Pause before the own record is written again after a failure.
-pub(super) const REGISTER_PAUSE: Duration = Duration::from_secs(2);
+/// Pause after a failure to write this host's record, or to read the records of all hosts.
+pub(super) const RECORD_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Time from the start to the writing of the own record: by then a host knows whether its zone has
-/// enough of them.
-pub(super) const REGISTER_FIRST: Duration = Duration::from_millis(1_500);
+/// Time from the start until this host's record is written. By then the host knows whether enough
+/// hosts of its zone have records.
+pub(super) const FIRST_WRITE_RECORD_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Hosts of a zone that keep records. Who starts needs one living host to find all others; with
-/// records of all, each start of a fleet would write to the store once a host.
-const RECORDED_HOSTS: usize = 3;
+/// Number of hosts in a zone that keep records in the store. A host that starts needs one live host
+/// to find all others; if all hosts had records, the start of a fleet would need as many writes as
+/// it has hosts.
+const RECORDED_HOSTS_PER_ZONE: usize = 3;
 
-/// Pause between two readings of the hosts' records, and the time from the start to the first:
-/// heartbeats tell the rest, and a host that was heard by then tells of the others.
-const LIST_HOSTS_PAUSE: Duration = Duration::from_secs(60);
-/// Pause between two readings while nobody is heard.
-const LIST_HOSTS_ALONE: Duration = Duration::from_secs(2);
-pub(super) const LIST_HOSTS_FIRST: Duration = Duration::from_millis(1_000);
+/// Interval at which the records of all hosts are read. Between the reads, heartbeats carry the
+/// addresses of other hosts.
+const READ_RECORDS_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval of the reads while no other host is live.
+const ISOLATED_READ_RECORDS_INTERVAL: Duration = Duration::from_secs(2);
+/// Time from the start until the first read. By then another host may have sent the addresses of
+/// the others, which makes the read unnecessary.
+pub(super) const FIRST_READ_RECORDS_DELAY: Duration = Duration::from_millis(1_000);
 
 impl EntryControl {
     fn own_state(&self) -> OwnState {
         OwnState {
-            declared_checked_at: self.declared_checked_at,
+            declared_checked_at: self.declaration_checked_at,
             leaving: self.leaving,
             load: Load::clone(&self.parts.load.load()),
             reaches_store: self.election.reaches_store(self.now()),
@@ -46,145 +53,152 @@
         }
     }
 
-    /// Tells other hosts what is due now.
-    pub(super) fn send_due(&mut self) {
-        let due = self.fleet.tick(self.own_state(), wall_ms() / SLOT_MS, self.now());
-        self.send(due);
+    /// Sends the heartbeats, reports and probes that are due.
+    pub(super) fn send_heartbeats(&mut self) {
+        let messages =
+            self.fleet.tick(self.own_state(), unix_time_ms() / REPORT_SLOT_MS, self.now());
+        self.send(messages);
     }
 
-    /// Tells other hosts what they must know at once.
+    /// Sends a change to other hosts at once.
     pub(super) fn announce(&mut self) {
-        let announced = self.fleet.announce(self.own_state(), wall_ms() / SLOT_MS, self.now());
-        self.send(announced);
+        let messages =
+            self.fleet.announce(self.own_state(), unix_time_ms() / REPORT_SLOT_MS, self.now());
+        self.send(messages);
     }
 
-    pub(super) fn send(&self, all: Vec<Outgoing>) {
-        for Outgoing { message, to } in all {
+    pub(super) fn send(&self, messages: Vec<Outgoing>) {
+        for Outgoing { message, to } in messages {
             let bytes = match postcard::to_allocvec(&message) {
                 Ok(bytes) => bytes,
-                Err(error) => return log::error!("a datagram can't be encoded: {error}"),
+                Err(error) => return log::error!("cannot encode a datagram: {error}"),
             };
             for addr in to {
                 if let Err(error) = self.parts.socket.try_send_to(&bytes, addr) {
-                    log::debug!("datagram to {addr}: {error}");
+                    log::debug!("cannot send a datagram to {addr}: {error}");
                 }
             }
         }
     }
 
-    /// Asks another host that knows more.
-    pub(super) fn ask(&mut self, own: &WeakAddress<Self>) {
+    /// Queries another host that has newer data, if a query is due.
+    pub(super) fn query_peer(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
-        let mine = self.known_state.stamp();
+        let own_stamp = self.known_state.stamp();
         let region = &self.parts.settings.region;
-        let watches = !self.followers.is_empty();
-        let informed = self.fleet.state_sources(now);
-        let Some(addr) = self.questions.next_peer(&mine, informed, region, watches, now) else {
+        let is_watcher = !self.followers.is_empty();
+        let sources = self.fleet.state_sources(now);
+        let Some(addr) = self.peer_queries.next_peer(&own_stamp, sources, region, is_watcher, now)
+        else {
             return;
         };
         let (peer_client, own) = (self.peer_client.clone(), own.clone());
         let (events, metrics) = (self.parts.events.clone(), self.parts.metrics.clone());
         let clock = self.parts.clock.clone();
         tokio::spawn(async move {
-            let since = mine.revisions;
-            let answer = peer_client.query(addr, since).await;
-            let end = QueryOutcome::of(&answer);
-            metrics.queried(clock.now().saturating_sub(now), end.name());
-            if let Err(error) = &answer {
+            let since = own_stamp.revisions;
+            let result = peer_client.query(addr, since).await;
+            let outcome = QueryOutcome::of(&result);
+            metrics.queried(clock.now().saturating_sub(now), outcome.name());
+            if let Err(error) = &result {
                 let reason = error.to_string().into();
                 events.record(None, Event::HostUnanswering { addr, reason });
             }
-            let _ = own.send(StateAnswer { addr, since, received: answer }).await;
+            let _ = own.send(PeerQueryResult { addr, since, result }).await;
         });
     }
 
-    /// Writes this host's record, or reads all.
-    pub(super) fn register(&mut self, own: &WeakAddress<Self>) {
+    /// Writes this host's record and reads the records of all hosts when due. Does nothing if
+    /// enough other hosts of the zone keep records.
+    pub(super) fn sync_host_records(&mut self, own: &WeakAddress<Self>) {
         let now = self.now();
-        let keys = self.parts.protocol.store_prefixes();
+        let prefixes = self.parts.protocol.store_prefixes();
         let store = self.parts.store.clone();
-        if RECORDED_HOSTS <= self.fleet.rank_in_zone(now) {
+        if RECORDED_HOSTS_PER_ZONE <= self.fleet.rank_in_zone(now) {
             return;
         }
-        if self.register_at.is_some_and(|at| at <= now) {
-            self.register_at = Some(now + REGISTER_PAUSE * 4);
-            let key = format!("{}{}", keys.hosts, self.parts.settings.host);
+        if self.write_record_at.is_some_and(|at| at <= now) {
+            self.write_record_at = Some(now + RECORD_RETRY_PAUSE * 4);
+            let key = format!("{}{}", prefixes.hosts, self.parts.settings.host);
             let value = self.parts.protocol.encode_host(self.parts.settings.listen.gossip);
             let own = own.clone();
             let store = store.clone();
             tokio::spawn(async move {
-                let done = put_record(&*store, &key, value).await;
-                if let Err(error) = &done {
-                    log::info!("this host's record is not written: {error}");
+                let result = write_record(&*store, &key, value).await;
+                if let Err(error) = &result {
+                    log::info!("cannot write this host's record to the store: {error}");
                 }
-                let _ = own.send(Registered(done.is_ok())).await;
+                let _ = own.send(HostRecordWritten(result.is_ok())).await;
             });
         }
-        if self.list_hosts_at <= now {
-            self.list_hosts_at = now + LIST_HOSTS_PAUSE;
+        if self.read_records_at <= now {
+            self.read_records_at = now + READ_RECORDS_INTERVAL;
             let is_alone = self.fleet.live(now).next().is_none();
             if self.fleet.is_new() && !is_alone {
                 return;
             }
             if is_alone {
-                self.list_hosts_at = now + LIST_HOSTS_ALONE;
+                self.read_records_at = now + ISOLATED_READ_RECORDS_INTERVAL;
             }
             let protocol = self.parts.protocol.clone();
             let own = own.clone();
             tokio::spawn(async move {
-                let hosts = store.list_lagging(keys.hosts).await;
+                let hosts = store.list_lagging(prefixes.hosts).await;
                 if let Err(error) = &hosts {
-                    log::info!("the hosts' records are not read: {error}");
+                    log::info!("cannot read the records of hosts from the store: {error}");
                 }
-                let record = |entry: &Entry| record(&*protocol, entry);
+                let record = |entry: &Entry| decode_record(&*protocol, entry);
                 let hosts =
                     hosts.ok().map(|hosts| hosts.entries.iter().filter_map(record).collect());
-                let _ = own.send(HostsListed(hosts)).await;
+                let _ = own.send(HostRecordsRead(hosts)).await;
             });
         }
     }
 
-    /// Removes records of hosts that are gone, and writes the own one again if it is missing.
-    pub(super) fn tidy(&mut self, records: &[HostRecord]) {
+    /// Removes records of hosts that have been silent for long, and has this host's record written
+    /// again if it is missing.
+    pub(super) fn reconcile_host_records(&mut self, records: &[HostRecord]) {
         let now = self.now();
         let own = self.parts.settings.listen.gossip;
         if !records.iter().any(|record| record.gossip == own) {
-            self.register_at.get_or_insert(now);
+            self.write_record_at.get_or_insert(now);
         }
-        let heard = self.fleet.live(now).map(|peer| peer.info.gossip).collect();
-        for record in self.records.find_stale(records, &heard, own, now) {
+        let live = self.fleet.live(now).map(|peer| peer.info.gossip).collect();
+        for record in self.stale_records.find_stale(records, &live, own, now) {
             let store = self.parts.store.clone();
             tokio::spawn(async move {
                 let expect = Expect::Version(record.version);
                 match store.delete(&record.key, expect, new_operation()).await {
-                    Ok(_) => log::info!("{} is gone for long; its record is removed", record.key),
-                    Err(error) => log::info!("{} is not removed: {error}", record.key),
+                    Ok(_) => log::info!("removed the record {} of a silent host", record.key),
+                    Err(error) => log::info!("cannot remove the record {}: {error}", record.key),
                 }
             });
         }
     }
 }
 
-fn record(protocol: &dyn Protocol, entry: &Entry) -> Option<HostRecord> {
+/// Decodes a host's record; an invalid one is logged and ignored.
+fn decode_record(protocol: &dyn Protocol, entry: &Entry) -> Option<HostRecord> {
     match protocol.decode_host(&entry.object.value) {
         Ok(gossip) => {
             Some(HostRecord { gossip, key: entry.key.clone(), version: entry.object.version })
         }
         Err(error) => {
-            log::warn!("{} is left out: {error}", entry.key);
+            log::warn!("ignoring the host record {}: {error}", entry.key);
             None
         }
     }
 }
 
-async fn put_record(
+/// Creates a host's record, or replaces an existing one.
+async fn write_record(
     store: &dyn Platform,
     key: &str,
     value: bytes::Bytes,
 ) -> crate::store::Result<()> {
     match store.put(key, Expect::Absent, value.clone(), new_operation()).await {
         Err(PlatformError::Conflict { current: Some(version) }) => {
-            // The record of this host's last start.
+            // The record was written by an earlier process of this host.
             store.put(key, Expect::Version(version), value, new_operation()).await.map(|_| ())
         }
         other => other.map(|_| ()),
--- a/src/manifest/check.rs
+++ b/src/manifest/check.rs
@@ -161,7 +161,7 @@
             if blocks[pair[0]].block.trunc() == blocks[pair[1]].block.trunc() {
                 let path = [Step::Key("client_blocks"), Step::Index(pair[1]), Step::Key("block")];
                 let wrong = format!("block {} is listed twice", blocks[pair[1]].block);
-                self.report(&path, &wrong, "list it once");
+                self.report(&path, &wrong, "list it only once");
             }
         }
     }
@@ -221,7 +221,7 @@
         what: &str,
     ) {
         if !seen.insert(name.clone()) {
-            self.report(path, &format!("{what} {name} is listed twice"), "list it once");
+            self.report(path, &format!("{what} {name} is listed twice"), "list it only once");
         }
     }
 
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -16,7 +16,7 @@
     Malformed(String),
     #[error("this host does not serve member {0}; correct the member or the address")]
     OtherMember(MemberId),
-    #[error("the key or token is not that of this host's member; correct it in the settings")]
+    #[error("the key or token is not the one of this host's member; correct it in the settings")]
     Unauthorized,
     #[error("no response from {to}: {why}")]
     Unreachable { to: SocketAddr, why: String },
