--- a/src/cmd/run.rs
+++ b/src/cmd/run.rs
@@ -7,7 +7,7 @@
 use crate::{
     base::BootClock,
     cmd::{Exit, Result},
-    daemon::{Daemon, DaemonParts},
+    daemon::{Daemon, DaemonConfig},
     forward::{ForwardLimits, HttpUpstream},
     peer::PeerClient,
     prelude::*,
@@ -46,7 +46,7 @@
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let peer_key = settings.peer_key()?;
     let member = settings.member.clone();
-    let daemon = Daemon::spawn(DaemonParts {
+    let daemon = Daemon::spawn(DaemonConfig {
         clock: Arc::new(BootClock),
         limits: RouterLimits::default(),
         link: Arc::new(PeerClient::new(peer_key.clone(), member)),
@@ -56,9 +56,9 @@
         platform: Arc::new(HttpPlatform::open(settings.platform)?),
         seed: rand::random(),
         settings,
-        record: None,
+        trace_recorder: None,
         targets: Arc::new(HttpUpstream::open(ForwardLimits::default())?),
-        timeline: crate::timeline::DEFAULT_CAPACITY,
+        timeline_capacity: crate::timeline::DEFAULT_CAPACITY,
         traffic_threads: threads.unwrap_or(cores),
     })
     .await?;
@@ -67,11 +67,11 @@
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     asked_to_stop(&mut term, &mut int).await;
-    log::info!("stopping: no new work, {} requests in flight", daemon.busy());
+    log::info!("stopping: no new work, {} requests in flight", daemon.pending_requests());
     tokio::select! {
         report = daemon.stop() => {
-            log::info!("stopped: {} requests cut, {} entries lost", report.cut, report.entries_lost);
-            let whole = report.cut == 0 && report.entries_lost == 0;
+            log::info!("stopped: {} requests cut, {} entries lost", report.interrupted, report.entries_lost);
+            let whole = report.interrupted == 0 && report.entries_lost == 0;
             Ok(if whole { Exit::Done } else { Exit::Failed })
         }
         () = asked_to_stop(&mut term, &mut int) => {
--- a/src/daemon/order.rs
+++ b/src/daemon/attempt.rs
@@ -2,8 +2,8 @@
 
 use super::{
     headers,
-    incoming::{Incoming, mark_text, read_mark, via_text},
-    traffic::{Traffic, lock},
+    incoming::{IncomingRequest, decode_mark, encode_mark, via_value},
+    traffic::{TrafficHandler, lock},
 };
 use crate::{
     base::{HeaderLine, header},
@@ -16,18 +16,18 @@
 };
 
 /// One attempt to be carried out.
-pub(super) struct Order {
+pub(super) struct AttemptCommand {
     pub address: SocketAddr,
     pub attempt: AttemptId,
     pub call: CallId,
     pub fingerprint: Fingerprint,
     pub hop: Option<Via>,
-    pub incoming: Arc<Incoming>,
+    pub incoming: Arc<IncomingRequest>,
     pub request: RequestId,
     pub timeout: Duration,
 }
 
-impl Order {
+impl AttemptCommand {
     fn path(&self) -> Arc<str> {
         match self.hop {
             Some(_) => {
@@ -39,104 +39,104 @@
 }
 
 /// The head of an answer whose body is streamed.
-pub(super) struct Head {
+pub(super) struct ResponseHead {
     pub headers: Vec<HeaderLine>,
     pub status: u16,
 }
 
-impl Traffic {
-    pub(super) async fn run(self: Arc<Self>, order: Order) {
-        let started = self.parts.clock.now();
-        let attempt = order.attempt;
-        let sent = self.send(&order, &[]).await;
-        let latency = self.parts.clock.now().saturating_sub(started);
+impl TrafficHandler {
+    pub(super) async fn run(self: Arc<Self>, cmd: AttemptCommand) {
+        let started = self.deps.clock.now();
+        let attempt = cmd.attempt;
+        let sent = self.send(&cmd, &[]).await;
+        let latency = self.deps.clock.now().saturating_sub(started);
         match sent {
-            Ok(reply) => self.reply(order, reply, latency).await,
-            Err(failure) => self.end(attempt, failed(failure.kind(), latency)),
+            Ok(reply) => self.handle_reply(cmd, reply, latency).await,
+            Err(failure) => self.finish_attempt(attempt, failed_outcome(failure.kind(), latency)),
         }
     }
 
     /// Sends the request, with the lines that ask for a file's rest in place of its own.
     pub(super) async fn send(
         &self,
-        order: &Order,
-        rest: &[HeaderLine],
+        cmd: &AttemptCommand,
+        range_headers: &[HeaderLine],
     ) -> crate::forward::Result<Reply> {
         let view = self.view();
-        let service = view.as_ref().and_then(|view| view.manifest.service(&order.incoming.service));
+        let service = view.as_ref().and_then(|view| view.manifest.service(&cmd.incoming.service));
         let repeatable = service.is_some_and(|service| service.kind.is_idempotent());
         let streams = service.is_some_and(|service| service.kind == ServiceKind::File);
         let attempt = Attempt {
-            address: order.address,
-            body: order.incoming.body.clone(),
+            address: cmd.address,
+            body: cmd.incoming.body.clone(),
             connections: service.map_or(1, |service| service.connections),
-            deadline: order.timeout,
-            headers: self.lines(order, rest),
-            method: order.incoming.method.clone(),
-            path: order.path(),
+            deadline: cmd.timeout,
+            headers: self.headers_for(cmd, range_headers),
+            method: cmd.incoming.method.clone(),
+            path: cmd.path(),
             repeatable,
-            request: order.request.clone(),
+            request: cmd.request.clone(),
             whole: !streams,
         };
-        match order.hop {
-            Some(_) => self.parts.peers.send(attempt).await,
-            None => self.parts.targets.send(attempt).await,
+        match cmd.hop {
+            Some(_) => self.deps.peers.send(attempt).await,
+            None => self.deps.targets.send(attempt).await,
         }
     }
 
-    fn lines(&self, order: &Order, rest: &[HeaderLine]) -> Vec<HeaderLine> {
-        let mut lines = order.incoming.passed_headers();
-        lines.retain(|line| rest.iter().all(|ours| ours.name != line.name));
-        lines.extend_from_slice(rest);
-        let Some(via) = order.hop else { return lines };
-        lines.extend(order.incoming.own_headers());
+    fn headers_for(&self, cmd: &AttemptCommand, range_headers: &[HeaderLine]) -> Vec<HeaderLine> {
+        let mut lines = cmd.incoming.forwarded_headers();
+        lines.retain(|line| range_headers.iter().all(|ours| ours.name != line.name));
+        lines.extend_from_slice(range_headers);
+        let Some(via) = cmd.hop else { return lines };
+        lines.extend(cmd.incoming.hop_headers());
         let has_client = lines.iter().any(|line| &*line.name == headers::CLIENT);
-        if let (false, Ok(client)) = (has_client, order.incoming.client()) {
+        if let (false, Ok(client)) = (has_client, cmd.incoming.client()) {
             lines.push(HeaderLine::new(headers::CLIENT, client.to_string()));
         }
-        let auth = String::from_utf8_lossy(self.parts.peer_key.expose()).into_owned();
+        let auth = String::from_utf8_lossy(self.deps.peer_key.expose()).into_owned();
         lines.push(HeaderLine::new(headers::PEER_AUTH, auth));
-        lines.push(HeaderLine::new(headers::VIA, via_text(via)));
-        if let Some(mark) = self.mark(order.fingerprint) {
-            lines.push(HeaderLine::new(headers::MARK, mark_text(&mark)));
+        lines.push(HeaderLine::new(headers::VIA, via_value(via)));
+        if let Some(mark) = self.quarantine_mark(cmd.fingerprint) {
+            lines.push(HeaderLine::new(headers::MARK, encode_mark(&mark)));
         }
         lines
     }
 
-    async fn reply(self: &Arc<Self>, order: Order, reply: Reply, latency: Duration) {
-        if order.hop.is_some() {
+    async fn handle_reply(self: &Arc<Self>, cmd: AttemptCommand, reply: Reply, latency: Duration) {
+        if cmd.hop.is_some() {
             let text = header(&reply.headers, headers::MARK);
-            self.learn(text.and_then(|text| read_mark(text, order.fingerprint)));
+            self.merge_mark(text.and_then(|text| decode_mark(text, cmd.fingerprint)));
         }
-        if let Some(error) = refusal(&order, &reply) {
-            return self.end(order.attempt, Outcome::Refused { error, latency });
+        if let Some(error) = refusal(&cmd, &reply) {
+            return self.finish_attempt(cmd.attempt, Outcome::Refused { error, latency });
         }
         match reply.body {
             ReplyBody::Stream(body) => {
-                let head = Head { headers: reply.headers, status: reply.status };
-                self.stream(order, head, body, latency).await;
+                let head = ResponseHead { headers: reply.headers, status: reply.status };
+                self.stream(cmd, head, body, latency).await;
             }
             ReplyBody::Whole(body) => {
                 let status = reply.status;
                 let kept = Arc::new(KeptAnswer { body, headers: reply.headers, status });
-                if let Some(pending) = lock(&self.pending).get_mut(&order.call) {
+                if let Some(pending) = lock(&self.pending).get_mut(&cmd.call) {
                     pending.reply = Some(kept.clone());
                 }
                 let outcome = Outcome::Answered { kept: Some(kept), latency, status };
-                self.end(order.attempt, outcome);
+                self.finish_attempt(cmd.attempt, outcome);
             }
         }
     }
 }
 
 /// The error kind that another host answered with, if it did.
-pub(super) fn refusal(order: &Order, reply: &Reply) -> Option<ErrorKind> {
-    order.hop?;
+pub(super) fn refusal(cmd: &AttemptCommand, reply: &Reply) -> Option<ErrorKind> {
+    cmd.hop?;
     let line = reply.headers.iter().find(|line| &*line.name == headers::ERROR)?;
     let name = serde_json::Value::String(line.value.to_string());
     Some(serde_json::from_value(name).unwrap_or(ErrorKind::AnswerBroken))
 }
 
-pub(super) fn failed(error: ErrorKind, latency: Duration) -> Outcome {
+pub(super) fn failed_outcome(error: ErrorKind, latency: Duration) -> Outcome {
     Outcome::Failed { error, latency, passed: false }
 }
--- a/src/daemon/control/actor.rs
+++ b/src/daemon/control/actor.rs
@@ -4,11 +4,11 @@
 use xtra::{Actor, Address, Mailbox, WeakAddress};
 
 use super::{
-    manifest::Newcomer,
-    messages::{Marked, PlatformHeard, Tick},
+    manifest::Bootstrap,
+    messages::{MarkAdded, PlatformCallResult, Tick},
 };
 use crate::{
-    daemon::{PeerLink, traffic::Traffic},
+    daemon::{PeerLink, traffic::TrafficHandler},
     drain::{DrainSet, ProgressTracker},
     ledger::SealedPart,
     manifest::ManifestStore,
@@ -21,10 +21,10 @@
 };
 
 /// Messages that may wait for the actor; past it senders wait.
-const MAILBOX: usize = 1024;
+const MAILBOX_CAPACITY: usize = 1024;
 
 /// What the control side is built from.
-pub struct ControlParts {
+pub struct ControlDependencies {
     pub clock: Arc<dyn Clock>,
     pub link: Arc<dyn PeerLink>,
     pub member: MemberId,
@@ -35,88 +35,88 @@
     /// RPC addresses to start from.
     pub seeds: Vec<SocketAddr>,
     pub store: ManifestStore,
-    pub traffic: Arc<Traffic>,
+    pub traffic: Arc<TrafficHandler>,
 }
 
 /// The control state of one host.
-pub struct Control {
+pub struct ControlActor {
     pub(super) baselines: Baselines,
     pub(super) drains: DrainSet,
     /// Parts of sealed ledgers that are still incomplete, by the digest of the whole.
     pub(super) handovers: BTreeMap<String, Vec<SealedPart>>,
-    pub(super) newcomer: Newcomer,
-    pub(super) parts: ControlParts,
-    pub(super) platform_at: Option<Moment>,
+    pub(super) bootstrap: Bootstrap,
+    pub(super) deps: ControlDependencies,
+    pub(super) platform_answered_at: Option<Moment>,
     /// Whether the last call to the platform failed; further ones are spaced out.
     pub(super) platform_fails: bool,
     pub(super) progress: ProgressTracker,
     /// Highest sequence that a pull is under way for.
-    pub(super) pulling: Option<Sequence>,
+    pub(super) fetching: Option<Sequence>,
     /// Whether a write of the drains to the platform is under way.
-    pub(super) settling: bool,
-    pub(super) shown: Option<Arc<View>>,
+    pub(super) syncing_drains: bool,
+    pub(super) published: Option<Arc<View>>,
     pub(super) tenure: TenureManager,
 }
 
-impl Control {
+impl ControlActor {
     /// Starts the actor on the current runtime.
-    pub fn spawn(mut parts: ControlParts) -> Address<Self> {
+    pub fn spawn(mut deps: ControlDependencies) -> Address<Self> {
         // Also for later: after a long cut these addresses may be all that is left.
-        parts.membership.add_seeds(parts.seeds.iter().copied());
-        let own = parts.membership.own().clone();
+        deps.membership.add_seeds(deps.seeds.iter().copied());
+        let own = deps.membership.own().clone();
         let control = Self {
             baselines: Baselines::default(),
             drains: DrainSet::new(own.id.clone()),
             handovers: BTreeMap::new(),
-            newcomer: Newcomer::default(),
-            parts,
-            platform_at: None,
+            bootstrap: Bootstrap::default(),
+            deps,
+            platform_answered_at: None,
             platform_fails: false,
             progress: ProgressTracker::default(),
-            pulling: None,
-            settling: false,
-            shown: None,
+            fetching: None,
+            syncing_drains: false,
+            published: None,
             tenure: TenureManager::new(own.id, own.incarnation, own.zone),
         };
-        let traffic = control.parts.traffic.clone();
-        let address = xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX));
-        tokio::spawn(tell_marks(traffic, address.downgrade()));
+        let traffic = control.deps.traffic.clone();
+        let address = xtra::spawn_tokio(control, Mailbox::bounded(MAILBOX_CAPACITY));
+        tokio::spawn(forward_marks(traffic, address.downgrade()));
         address
     }
 
     pub(super) fn now(&self) -> Moment {
-        self.parts.clock.now()
+        self.deps.clock.now()
     }
 
-    pub(super) fn note(&self, kind: EventKind) {
-        self.parts.recorder.record(None, kind);
+    pub(super) fn record(&self, kind: EventKind) {
+        self.deps.recorder.record(None, kind);
     }
 
     /// Puts what happened among the hosts on the time line.
-    pub(super) fn note_members(&mut self, events: Vec<MembershipEvent>) {
+    pub(super) fn record_membership_events(&mut self, events: Vec<MembershipEvent>) {
         for event in events {
             let kind = match event {
                 MembershipEvent::Joined(host) => EventKind::HostJoined { host: host.id },
                 MembershipEvent::Left(host) => EventKind::HostLeft { host: host.id },
                 MembershipEvent::Returned(host) => EventKind::HostJoined { host },
                 MembershipEvent::Superseded => {
-                    let host = self.parts.membership.own().id.clone();
+                    let host = self.deps.membership.own().id.clone();
                     log::error!("another process runs as host {host}: this one takes no more work");
                     // Peers no longer list this process; what callers still send here would be sent
                     // on without a right to any target.
-                    self.parts.membership.leave();
-                    self.parts.traffic.feed(crate::routing::Event::Leave);
+                    self.deps.membership.leave();
+                    self.deps.traffic.handle_event(crate::routing::Event::Leave);
                     EventKind::HostLeft { host }
                 }
                 MembershipEvent::Suspected(host) => EventKind::HostSuspected { host },
             };
-            self.note(kind);
+            self.record(kind);
         }
     }
 
     /// Runs a call beside the actor and sends it what came of it.
-    pub(super) fn beside<M>(
-        me: WeakAddress<Self>,
+    pub(super) fn spawn_call<M>(
+        address: WeakAddress<Self>,
         call: impl Future<Output = Option<M>> + Send + 'static,
     ) where
         Self: xtra::Handler<M>,
@@ -125,55 +125,55 @@
         tokio::spawn(async move {
             let Some(message) = call.await else { return };
             // A failed send means that the host is stopping.
-            let _ = me.send(message).await;
+            let _ = address.send(message).await;
         });
     }
 }
 
 /// Passes new suspicions on until the actor is gone.
-async fn tell_marks(traffic: Arc<Traffic>, control: WeakAddress<Control>) {
+async fn forward_marks(traffic: Arc<TrafficHandler>, control: WeakAddress<ControlActor>) {
     loop {
-        traffic.marked().await;
-        if control.send(Marked).await.is_err() {
+        traffic.wait_for_mark().await;
+        if control.send(MarkAdded).await.is_err() {
             return;
         }
     }
 }
 
-impl Actor for Control {
+impl Actor for ControlActor {
     type Stop = ();
 
     async fn stopped(self) {}
 }
 
-impl xtra::Handler<Tick> for Control {
+impl xtra::Handler<Tick> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, _tick: Tick, cx: &mut xtra::Context<Self>) {
         let now = self.now();
-        let events = self.parts.membership.tick(now);
-        self.note_members(events);
-        let me = cx.mailbox().address();
-        self.tick_newcomer(&me);
-        self.tick_tenure(&me);
-        self.tick_drains(&me);
-        self.tell_notes();
-        self.exchange(me.clone());
-        self.take_heard(me);
+        let events = self.deps.membership.tick(now);
+        self.record_membership_events(events);
+        let address = cx.mailbox().address();
+        self.tick_bootstrap(&address);
+        self.tick_tenure(&address);
+        self.tick_drains(&address);
+        self.update_payload();
+        self.start_exchanges(address.clone());
+        self.apply_received(address);
         self.publish();
     }
 }
 
-impl xtra::Handler<PlatformHeard> for Control {
+impl xtra::Handler<PlatformCallResult> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, heard: PlatformHeard, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, heard: PlatformCallResult, _cx: &mut xtra::Context<Self>) {
         if heard.answered {
-            self.platform_at = Some(self.now());
+            self.platform_answered_at = Some(self.now());
         }
         let open = !heard.answered;
         if std::mem::replace(&mut self.platform_fails, open) != open {
-            self.note(EventKind::BreakerMoved { open });
+            self.record(EventKind::BreakerMoved { open });
         }
     }
 }
--- a/src/daemon/control/handler.rs
+++ b/src/daemon/control/handler.rs
@@ -6,10 +6,10 @@
 use xtra::Address;
 
 use super::{
-    actor::Control,
+    actor::ControlActor,
     messages::{
-        AskExplain, AskManifest, AskPart, AskStatus, Exchanged, OrderDrain, OrderUndrain,
-        TakeHandover,
+        ExchangeRequest, GetExplanation, GetManifest, GetPart, GetStatus, ReceiveHandover,
+        StartDrain, UndoDrains,
     },
 };
 use crate::{
@@ -28,70 +28,70 @@
 /// bound before the actor, which tells its address to the peers; until then calls are put off.
 #[derive(Default)]
 pub struct ControlHandler {
-    parts: OnceLock<Parts>,
+    backend: OnceLock<Backend>,
 }
 
-struct Parts {
-    control: Address<Control>,
+struct Backend {
+    control: Address<ControlActor>,
     recorder: Arc<Recorder>,
 }
 
 impl ControlHandler {
     /// From now on calls are answered.
-    pub fn connect(&self, control: Address<Control>, recorder: Arc<Recorder>) {
+    pub fn connect(&self, control: Address<ControlActor>, recorder: Arc<Recorder>) {
         // A second call would find the same actor: there is one for a server.
-        let _ = self.parts.set(Parts { control, recorder });
+        let _ = self.backend.set(Backend { control, recorder });
     }
 
-    fn parts(&self) -> Result<&Parts> {
-        self.parts.get().ok_or_else(|| PeerError::Unavailable("the host is starting".into()))
+    fn backend(&self) -> Result<&Backend> {
+        self.backend.get().ok_or_else(|| PeerError::Unavailable("the host is starting".into()))
     }
 
-    async fn ask<M>(&self, message: M) -> Result<<Control as xtra::Handler<M>>::Return>
+    async fn call<M>(&self, message: M) -> Result<<ControlActor as xtra::Handler<M>>::Return>
     where
-        Control: xtra::Handler<M>,
+        ControlActor: xtra::Handler<M>,
         M: Send + 'static,
     {
         let stopping = |_| PeerError::Unavailable("the host is stopping".into());
-        self.parts()?.control.send(message).await.map_err(stopping)
+        self.backend()?.control.send(message).await.map_err(stopping)
     }
 }
 
 #[async_trait]
 impl PeerHandler for ControlHandler {
     async fn exchange(&self, digest: Digest) -> Result<Digest> {
-        self.ask(Exchanged(digest)).await
+        self.call(ExchangeRequest(digest)).await
     }
 
     async fn manifest(&self) -> Result<ManifestReply> {
-        self.ask(AskManifest).await
+        self.call(GetManifest).await
     }
 
     async fn part(&self, request: PartRequest) -> Result<PartReply> {
-        self.ask(AskPart(request.id)).await
+        self.call(GetPart(request.id)).await
     }
 
     async fn handover(&self, chunk: HandoverChunk) -> Result<HandoverAck> {
-        self.ask(TakeHandover(chunk)).await?
+        self.call(ReceiveHandover(chunk)).await?
     }
 
     async fn events(&self, filter: Filter) -> Result<Vec<Event>> {
-        Ok(self.parts()?.recorder.events(&filter))
+        Ok(self.backend()?.recorder.events(&filter))
     }
 
     async fn status(&self) -> Result<HostStatus> {
-        self.ask(AskStatus).await?
+        self.call(GetStatus).await?
     }
 
     async fn explain(&self, request: ExplainRequest) -> Result<Explanation> {
-        self.ask(AskExplain(request)).await?
+        self.call(GetExplanation(request)).await?
     }
 
     async fn drain(&self, order: DrainOrder) -> Result<DrainRecord> {
-        self.ask(OrderDrain(order)).await?
+        self.call(StartDrain(order)).await?
     }
 
     async fn undrain(&self, order: UndrainOrder) -> Result<Vec<DrainRecord>> {
-        self.ask(OrderUndrain(order)).await?
+        self.call(UndoDrains(order)).await?
     }
 }
--- a/src/daemon/control/handover.rs
+++ b/src/daemon/control/handover.rs
@@ -1,8 +1,8 @@
 //! Takes over the sealed ledger of a host of this zone that stops.
 
 use super::{
-    actor::Control,
-    messages::{AskSuccessors, HandoverAnswer, TakeHandover},
+    actor::ControlActor,
+    messages::{GetSuccessors, HandoverResult, ReceiveHandover},
 };
 use crate::{
     ledger::{SealedLedger, SealedPart},
@@ -13,8 +13,8 @@
 /// Ledgers that may arrive at the same time.
 const MAX_HANDOVERS: usize = 8;
 
-impl Control {
-    fn take_part(&mut self, part: SealedPart) -> HandoverAnswer {
+impl ControlActor {
+    fn receive_part(&mut self, part: SealedPart) -> HandoverResult {
         let (digest, index, of) = (part.digest.clone(), part.index, part.of);
         if !self.handovers.contains_key(&digest) && MAX_HANDOVERS <= self.handovers.len() {
             self.handovers.pop_first();
@@ -28,36 +28,36 @@
         let parts = self.handovers.remove(&digest).unwrap_or_default();
         let unavailable = |error: crate::ledger::Error| PeerError::Unavailable(error.to_string());
         let sealed = SealedLedger::join(parts).map_err(unavailable)?;
-        let adopted = self.parts.traffic.adopt(sealed);
+        let adopted = self.deps.traffic.adopt(sealed);
         adopted.map_err(unavailable)?;
-        self.tell_notes();
+        self.update_payload();
         self.publish();
         Ok(HandoverAck { complete: true, index })
     }
 }
 
-impl xtra::Handler<TakeHandover> for Control {
-    type Return = HandoverAnswer;
+impl xtra::Handler<ReceiveHandover> for ControlActor {
+    type Return = HandoverResult;
 
     async fn handle(
         &mut self,
-        take: TakeHandover,
+        request: ReceiveHandover,
         _cx: &mut xtra::Context<Self>,
-    ) -> HandoverAnswer {
-        self.take_part(take.0.part)
+    ) -> HandoverResult {
+        self.receive_part(request.0.part)
     }
 }
 
-impl xtra::Handler<AskSuccessors> for Control {
+impl xtra::Handler<GetSuccessors> for ControlActor {
     type Return = Vec<HostView>;
 
     async fn handle(
         &mut self,
-        _ask: AskSuccessors,
+        _ask: GetSuccessors,
         _cx: &mut xtra::Context<Self>,
     ) -> Vec<HostView> {
-        let own = self.parts.membership.own().clone();
-        let hosts = self.parts.membership.hosts(self.now());
+        let own = self.deps.membership.own().clone();
+        let hosts = self.deps.membership.hosts(self.now());
         let able = hosts.into_iter().filter(|host| host.id != own.id && !host.leaving);
         let mut able: Vec<HostView> = able.collect();
         able.sort_by_key(|host| (host.zone != own.zone, host.region != own.region));
--- a/src/daemon/control/messages.rs
+++ b/src/daemon/control/messages.rs
@@ -15,20 +15,20 @@
 
 /// A peer asks for an exchange; the answer is what it lacks.
 #[derive(Debug)]
-pub struct Exchanged(pub Digest);
+pub struct ExchangeRequest(pub Digest);
 
 /// An exchange that this host began has ended.
 #[derive(Debug)]
-pub struct Merged {
-    pub answer: crate::peer::Result<Digest>,
+pub struct ExchangeResult {
+    pub result: crate::peer::Result<Digest>,
     /// By this host's clock, right before the question was sent.
     pub sent: Moment,
-    pub turn: Turn,
+    pub round: ExchangeRound,
 }
 
 /// Which exchange of a row it was.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
+pub enum ExchangeRound {
     First,
     /// Begun at once, because the answer to the first asked for more.
     FollowUp,
@@ -36,44 +36,44 @@
 
 /// A manifest came from the platform or from a peer, with the parts that came along.
 #[derive(Debug)]
-pub struct Offered {
-    pub from: Source,
+pub struct ManifestOffer {
+    pub from: ManifestSource,
     pub parts: Vec<Part>,
     pub signed: SignedManifest,
 }
 
 /// Where a manifest came from, and so where its parts are.
 #[derive(Clone, Copy, Debug)]
-pub enum Source {
+pub enum ManifestSource {
     Peer(SocketAddr),
     Platform,
 }
 
 /// The platform answered, or failed to.
 #[derive(Clone, Copy, Debug)]
-pub struct PlatformHeard {
+pub struct PlatformCallResult {
     pub answered: bool,
 }
 
 /// Whether this host watches the platform for its zone.
 #[derive(Clone, Copy, Debug)]
-pub struct IsRelay;
+pub struct IsPlatformWatcher;
 
 /// The signed manifest in force.
 #[derive(Clone, Copy, Debug)]
-pub struct AskManifest;
+pub struct GetManifest;
 
 /// A part of the manifest in force.
 #[derive(Clone, Debug)]
-pub struct AskPart(pub PartId);
+pub struct GetPart(pub PartId);
 
 /// A part of a stopping host's ledger.
 #[derive(Debug)]
-pub struct TakeHandover(pub HandoverChunk);
+pub struct ReceiveHandover(pub HandoverChunk);
 
 /// A request came under suspicion on this host: told to all at once.
 #[derive(Clone, Copy, Debug)]
-pub struct Marked;
+pub struct MarkAdded;
 
 /// Begin of a planned stop: told to all peers at once.
 #[derive(Clone, Copy, Debug)]
@@ -81,35 +81,35 @@
 
 /// Hosts of the zone that may take over this host's ledger, best first.
 #[derive(Clone, Copy, Debug)]
-pub struct AskSuccessors;
+pub struct GetSuccessors;
 
 /// What an operator is shown.
 #[derive(Clone, Copy, Debug)]
-pub struct AskStatus;
+pub struct GetStatus;
 
 /// Why a request would go where it goes.
 #[derive(Debug)]
-pub struct AskExplain(pub ExplainRequest);
+pub struct GetExplanation(pub ExplainRequest);
 
 /// An operator drains.
 #[derive(Debug)]
-pub struct OrderDrain(pub DrainOrder);
+pub struct StartDrain(pub DrainOrder);
 
 /// An operator takes drains back.
 #[derive(Debug)]
-pub struct OrderUndrain(pub UndrainOrder);
+pub struct UndoDrains(pub UndrainOrder);
 
 /// Answer to `TakeHandover`.
-pub type HandoverAnswer = crate::peer::Result<HandoverAck>;
+pub type HandoverResult = crate::peer::Result<HandoverAck>;
 
 /// Answer to `AskStatus`.
-pub type StatusAnswer = crate::peer::Result<HostStatus>;
+pub type StatusResult = crate::peer::Result<HostStatus>;
 
 /// Answer to `AskExplain`.
-pub type ExplainAnswer = crate::peer::Result<Explanation>;
+pub type ExplainResult = crate::peer::Result<Explanation>;
 
 /// Answer to `OrderDrain`.
-pub type DrainAnswer = crate::peer::Result<DrainRecord>;
+pub type DrainResult = crate::peer::Result<DrainRecord>;
 
 /// Answer to `OrderUndrain`.
-pub type UndrainAnswer = crate::peer::Result<Vec<DrainRecord>>;
+pub type UndrainResult = crate::peer::Result<Vec<DrainRecord>>;
--- a/src/daemon/control/mod.rs
+++ b/src/daemon/control/mod.rs
@@ -16,8 +16,8 @@
 mod tenure;
 
 pub use self::{
-    actor::{Control, ControlParts},
+    actor::{ControlActor, ControlDependencies},
     handler::ControlHandler,
     manifest::follow_platform,
-    messages::{AskSuccessors, Leave, Tick},
+    messages::{GetSuccessors, Leave, Tick},
 };
--- a/src/daemon/control/operator.rs
+++ b/src/daemon/control/operator.rs
@@ -3,8 +3,8 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use super::{
-    actor::Control,
-    messages::{AskExplain, AskStatus, ExplainAnswer, StatusAnswer},
+    actor::ControlActor,
+    messages::{ExplainResult, GetExplanation, GetStatus, StatusResult},
 };
 use crate::{
     operator::{DrainStatus, HostStatus, ServiceStatus, SilentZone, TenureStatus, explain},
@@ -12,12 +12,12 @@
     prelude::*,
 };
 
-impl Control {
-    fn status(&self) -> StatusAnswer {
+impl ControlActor {
+    fn status(&self) -> StatusResult {
         let now = self.now();
         let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        let usage = self.parts.traffic.with_steer(|steer, _| steer.slot_usage());
-        let manifest = self.parts.store.current().map(|(manifest, _)| manifest);
+        let usage = self.deps.traffic.with_router(|router, _| router.slot_usage());
+        let manifest = self.deps.store.current().map(|(manifest, _)| manifest);
         let cap_of = |service: &ServiceId| {
             let manifest = manifest.as_ref();
             manifest.and_then(|m| m.service(service)).map_or(0.0, |service| service.shift_cap)
@@ -26,9 +26,9 @@
             cap: cap_of(&usage.service),
             in_flight: u64::from(usage.busy),
             shifted: self
-                .parts
+                .deps
                 .traffic
-                .with_steer(|steer, now| steer.shifted_share(&usage.service, now)),
+                .with_router(|router, now| router.shifted_share(&usage.service, now)),
             service: usage.service,
             slots: u64::from(usage.slots),
         });
@@ -41,18 +41,18 @@
                 record,
             }
         });
-        let silent = self.parts.membership.silent_zones(now);
+        let silent = self.deps.membership.silent_zones(now);
         let silent_zones =
             silent.into_iter().map(|(zone, time)| SilentZone { for_ms: millis(time), zone });
-        let tenure = self.shown.as_ref().map(|view| &view.tenure);
+        let tenure = self.published.as_ref().map(|view| &view.tenure);
         Ok(HostStatus {
             breaker_open: self.platform_fails,
             drains: drains.collect(),
-            ejected: self.parts.traffic.with_steer(|steer, now| steer.ejected_targets(now)),
-            hosts: self.parts.membership.hosts(now),
-            own: self.parts.membership.own().clone(),
-            platform_age_ms: self.platform_at.map(|at| millis(now.saturating_sub(at))),
-            sequence: self.parts.store.sequence(),
+            ejected: self.deps.traffic.with_router(|router, now| router.ejected_targets(now)),
+            hosts: self.deps.membership.hosts(now),
+            own: self.deps.membership.own().clone(),
+            platform_age_ms: self.platform_answered_at.map(|at| millis(now.saturating_sub(at))),
+            sequence: self.deps.store.sequence(),
             services: services.collect(),
             silent_zones: silent_zones.collect(),
             tenure: tenure.map(|tenure| TenureStatus {
@@ -64,15 +64,15 @@
         })
     }
 
-    fn explain(&self, service: &ServiceId, caller: IpAddr) -> ExplainAnswer {
-        let Some(view) = &self.shown else {
+    fn explain(&self, service: &ServiceId, caller: IpAddr) -> ExplainResult {
+        let Some(view) = &self.published else {
             return Err(PeerError::Unavailable("no manifest is in force here yet".into()));
         };
         let ask = ExplainRequest { caller: Some(caller), service: service.clone() };
-        let (mut explanation, options) = self.parts.traffic.with_steer(|steer, now| {
-            let home = steer.blocks().home_region(caller).unwrap_or(&view.own.region).clone();
-            let explanation = explain(view, steer.blocks(), &ask, now);
-            (explanation, steer.target_statuses(service, &home, now))
+        let (mut explanation, options) = self.deps.traffic.with_router(|router, now| {
+            let home = router.blocks().home_region(caller).unwrap_or(&view.own.region).clone();
+            let explanation = explain(view, router.blocks(), &ask, now);
+            (explanation, router.target_statuses(service, &home, now))
         });
         for option in &options {
             explanation.step("here", option.to_string());
@@ -81,18 +81,22 @@
     }
 }
 
-impl xtra::Handler<AskStatus> for Control {
-    type Return = StatusAnswer;
+impl xtra::Handler<GetStatus> for ControlActor {
+    type Return = StatusResult;
 
-    async fn handle(&mut self, _ask: AskStatus, _cx: &mut xtra::Context<Self>) -> StatusAnswer {
+    async fn handle(&mut self, _ask: GetStatus, _cx: &mut xtra::Context<Self>) -> StatusResult {
         self.status()
     }
 }
 
-impl xtra::Handler<AskExplain> for Control {
-    type Return = ExplainAnswer;
+impl xtra::Handler<GetExplanation> for ControlActor {
+    type Return = ExplainResult;
 
-    async fn handle(&mut self, ask: AskExplain, _cx: &mut xtra::Context<Self>) -> ExplainAnswer {
+    async fn handle(
+        &mut self,
+        ask: GetExplanation,
+        _cx: &mut xtra::Context<Self>,
+    ) -> ExplainResult {
         let caller = ask.0.caller.unwrap_or(IpAddr::V4(Ipv4Addr::LOCALHOST));
         self.explain(&ask.0.service, caller)
     }
--- a/src/daemon/control/publish.rs
+++ b/src/daemon/control/publish.rs
@@ -1,27 +1,27 @@
 //! What follows from the control state, as one view.
 
-use super::actor::Control;
+use super::actor::ControlActor;
 use crate::{prelude::*, view::View};
 
-impl Control {
+impl ControlActor {
     /// Gives the traffic side a new view if anything in it changed.
     pub(super) fn publish(&mut self) {
-        let Some((manifest, _)) = self.parts.store.current() else { return };
+        let Some((manifest, _)) = self.deps.store.current() else { return };
         let now = self.now();
         let view = View {
             baselines: self.baselines.baselines(),
             drains: self.drains.in_force(),
-            hosts: self.parts.membership.hosts(now),
+            hosts: self.deps.membership.hosts(now),
             manifest,
-            own: self.parts.membership.own().clone(),
-            silent_regions: self.parts.membership.silent_regions(now),
+            own: self.deps.membership.own().clone(),
+            silent_regions: self.deps.membership.silent_regions(now),
             tenure: self.tenure.tenure(now),
         };
-        if self.shown.as_deref() == Some(&view) {
+        if self.published.as_deref() == Some(&view) {
             return;
         }
         let view = Arc::new(view);
-        self.shown = Some(view.clone());
-        self.parts.traffic.show(view);
+        self.published = Some(view.clone());
+        self.deps.traffic.set_view(view);
     }
 }
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -9,10 +9,10 @@
 
 use super::{
     PeerLink,
-    control::{AskSuccessors, Control, ControlHandler, Leave, follow_platform},
+    control::{ControlActor, ControlHandler, GetSuccessors, Leave, follow_platform},
     http::routes,
     start,
-    traffic::Traffic,
+    traffic::TrafficHandler,
 };
 use crate::{
     forward::Upstream,
@@ -31,20 +31,20 @@
 };
 
 /// Longest time that a planned stop waits for requests in flight.
-const STOP_LIMIT: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How often a planned stop looks whether requests are still in flight.
-const STOP_STEP: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time for peers and callers to learn that this host leaves, before it closes its sockets.
-const LEAVE_NOTICE: Duration = Duration::from_millis(1500);
+const LEAVE_NOTICE_TIME: Duration = Duration::from_millis(1500);
 
 /// Time for the last answers to leave the sockets: a request counts as ended once its answer is
 /// handed to the HTTP server, and a host that went at once would cut that answer off.
-const FLUSH: Duration = Duration::from_millis(250);
+const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(250);
 
 /// Bytes of one part of a sealed ledger.
-const HANDOVER_PART: usize = 512 * 1024;
+const HANDOVER_PART_BYTES: usize = 512 * 1024;
 
 /// Result of a start.
 pub type Result<T> = std::result::Result<T, Error>;
@@ -61,11 +61,11 @@
     #[error("{0}")]
     Settings(#[from] crate::settings::Problem),
     #[error("the start was interrupted")]
-    Stopped,
+    Interrupted,
 }
 
 /// What a host is built from.
-pub struct DaemonParts {
+pub struct DaemonConfig {
     pub clock: Arc<dyn Clock>,
     pub limits: RouterLimits,
     /// The way to other hosts' RPC servers.
@@ -79,10 +79,10 @@
     pub seed: u64,
     pub settings: Settings,
     /// Where the decisions are recorded for replay, if they are.
-    pub record: Option<SteerRecorder>,
+    pub trace_recorder: Option<SteerRecorder>,
     pub targets: Arc<dyn Upstream>,
     /// Events that the time line keeps.
-    pub timeline: usize,
+    pub timeline_capacity: usize,
     /// Threads for traffic.
     pub traffic_threads: usize,
 }
@@ -91,14 +91,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopReport {
     /// Requests that were still running when the time was over.
-    pub cut: usize,
+    pub interrupted: usize,
     /// Ledger entries that no other host took over.
     pub entries_lost: usize,
 }
 
 /// A running host. Dropping the handle ends it at once, as a crash would.
 pub struct Daemon {
-    control: Address<Control>,
+    control: Address<ControlActor>,
     http: SocketAddr,
     leaving: Arc<AtomicBool>,
     link: Arc<dyn PeerLink>,
@@ -108,7 +108,7 @@
     _runtimes: Runtimes,
     server: Option<PeerServer>,
     subscriptions: Vec<Subscription>,
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficHandler>,
 }
 
 /// One thread for control state, others for traffic.
@@ -127,70 +127,70 @@
 
 impl Daemon {
     /// Starts a host: binds its sockets, asks platform and peers for the manifest, serves.
-    pub async fn spawn(parts: DaemonParts) -> Result<Self> {
+    pub async fn spawn(config: DaemonConfig) -> Result<Self> {
         let runtimes = Runtimes {
-            control: Some(start::runtime("control", 1)?),
-            traffic: Some(start::runtime("traffic", parts.traffic_threads)?),
+            control: Some(start::build_runtime("control", 1)?),
+            traffic: Some(start::build_runtime("traffic", config.traffic_threads)?),
         };
         let (Some(control_rt), Some(traffic_rt)) = (&runtimes.control, &runtimes.traffic) else {
-            return Err(Error::Stopped);
+            return Err(Error::Interrupted);
         };
-        let listener = traffic_rt.spawn(start::listen(parts.settings.http));
-        let listener = listener.await.map_err(|_| Error::Stopped)??;
+        let listener = traffic_rt.spawn(start::bind(config.settings.http));
+        let listener = listener.await.map_err(|_| Error::Interrupted)??;
         let http = listener.local_addr().map_err(Error::Runtime)?;
         let handler = Arc::new(ControlHandler::default());
         let keys = PeerCredentials {
-            member: parts.settings.member.clone(),
-            operator: parts.operator_token.clone(),
-            peer: parts.peer_key.clone(),
+            member: config.settings.member.clone(),
+            operator: config.operator_token.clone(),
+            peer: config.peer_key.clone(),
         };
-        let rpc = parts.settings.rpc;
+        let rpc = config.settings.rpc;
         let bound = control_rt.spawn(PeerServer::bind(rpc, handler.clone(), keys));
-        let server = bound.await.map_err(|_| Error::Stopped)?;
+        let server = bound.await.map_err(|_| Error::Interrupted)?;
         let server = server.map_err(|source| Error::Bind { address: rpc, source })?;
 
-        let mut rng = ChaCha8Rng::seed_from_u64(parts.seed);
-        let own = start::own_view(&parts.settings, http, server.local_addr(), rng.random());
+        let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
+        let own = start::own_view(&config.settings, http, server.local_addr(), rng.random());
         let recorder = Arc::new(Recorder::new(
-            parts.settings.member.clone(),
+            config.settings.member.clone(),
             own.id.clone(),
             own.incarnation,
-            parts.timeline,
+            config.timeline_capacity,
         ));
-        let metrics = start::metrics(&parts.settings, &own)?;
+        let metrics = start::open_metrics(&config.settings, &own)?;
         let sink: Arc<dyn EventSink> =
             Arc::new(MeteredSink::new(recorder.clone(), metrics.clone()));
         sink.record(None, EventKind::Started);
         let traffic = {
             let _context = traffic_rt.enter();
-            start::traffic(&parts, &own, sink, rng.random())
+            start::build_traffic(&config, &own, sink, rng.random())
         };
         // The boot clock may stand at days: the ledger opens a generation of now, and only that one
         // may be told to anybody. Bookings bound to one of the clock's start would all be dropped.
-        traffic.feed(Event::Tick);
-        let generation = traffic.with_steer(|steer, _| steer.binding().generation);
+        traffic.handle_event(Event::Tick);
+        let generation = traffic.with_router(|router, _| router.binding().generation);
         let own = HostView { generation, ..own };
         let control = {
             let _context = control_rt.enter();
-            start::control(&parts, &own, &recorder, &traffic, rng)?
+            start::spawn_control(&config, &own, &recorder, &traffic, rng)?
         };
         handler.connect(control.clone(), recorder.clone());
         let leaving = Arc::new(AtomicBool::new(false));
-        let member = parts.settings.member.clone();
-        let follow = follow_platform(control.clone(), parts.platform, member, leaving.clone());
+        let member = config.settings.member.clone();
+        let follow = follow_platform(control.clone(), config.platform, member, leaving.clone());
         control_rt.spawn(follow);
-        let limits = parts.settings.ingress;
+        let limits = config.settings.ingress;
         let memory = BodyMemory::open(limits);
-        let app = warp::service(routes(traffic.clone(), parts.settings.member.clone(), memory));
+        let app = warp::service(routes(traffic.clone(), config.settings.member.clone(), memory));
         traffic_rt.spawn(ingress::serve(listener, app, limits, metrics.clone()));
         let mut subscriptions =
-            start::subscribe(control_rt, traffic_rt, &control, &traffic, parts.targets);
-        subscriptions.push(start::gauge(control_rt, &traffic, metrics));
+            start::start_timers(control_rt, traffic_rt, &control, &traffic, config.targets);
+        subscriptions.push(start::start_gauges(control_rt, &traffic, metrics));
         Ok(Self {
             control,
             http,
             leaving,
-            link: parts.link,
+            link: config.link,
             own,
             recorder,
             _runtimes: runtimes,
@@ -211,7 +211,7 @@
     }
 
     /// The host as its peers see it at the start.
-    pub fn own(&self) -> &HostView {
+    pub fn view(&self) -> &HostView {
         &self.own
     }
 
@@ -221,13 +221,13 @@
     }
 
     /// The traffic side, for those that watch a host from within its process.
-    pub(crate) fn traffic(&self) -> &Arc<Traffic> {
+    pub(crate) fn traffic(&self) -> &Arc<TrafficHandler> {
         &self.traffic
     }
 
     /// Requests in flight.
-    pub fn busy(&self) -> usize {
-        self.traffic.with_steer(|steer, _| steer.pending_calls())
+    pub fn pending_requests(&self) -> usize {
+        self.traffic.with_router(|router, _| router.pending_calls())
     }
 
     /// Sequence of the manifest in force; `None` while the host does not serve.
@@ -240,17 +240,17 @@
         self.leaving.store(true, Ordering::Relaxed);
         // Failed sends here and below mean that the control thread is gone; the rest goes on.
         let _ = self.control.send(Leave).await;
-        let notice = tokio::time::sleep(LEAVE_NOTICE);
-        let cut = self.wait_for_requests().await;
+        let notice = tokio::time::sleep(LEAVE_NOTICE_TIME);
+        let interrupted = self.wait_for_requests().await;
         let sealed = self.traffic.seal();
         let entries = sealed.entry_count();
         // An empty ledger is handed over too: that it holds no entry is proof that nothing ran. A
         // booking that was on its way to this host would otherwise be `unknown` to all others.
-        let taken = self.hand_over(&sealed).await || entries == 0;
+        let handed_over = self.hand_over(&sealed).await || entries == 0;
         notice.await;
-        tokio::time::sleep(FLUSH).await;
-        let entries_lost = if taken { 0 } else { entries };
-        if !taken {
+        tokio::time::sleep(RESPONSE_FLUSH_TIME).await;
+        let entries_lost = if handed_over { 0 } else { entries };
+        if !handed_over {
             let entries = entries as u64;
             self.recorder.record(None, EventKind::HandoverLost { entries });
             log::error!("{entries} ledger entries are lost: no host of the member took them");
@@ -260,24 +260,24 @@
         if let Some(server) = self.server.take() {
             server.stop().await;
         }
-        StopReport { cut, entries_lost }
+        StopReport { interrupted, entries_lost }
     }
 
     async fn wait_for_requests(&self) -> usize {
-        let waited = tokio::time::timeout(STOP_LIMIT, async {
-            while 0 < self.busy() {
-                tokio::time::sleep(STOP_STEP).await;
+        let waited = tokio::time::timeout(STOP_TIMEOUT, async {
+            while 0 < self.pending_requests() {
+                tokio::time::sleep(STOP_POLL_INTERVAL).await;
             }
         });
-        if waited.await.is_ok() { 0 } else { self.busy() }
+        if waited.await.is_ok() { 0 } else { self.pending_requests() }
     }
 
     /// Offers the sealed ledger to one host after the other until one has it whole.
     async fn hand_over(&self, sealed: &SealedLedger) -> bool {
-        let successors = self.control.send(AskSuccessors).await.unwrap_or_default();
-        let parts = sealed.split(HANDOVER_PART);
+        let successors = self.control.send(GetSuccessors).await.unwrap_or_default();
+        let parts = sealed.split(HANDOVER_PART_BYTES);
         for host in successors {
-            if !self.give(&host, &parts).await {
+            if !self.send_ledger(&host, &parts).await {
                 continue;
             }
             let entries = sealed.entry_count() as u64;
@@ -287,7 +287,7 @@
         false
     }
 
-    async fn give(&self, host: &HostView, parts: &[crate::ledger::SealedPart]) -> bool {
+    async fn send_ledger(&self, host: &HostView, parts: &[crate::ledger::SealedPart]) -> bool {
         let mut complete = false;
         for part in parts {
             let chunk = HandoverChunk {
--- a/src/daemon/http.rs
+++ b/src/daemon/http.rs
@@ -12,9 +12,9 @@
 };
 
 use super::{
-    incoming::{self, DEFAULT_DEADLINE, Incoming},
+    incoming::{self, DEFAULT_DEADLINE, IncomingRequest},
     outgoing,
-    traffic::Traffic,
+    traffic::TrafficHandler,
 };
 use crate::{
     ingress::{BodyMemory, Remote, read_body},
@@ -24,13 +24,13 @@
 
 /// Largest body that is read whatever the service takes, in bytes: a booking that is too large for
 /// its service goes to its ledger, which can say `not run`.
-const ANY_BODY: u64 = 64 * 1024;
+const MIN_BODY_LIMIT_BYTES: u64 = 64 * 1024;
 
 const LOOKUP_PATH: &str = "/v1/lookup";
 const SERVICES_PATH: &str = "/v1/services/";
 
 /// One request as the server hands it over.
-struct Raw {
+struct RawRequest {
     headers: HeaderMap,
     method: Method,
     path: String,
@@ -49,7 +49,7 @@
 
 /// All routes.
 pub(super) fn routes(
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficHandler>,
     member: MemberId,
     memory: BodyMemory,
 ) -> impl Filter<Extract = (Response,), Error = warp::Rejection> + Clone + Send + Sync + 'static {
@@ -64,16 +64,16 @@
         .then(move |method, path: FullPath, query, headers, remote: Option<Remote>, body| {
             let path = path.as_str().to_owned();
             let remote = remote.map(|Remote(address)| address);
-            let raw = Raw { headers, method, path, query, remote };
-            answer(traffic.clone(), member.clone(), memory.clone(), raw, body)
+            let raw = RawRequest { headers, method, path, query, remote };
+            handle(traffic.clone(), member.clone(), memory.clone(), raw, body)
         })
 }
 
-async fn answer<S, B>(
-    traffic: Arc<Traffic>,
+async fn handle<S, B>(
+    traffic: Arc<TrafficHandler>,
     member: MemberId,
     memory: BodyMemory,
-    raw: Raw,
+    raw: RawRequest,
     body: S,
 ) -> Response
 where
@@ -81,24 +81,24 @@
     B: Buf,
 {
     if raw.path == LOOKUP_PATH {
-        return look_up(&traffic, &member, &raw);
+        return lookup_response(&traffic, &member, &raw);
     }
     let Some(rest) = raw.path.strip_prefix(SERVICES_PATH) else {
         let detail = format!("no such path; use {LOOKUP_PATH} or {SERVICES_PATH}SERVICE/...");
-        let error = traffic.before_ledger(ErrorKind::BadRequest, &raw.headers, &"".into());
-        return refuse(error, &detail);
+        let error = traffic.error_before_ledger(ErrorKind::BadRequest, &raw.headers, &"".into());
+        return refusal_response(error, &detail);
     };
     let (service, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
     let service: ServiceId = service.into();
     let limit = body_limit(&traffic, &service);
-    let (received, time) = (traffic.now(), incoming::time_limit(&raw.headers));
+    let (received, time) = (traffic.now(), incoming::parse_time_limit(&raw.headers));
     // A limit that cannot be read is refused with its name, once the request is whole.
     let time = time.unwrap_or(DEFAULT_DEADLINE);
-    let (body, hold) = match read_body(body, limit, time, &memory).await {
+    let (body, body_memory) = match read_body(body, limit, time, &memory).await {
         Ok(read) => read,
         Err(error) => {
-            let error = traffic.before_ledger(error, &raw.headers, &service);
-            return refuse(error, "the body");
+            let error = traffic.error_before_ledger(error, &raw.headers, &service);
+            return refusal_response(error, "the body");
         }
     };
     let path = match (path, raw.query.as_str()) {
@@ -108,42 +108,43 @@
     };
     let headers = raw.headers;
     let (method, remote) = (raw.method, raw.remote);
-    let incoming = Incoming { body, headers, hold, method, path, received, remote, service };
+    let incoming =
+        IncomingRequest { body, headers, body_memory, method, path, received, remote, service };
     traffic.serve(incoming).await
 }
 
-fn body_limit(traffic: &Traffic, service: &ServiceId) -> u64 {
+fn body_limit(traffic: &TrafficHandler, service: &ServiceId) -> u64 {
     let view = traffic.view();
     let known = view.as_ref().and_then(|view| view.manifest.service(service));
-    known.map_or(ANY_BODY, |service| service.max_body.max(ANY_BODY))
+    known.map_or(MIN_BODY_LIMIT_BYTES, |service| service.max_body.max(MIN_BODY_LIMIT_BYTES))
 }
 
-fn look_up(traffic: &Traffic, member: &MemberId, raw: &Raw) -> Response {
+fn lookup_response(traffic: &TrafficHandler, member: &MemberId, raw: &RawRequest) -> Response {
     let url = format!("http://host{LOOKUP_PATH}?{}", raw.query);
     let query = reqwest::Url::parse(&url).ok().map(|url| {
         let pairs = url.query_pairs().map(|(name, value)| (name.into(), value.into()));
         serde_json::Value::Object(pairs.collect())
     });
     let query = query.unwrap_or_default();
-    let ask: LookupQuery = match serde_json::from_value(query) {
-        Ok(ask) => ask,
-        Err(error) => return refuse(ErrorKind::BadRequest, &format!("query: {error}")),
+    let params: LookupQuery = match serde_json::from_value(query) {
+        Ok(params) => params,
+        Err(error) => return refusal_response(ErrorKind::BadRequest, &format!("query: {error}")),
     };
-    if ask.member.as_ref().is_some_and(|asked| asked != member) {
-        return refuse(ErrorKind::OtherMember, "query: member");
+    if params.member.as_ref().is_some_and(|asked| asked != member) {
+        return refusal_response(ErrorKind::OtherMember, "query: member");
     }
-    let client = ask.client.or(raw.remote.map(|addr| addr.ip()));
+    let client = params.client.or(raw.remote.map(|addr| addr.ip()));
     let client = client.unwrap_or(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST));
     if traffic.view().is_none() {
-        return refuse(ErrorKind::NoManifest, "look-up");
+        return refusal_response(ErrorKind::NoManifest, "look-up");
     }
-    match traffic.look_up(client, &ask.service) {
-        Some(lookup) => found(&lookup),
-        None => refuse(ErrorKind::ServiceUnknown, &ask.service),
+    match traffic.lookup(client, &params.service) {
+        Some(lookup) => encode_lookup(&lookup),
+        None => refusal_response(ErrorKind::ServiceUnknown, &params.service),
     }
 }
 
-fn found(lookup: &LookupResponse) -> Response {
+fn encode_lookup(lookup: &LookupResponse) -> Response {
     let mut res = warp::reply::json(&LookupBody::from(lookup)).into_response();
     let age = format!("max-age={}", lookup.max_age.as_secs());
     if let Ok(age) = age.parse() {
@@ -196,6 +197,6 @@
     }
 }
 
-fn refuse(error: ErrorKind, detail: &str) -> Response {
-    outgoing::error(error, "-", Some(detail), None)
+fn refusal_response(error: ErrorKind, detail: &str) -> Response {
+    outgoing::error_response(error, "-", Some(detail), None)
 }
--- a/src/daemon/incoming.rs
+++ b/src/daemon/incoming.rs
@@ -23,7 +23,7 @@
 const MAX_DEADLINE: Duration = Duration::from_secs(120);
 
 /// Longest id or key, in bytes.
-const MAX_TEXT: usize = 128;
+const MAX_VALUE_BYTES: usize = 128;
 
 /// A header that cannot be read, and what it should hold.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
@@ -38,11 +38,11 @@
 
 /// One request for a service, read and whole.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     pub body: Bytes,
     pub headers: HeaderMap,
     /// The memory that the body takes.
-    pub hold: BodyHold,
+    pub body_memory: BodyHold,
     pub method: Method,
     /// Path and query behind the service's name, with the leading slash.
     pub path: Arc<str>,
@@ -52,10 +52,10 @@
     pub service: ServiceId,
 }
 
-impl Incoming {
+impl IncomingRequest {
     /// What the decisions need to know of it.
     pub fn arrival(&self, call: CallId, member: &MemberId, key: &Secret) -> Result<Arrival> {
-        let via = via(&self.headers, key)?;
+        let via = parse_via(&self.headers, key)?;
         let method = self.method.as_str();
         let asked = self.text(headers::MEMBER)?.unwrap_or_else(|| member.clone());
         Ok(Arrival {
@@ -63,7 +63,7 @@
             body_len: self.body.len() as u64,
             call,
             client: self.client()?,
-            deadline: self.received + time_limit(&self.headers)?,
+            deadline: self.received + parse_time_limit(&self.headers)?,
             digest: request_digest(method, &self.path, &self.body),
             fingerprint: fingerprint(&asked, &self.service, method, &self.path, &self.body),
             key: self.text(headers::IDEMPOTENCY_KEY)?,
@@ -75,31 +75,31 @@
     }
 
     /// The headers that a target gets: all that are neither ours nor of one connection only.
-    pub fn passed_headers(&self) -> Vec<HeaderLine> {
+    pub fn forwarded_headers(&self) -> Vec<HeaderLine> {
         let names = self.headers.iter().filter(|(name, _)| {
             !name.as_str().starts_with(headers::PREFIX) && !is_hop_by_hop(name.as_str())
         });
-        names.filter_map(|(name, value)| line(name.as_str(), value)).collect()
+        names.filter_map(|(name, value)| header_line(name.as_str(), value)).collect()
     }
 
     /// The headers of ours that another host needs to see as the caller sent them.
-    pub fn own_headers(&self) -> Vec<HeaderLine> {
+    pub fn hop_headers(&self) -> Vec<HeaderLine> {
         let kept = [headers::BINDING, headers::CLIENT, headers::MEMBER];
-        let lines = kept.iter().filter_map(|name| line(name, self.headers.get(*name)?));
+        let lines = kept.iter().filter_map(|name| header_line(name, self.headers.get(*name)?));
         lines.collect()
     }
 
     /// What the host that sent the request knows of it as one that crashes targets.
-    pub fn mark(&self, fingerprint: Fingerprint) -> Option<QuarantineMark> {
+    pub fn quarantine_mark(&self, fingerprint: Fingerprint) -> Option<QuarantineMark> {
         let text = self.headers.get(headers::MARK)?.to_str().ok()?;
-        read_mark(text, fingerprint)
+        decode_mark(text, fingerprint)
     }
 
     /// The caller's address: as a gateway names it, else the connection's.
     pub fn client(&self) -> Result<IpAddr> {
-        let bad = BadHeader { expected: "an IP address", header: headers::CLIENT };
+        let invalid = BadHeader { expected: "an IP address", header: headers::CLIENT };
         match self.text(headers::CLIENT)? {
-            Some(text) => text.parse().map_err(|_| bad),
+            Some(text) => text.parse().map_err(|_| invalid),
             None => Ok(self.remote.map_or(IpAddr::V4(Ipv4Addr::LOCALHOST), |addr| addr.ip())),
         }
     }
@@ -111,33 +111,35 @@
     }
 
     fn binding(&self) -> Result<Option<Binding>> {
-        let bad = BadHeader { expected: "a binding from a look-up", header: headers::BINDING };
-        self.text(headers::BINDING)?.map(|text| text.parse().map_err(|_| bad.clone())).transpose()
+        let invalid = BadHeader { expected: "a binding from a look-up", header: headers::BINDING };
+        self.text(headers::BINDING)?
+            .map(|text| text.parse().map_err(|_| invalid.clone()))
+            .transpose()
     }
 
     fn text(&self, header: &'static str) -> Result<Option<Arc<str>>> {
-        text(&self.headers, header)
+        header_text(&self.headers, header)
     }
 }
 
 /// A mark on that very request; hosts tell of others by exchange.
-pub fn read_mark(text: &str, fingerprint: Fingerprint) -> Option<QuarantineMark> {
+pub fn decode_mark(text: &str, fingerprint: Fingerprint) -> Option<QuarantineMark> {
     let mark: QuarantineMark = serde_json::from_str(text).ok()?;
     (mark.fingerprint == fingerprint).then_some(mark)
 }
 
 /// The value of the `lavender-mark` header.
-pub fn mark_text(mark: &QuarantineMark) -> String {
+pub fn encode_mark(mark: &QuarantineMark) -> String {
     serde_json::to_string(mark).unwrap_or_default()
 }
 
 /// Time that the caller gives the request, from its head on.
-pub fn time_limit(headers: &HeaderMap) -> Result<Duration> {
-    let bad = BadHeader { expected: "whole milliseconds above 0", header: headers::DEADLINE };
-    let Some(text) = text(headers, headers::DEADLINE)? else { return Ok(DEFAULT_DEADLINE) };
-    let millis: u64 = text.parse().map_err(|_| bad.clone())?;
+pub fn parse_time_limit(headers: &HeaderMap) -> Result<Duration> {
+    let invalid = BadHeader { expected: "whole milliseconds above 0", header: headers::DEADLINE };
+    let Some(text) = header_text(headers, headers::DEADLINE)? else { return Ok(DEFAULT_DEADLINE) };
+    let millis: u64 = text.parse().map_err(|_| invalid.clone())?;
     if millis == 0 {
-        return Err(bad);
+        return Err(invalid);
     }
     Ok(Duration::from_millis(millis).min(MAX_DEADLINE))
 }
@@ -145,16 +147,16 @@
 /// Whether a request, read or not, may be a copy of a booking that ran. A slot hop comes from the
 /// holder of the booking's entry and asks for one attempt only.
 pub fn may_have_run(headers: &HeaderMap, key: &Secret) -> bool {
-    let is_attempt = matches!(via(headers, key), Ok(Via::SlotHop));
+    let is_attempt = matches!(parse_via(headers, key), Ok(Via::SlotHop));
     let named = [headers::BINDING, headers::IDEMPOTENCY_KEY];
     !is_attempt && named.into_iter().any(|name| headers.contains_key(name))
 }
 
 /// A caller that called itself a host could pass by the ledger and have a booking run twice;
 /// so a hop counts only with the member's secret.
-fn via(headers: &HeaderMap, key: &Secret) -> Result<Via> {
-    let Some(hop) = text(headers, headers::VIA)? else { return Ok(Via::Caller) };
-    let proof = text(headers, headers::PEER_AUTH)?.unwrap_or_else(|| "".into());
+fn parse_via(headers: &HeaderMap, key: &Secret) -> Result<Via> {
+    let Some(hop) = header_text(headers, headers::VIA)? else { return Ok(Via::Caller) };
+    let proof = header_text(headers, headers::PEER_AUTH)?.unwrap_or_else(|| "".into());
     if Secret::new(&proof) != *key {
         return Err(BadHeader { expected: "the member's secret", header: headers::PEER_AUTH });
     }
@@ -166,20 +168,20 @@
     }
 }
 
-fn text(headers: &HeaderMap, header: &'static str) -> Result<Option<Arc<str>>> {
+fn header_text(headers: &HeaderMap, header: &'static str) -> Result<Option<Arc<str>>> {
     let expected = "1 to 128 visible ASCII characters, given once";
-    let bad = BadHeader { expected, header };
+    let invalid = BadHeader { expected, header };
     let mut values = headers.get_all(header).iter();
     let Some(value) = values.next() else { return Ok(None) };
-    let text = value.to_str().map_err(|_| bad.clone())?;
-    if values.next().is_some() || text.is_empty() || MAX_TEXT < text.len() {
-        return Err(bad);
+    let text = value.to_str().map_err(|_| invalid.clone())?;
+    if values.next().is_some() || text.is_empty() || MAX_VALUE_BYTES < text.len() {
+        return Err(invalid);
     }
     Ok(Some(text.into()))
 }
 
 /// The value of the `lavender-via` header.
-pub fn via_text(via: Via) -> &'static str {
+pub fn via_value(via: Via) -> &'static str {
     match via {
         Via::Caller => "caller",
         Via::LedgerHop => "ledger-hop",
@@ -188,7 +190,7 @@
     }
 }
 
-fn line(name: &str, value: &http::HeaderValue) -> Option<HeaderLine> {
+fn header_line(name: &str, value: &http::HeaderValue) -> Option<HeaderLine> {
     let name = http::HeaderName::from_bytes(name.as_bytes()).ok()?;
     Some(HeaderLine::from_http(&name, value))
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,23 +1,23 @@
 //! The shell of one host: sockets, timers, the control actor and the traffic side.
 
+mod attempt;
 mod control;
+mod decision_recorder;
 pub mod headers;
 mod host;
 mod http;
 mod incoming;
 mod link;
-mod order;
 mod outgoing;
 mod probe;
 mod start;
 mod stream;
-mod tape;
 mod traffic;
 
 pub use self::{
-    host::{Daemon, DaemonParts, Error, Result, StopReport},
+    decision_recorder::{DecisionRecorder, NoRecorder},
+    host::{Daemon, DaemonConfig, Error, Result, StopReport},
     http::{LookupBody, LookupHost},
-    incoming::{BadHeader, Incoming},
+    incoming::{BadHeader, IncomingRequest},
     link::PeerLink,
-    tape::{NoTape, Tape},
 };
--- a/src/daemon/probe.rs
+++ b/src/daemon/probe.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use super::traffic::Traffic;
+use super::traffic::TrafficHandler;
 use crate::{
     forward::{Attempt, Reply, ReplyBody, Upstream},
     manifest::Target,
@@ -18,17 +18,19 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Asks every target that this host owns, once.
-pub(super) fn probe_all(traffic: &Arc<Traffic>, targets: &Arc<dyn Upstream>) {
+pub(super) fn probe_all(traffic: &Arc<TrafficHandler>, targets: &Arc<dyn Upstream>) {
     let Some(view) = traffic.view() else { return };
     let services = &view.manifest.services;
     for target in services.iter().flat_map(|service| &service.targets) {
-        if target.zone == view.own.zone && traffic.with_steer(|steer, _| steer.owns(&target.name)) {
+        if target.zone == view.own.zone
+            && traffic.with_router(|router, _| router.owns(&target.name))
+        {
             tokio::spawn(probe(traffic.clone(), targets.clone(), target.clone()));
         }
     }
 }
 
-async fn probe(traffic: Arc<Traffic>, targets: Arc<dyn Upstream>, target: Target) {
+async fn probe(traffic: Arc<TrafficHandler>, targets: Arc<dyn Upstream>, target: Target) {
     let attempt = Attempt {
         address: target.address,
         body: Bytes::new(),
@@ -47,5 +49,5 @@
         return;
     };
     let Ok(report) = serde_json::from_slice::<LoadReport>(&body) else { return };
-    traffic.feed(Event::Reported { report, target: target.name });
+    traffic.handle_event(Event::Reported { report, target: target.name });
 }
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -5,10 +5,10 @@
 use xtra::Address;
 
 use super::{
-    DaemonParts, Error, NoTape, Result, Tape,
-    control::{Control, ControlParts, Tick},
+    DaemonConfig, DecisionRecorder, Error, NoRecorder, Result,
+    control::{ControlActor, ControlDependencies, Tick},
     probe::probe_all,
-    traffic::{Traffic, TrafficParts},
+    traffic::{TrafficDependencies, TrafficHandler},
 };
 use crate::{
     forward::Upstream,
@@ -25,76 +25,80 @@
 };
 
 /// Time between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time between two rounds over waiting requests.
-const TRAFFIC_TICK: Duration = Duration::from_millis(20);
+const ROUTER_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time between two load reports of one target.
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time between two rounds of gauges.
-const GAUGE_PERIOD: Duration = Duration::from_secs(1);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Opens the metrics of a host.
-pub(super) fn metrics(settings: &Settings, own: &HostView) -> Result<Arc<dyn Metrics>> {
+pub(super) fn open_metrics(settings: &Settings, own: &HostView) -> Result<Arc<dyn Metrics>> {
     let tags =
         Tags { host: own.id.clone(), member: settings.member.clone(), zone: own.zone.clone() };
     Ok(crate::metrics::open(settings.metrics, &tags)?)
 }
 
 /// Builds the traffic side; `seed` is that of its random choices alone, so that they replay.
-pub(super) fn traffic(
-    parts: &DaemonParts,
+pub(super) fn build_traffic(
+    config: &DaemonConfig,
     own: &HostView,
     sink: Arc<dyn EventSink>,
     seed: u64,
-) -> Arc<Traffic> {
-    Traffic::new(TrafficParts {
-        clock: parts.clock.clone(),
-        member: parts.settings.member.clone(),
-        peer_key: parts.peer_key.clone(),
-        peers: parts.peers.clone(),
+) -> Arc<TrafficHandler> {
+    TrafficHandler::new(TrafficDependencies {
+        clock: config.clock.clone(),
+        member: config.settings.member.clone(),
+        peer_key: config.peer_key.clone(),
+        peers: config.peers.clone(),
         seed,
-        silence: parts.settings.ingress.silence(),
+        stall_timeout: config.settings.ingress.silence(),
         sink,
-        steer: Router::new(own.id.clone(), own.incarnation, parts.limits.clone()),
-        tape: tape(parts, own, seed),
-        targets: parts.targets.clone(),
+        router: Router::new(own.id.clone(), own.incarnation, config.limits.clone()),
+        decision_recorder: decision_recorder(config, own, seed),
+        targets: config.targets.clone(),
     })
 }
 
-fn tape(parts: &DaemonParts, own: &HostView, seed: u64) -> Arc<dyn Tape> {
-    let Some(record) = &parts.record else { return Arc::new(NoTape) };
-    let (host, limits) = (own.id.clone(), parts.limits.clone());
+fn decision_recorder(
+    config: &DaemonConfig,
+    own: &HostView,
+    seed: u64,
+) -> Arc<dyn DecisionRecorder> {
+    let Some(recorder) = &config.trace_recorder else { return Arc::new(NoRecorder) };
+    let (host, limits) = (own.id.clone(), config.limits.clone());
     let setup = Setup { host, incarnation: own.incarnation, limits };
-    Arc::new(record.track(seed, &setup))
+    Arc::new(recorder.track(seed, &setup))
 }
 
 /// Starts the control actor on the current runtime.
-pub(super) fn control(
-    parts: &DaemonParts,
+pub(super) fn spawn_control(
+    config: &DaemonConfig,
     own: &HostView,
     recorder: &Arc<Recorder>,
-    traffic: &Arc<Traffic>,
+    traffic: &Arc<TrafficHandler>,
     rng: ChaCha8Rng,
-) -> Result<Address<Control>> {
-    let key = parts.settings.verifying_key()?;
-    Ok(Control::spawn(ControlParts {
-        clock: parts.clock.clone(),
-        link: parts.link.clone(),
-        member: parts.settings.member.clone(),
-        membership: membership(own),
-        platform: parts.platform.clone(),
+) -> Result<Address<ControlActor>> {
+    let key = config.settings.verifying_key()?;
+    Ok(ControlActor::spawn(ControlDependencies {
+        clock: config.clock.clone(),
+        link: config.link.clone(),
+        member: config.settings.member.clone(),
+        membership: new_membership(own),
+        platform: config.platform.clone(),
         recorder: recorder.clone(),
         rng,
-        seeds: parts.settings.peers.clone(),
-        store: ManifestStore::new(parts.settings.member.clone(), key),
+        seeds: config.settings.peers.clone(),
+        store: ManifestStore::new(config.settings.member.clone(), key),
         traffic: traffic.clone(),
     }))
 }
 
-pub(super) fn runtime(name: &str, threads: usize) -> Result<Runtime> {
+pub(super) fn build_runtime(name: &str, threads: usize) -> Result<Runtime> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .thread_name(name)
@@ -103,7 +107,7 @@
         .map_err(Error::Runtime)
 }
 
-pub(super) async fn listen(address: SocketAddr) -> Result<TcpListener> {
+pub(super) async fn bind(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).await.map_err(|source| Error::Bind { address, source })
 }
 
@@ -126,17 +130,17 @@
     }
 }
 
-fn membership(own: &HostView) -> Membership {
+fn new_membership(own: &HostView) -> Membership {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let millis = u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or_default();
     Membership::new(own.clone(), MembershipLimits::default()).with_start_time(millis)
 }
 
-pub(super) fn subscribe(
+pub(super) fn start_timers(
     control_rt: &Runtime,
     traffic_rt: &Runtime,
-    control: &Address<Control>,
-    traffic: &Arc<Traffic>,
+    control: &Address<ControlActor>,
+    traffic: &Arc<TrafficHandler>,
     targets: Arc<dyn Upstream>,
 ) -> Vec<Subscription> {
     let control_timer = TokioTimer::open(control_rt.handle().clone());
@@ -144,29 +148,30 @@
     let (control, ticked, probed) = (control.clone(), traffic.clone(), traffic.clone());
     vec![
         control_timer.every(
-            HEARTBEAT,
+            HEARTBEAT_INTERVAL,
             Box::new(move || {
                 let control = control.clone();
                 // A tick that finds the actor gone has nothing left to do.
                 tokio::spawn(async move { drop(control.send(Tick).await) });
             }),
         ),
-        traffic_timer.every(TRAFFIC_TICK, Box::new(move || ticked.feed(Event::Tick))),
-        traffic_timer.every(PROBE_PERIOD, Box::new(move || probe_all(&probed, &targets))),
+        traffic_timer
+            .every(ROUTER_TICK_INTERVAL, Box::new(move || ticked.handle_event(Event::Tick))),
+        traffic_timer.every(PROBE_INTERVAL, Box::new(move || probe_all(&probed, &targets))),
     ]
 }
 
 /// Sends the host's gauges once a second.
-pub(super) fn gauge(
+pub(super) fn start_gauges(
     control_rt: &Runtime,
-    traffic: &Arc<Traffic>,
+    traffic: &Arc<TrafficHandler>,
     metrics: Arc<dyn Metrics>,
 ) -> Subscription {
     let traffic = traffic.clone();
     let timer = TokioTimer::open(control_rt.handle().clone());
     let send = move || {
         let (busy, usage) =
-            traffic.with_steer(|steer, _| (steer.pending_calls(), steer.slot_usage()));
+            traffic.with_router(|router, _| (router.pending_calls(), router.slot_usage()));
         metrics.gauge(Metric::InFlight, busy as f64, None);
         for row in usage {
             let free = row.slots.saturating_sub(row.busy);
@@ -177,5 +182,5 @@
         }
         metrics.flush();
     };
-    timer.every(GAUGE_PERIOD, Box::new(send))
+    timer.every(GAUGE_INTERVAL, Box::new(send))
 }
--- a/src/daemon/stream.rs
+++ b/src/daemon/stream.rs
@@ -17,9 +17,9 @@
 };
 
 use super::{
-    order::{Head, Order, failed, refusal},
+    attempt::{AttemptCommand, ResponseHead, failed_outcome, refusal},
     outgoing,
-    traffic::{Traffic, lock},
+    traffic::{TrafficHandler, lock},
 };
 use crate::{
     base::HeaderLine,
@@ -32,37 +32,37 @@
 mod tests;
 
 /// Chunks of a streamed answer that may wait for a slow caller.
-const STREAM_CHUNKS: usize = 4;
+const MAX_BUFFERED_CHUNKS: usize = 4;
 
 /// The files whose callers have got the head and not yet the end.
 #[derive(Default)]
-pub(super) struct OpenFiles {
-    by_call: Mutex<HashMap<CallId, OpenFile>>,
+pub(super) struct FileTransfers {
+    by_call: Mutex<HashMap<CallId, FileTransfer>>,
 }
 
 /// Where the decisions' orders for one file go.
-struct OpenFile {
-    rests: mpsc::UnboundedSender<Rest>,
+struct FileTransfer {
+    commands: mpsc::UnboundedSender<ResumeCommand>,
     task: AbortHandle,
 }
 
 /// An attempt at the rest of a file.
 #[derive(Debug)]
-pub(super) struct Rest {
+pub(super) struct ResumeCommand {
     pub address: SocketAddr,
     pub attempt: AttemptId,
     pub hop: Option<Via>,
     pub timeout: Duration,
 }
 
-impl OpenFiles {
+impl FileTransfers {
     /// Passes an order on to the task that streams the file, and gives that task; `None` for a call
     /// whose caller has no part of a file yet.
-    pub fn give(&self, call: CallId, rest: Rest) -> Option<AbortHandle> {
+    pub fn resume(&self, call: CallId, resume: ResumeCommand) -> Option<AbortHandle> {
         let files = lock(&self.by_call);
         let file = files.get(&call)?;
         // The task may have just ended; the decisions then hear of the caller that left.
-        let _ = file.rests.send(rest);
+        let _ = file.commands.send(resume);
         Some(file.task.clone())
     }
 
@@ -71,51 +71,53 @@
         lock(&self.by_call).remove(&call).is_some()
     }
 
-    fn open(&self, call: CallId, task: AbortHandle) -> mpsc::UnboundedReceiver<Rest> {
-        let (rests, rx) = mpsc::unbounded_channel();
-        lock(&self.by_call).insert(call, OpenFile { rests, task });
+    fn open(&self, call: CallId, task: AbortHandle) -> mpsc::UnboundedReceiver<ResumeCommand> {
+        let (commands, rx) = mpsc::unbounded_channel();
+        lock(&self.by_call).insert(call, FileTransfer { commands, task });
         rx
     }
 }
 
-impl Traffic {
+impl TrafficHandler {
     /// Gives the head to the caller at once and the body as it comes. The attempt ends with the
     /// body, or with its part of it; until then its slot is in use.
     pub(super) async fn stream(
         self: &Arc<Self>,
-        order: Order,
-        head: Head,
+        cmd: AttemptCommand,
+        head: ResponseHead,
         body: BoxStream<'static, crate::forward::Result<Bytes>>,
         latency: Duration,
     ) {
         // Of two attempts whose heads come at the same time, the decisions let one go on. Were the
         // other's body passed, it would break off when its attempt is aborted.
-        self.feed(Event::Begun { attempt: order.attempt });
-        if !self.is_running(order.attempt) {
+        self.handle_event(Event::Begun { attempt: cmd.attempt });
+        if !self.is_running(cmd.attempt) {
             return;
         }
-        let Some(task) = self.task(order.attempt) else { return };
-        let call = order.call;
-        let rests = self.files.open(call, task);
-        let (tx, rx) = mpsc::channel(STREAM_CHUNKS);
+        let Some(task) = self.attempt_task(cmd.attempt) else { return };
+        let call = cmd.call;
+        let commands = self.files.open(call, task);
+        let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         let guard = FileGuard { call, traffic: self.clone() };
-        let file = StreamedFile { guard, is_over: false, rx };
-        let res = outgoing::streamed(head.status, &head.headers, file, &order.request);
+        let file = FileBody { guard, is_finished: false, rx };
+        let res = outgoing::streamed_response(head.status, &head.headers, file, &cmd.request);
         // A failed send means that the caller is gone; the file that is dropped with it says so.
-        if let Some(caller) = self.take_caller(call) {
+        if let Some(caller) = self.take_response_sender(call) {
             let _ = caller.send(res);
         }
-        let whole = asks_for_whole(&order.incoming.method, &order.incoming.headers);
+        let whole = asks_for_whole(&cmd.incoming.method, &cmd.incoming.headers);
         let edition = Edition::of(head.status, &head.headers).filter(|_| whole);
-        let elsewhere = Elsewhere { ended: false, latency, order, rests, traffic: self.clone() };
-        let silence = self.silence();
-        carry(ResumedBody::new(body, edition, elsewhere), head.status, tx, silence).await;
+        let alternatives =
+            FileAlternatives { ended: false, latency, cmd, commands, traffic: self.clone() };
+        let stall_timeout = self.stall_timeout();
+        copy_body(ResumedBody::new(body, edition, alternatives), head.status, tx, stall_timeout)
+            .await;
     }
 
     /// The caller of a file is gone.
-    fn leave_file(self: &Arc<Self>, call: CallId) {
+    fn cancel_transfer(self: &Arc<Self>, call: CallId) {
         if self.files.close(call) {
-            self.feed(Event::Cancelled { call });
+            self.handle_event(Event::Cancelled { call });
         }
     }
 }
@@ -125,94 +127,94 @@
 /// A caller that stops reading, and stays connected, would keep one of the target's few slots for
 /// ever, and three of them the whole target. After `silence` it counts as gone: the target's
 /// connection is closed, which frees the slot there as well.
-async fn carry(
-    mut body: ResumedBody<Elsewhere>,
+async fn copy_body(
+    mut body: ResumedBody<FileAlternatives>,
     status: u16,
-    tx: mpsc::Sender<Piece>,
-    silence: Duration,
+    tx: mpsc::Sender<BodyItem>,
+    stall_timeout: Duration,
 ) {
     let last = loop {
         match body.chunk().await {
             Some(Ok(chunk)) => {
-                let sent = tx.send_timeout(Piece::Chunk(chunk), silence).await;
+                let sent = tx.send_timeout(BodyItem::Chunk(chunk), stall_timeout).await;
                 match sent {
                     Ok(()) => {}
-                    Err(SendTimeoutError::Closed(_)) => break Piece::Cut(Failure::Lost),
-                    Err(SendTimeoutError::Timeout(_)) => return body.alternatives().leave(),
+                    Err(SendTimeoutError::Closed(_)) => break BodyItem::Error(Failure::Lost),
+                    Err(SendTimeoutError::Timeout(_)) => return body.alternatives().abandon(),
                 }
             }
-            Some(Err(failure)) => break Piece::Cut(failure),
-            None => break Piece::End,
+            Some(Err(failure)) => break BodyItem::Error(failure),
+            None => break BodyItem::End,
         }
     };
-    let elsewhere = body.alternatives();
-    let latency = elsewhere.latency;
-    elsewhere.end(match &last {
-        Piece::Cut(_) if tx.is_closed() => cut(ErrorKind::StreamCut, latency),
-        Piece::Cut(failure) => cut(failure.kind(), latency),
-        Piece::Chunk(_) | Piece::End => Outcome::Answered { kept: None, latency, status },
+    let alternatives = body.alternatives();
+    let latency = alternatives.latency;
+    alternatives.finish(match &last {
+        BodyItem::Error(_) if tx.is_closed() => failed_after_head(ErrorKind::StreamCut, latency),
+        BodyItem::Error(failure) => failed_after_head(failure.kind(), latency),
+        BodyItem::Chunk(_) | BodyItem::End => Outcome::Answered { kept: None, latency, status },
     });
     // A failed send means that the caller is gone.
-    let _ = tx.send_timeout(last, silence).await;
+    let _ = tx.send_timeout(last, stall_timeout).await;
 }
 
 /// The answer broke off behind its head, and nothing may follow.
-fn cut(error: ErrorKind, latency: Duration) -> Outcome {
+fn failed_after_head(error: ErrorKind, latency: Duration) -> Outcome {
     Outcome::Failed { error, latency, passed: true }
 }
 
 /// The other targets for one file, as the decisions give them.
-struct Elsewhere {
+struct FileAlternatives {
     /// Whether the decisions know that the attempt of `order` has ended.
     ended: bool,
     /// Time until the head of the attempt's answer came.
     latency: Duration,
-    order: Order,
-    rests: mpsc::UnboundedReceiver<Rest>,
-    traffic: Arc<Traffic>,
+    cmd: AttemptCommand,
+    commands: mpsc::UnboundedReceiver<ResumeCommand>,
+    traffic: Arc<TrafficHandler>,
 }
 
-impl Elsewhere {
+impl FileAlternatives {
     /// Tells the decisions, once, how the attempt under way ended.
-    fn end(&mut self, outcome: Outcome) {
+    fn finish(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.traffic.end(self.order.attempt, outcome);
+            self.traffic.finish_attempt(self.cmd.attempt, outcome);
         }
     }
 
     /// Gives the file up as its caller's leave would.
-    fn leave(&self) {
-        self.traffic.leave_file(self.order.call);
+    fn abandon(&self) {
+        self.traffic.cancel_transfer(self.cmd.call);
     }
 
-    fn follow(&mut self, rest: Rest) {
-        let Rest { address, attempt, hop, timeout } = rest;
-        self.order.address = address;
-        self.order.attempt = attempt;
-        self.order.hop = hop;
-        self.order.timeout = timeout;
+    fn switch_to(&mut self, resume: ResumeCommand) {
+        let ResumeCommand { address, attempt, hop, timeout } = resume;
+        self.cmd.address = address;
+        self.cmd.attempt = attempt;
+        self.cmd.hop = hop;
+        self.cmd.timeout = timeout;
         self.ended = false;
     }
 }
 
 #[async_trait]
-impl Alternatives for Elsewhere {
+impl Alternatives for FileAlternatives {
     async fn next(&mut self, failure: Failure, lines: &[HeaderLine]) -> Option<Reply> {
         let (error, latency) = (failure.kind(), self.latency);
-        self.end(Outcome::Interrupted { error, latency });
+        self.finish(Outcome::Interrupted { error, latency });
         loop {
-            let rest = self.rests.recv().await?;
-            self.follow(rest);
+            let resume = self.commands.recv().await?;
+            self.switch_to(resume);
             let started = self.traffic.now();
-            let sent = self.traffic.send(&self.order, lines).await;
+            let sent = self.traffic.send(&self.cmd, lines).await;
             let latency = self.traffic.now().saturating_sub(started);
             self.latency = latency;
             match sent {
-                Ok(reply) => match refusal(&self.order, &reply) {
-                    Some(error) => self.end(Outcome::Refused { error, latency }),
+                Ok(reply) => match refusal(&self.cmd, &reply) {
+                    Some(error) => self.finish(Outcome::Refused { error, latency }),
                     None => return Some(reply),
                 },
-                Err(failure) => self.end(failed(failure.kind(), latency)),
+                Err(failure) => self.finish(failed_outcome(failure.kind(), latency)),
             }
         }
     }
@@ -220,9 +222,9 @@
 
 /// A piece of a body on its way to the caller.
 #[derive(Debug)]
-enum Piece {
+enum BodyItem {
     Chunk(Bytes),
-    Cut(Failure),
+    Error(Failure),
     /// Every byte came before it.
     End,
 }
@@ -232,26 +234,26 @@
 /// A task that ends early drops its end of the channel, which reads like the end of a body. The
 /// caller would take the part for the whole where the body has no length. So a body ends well with
 /// the word `End` alone.
-struct StreamedFile<G> {
+struct FileBody<G> {
     #[expect(dead_code, reason = "held for its drop")]
     guard: G,
-    is_over: bool,
-    rx: mpsc::Receiver<Piece>,
+    is_finished: bool,
+    rx: mpsc::Receiver<BodyItem>,
 }
 
-impl<G: Unpin> Stream for StreamedFile<G> {
+impl<G: Unpin> Stream for FileBody<G> {
     type Item = io::Result<Bytes>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        if self.is_over {
+        if self.is_finished {
             return Poll::Ready(None);
         }
-        let piece = ready!(self.rx.poll_recv(cx));
-        self.is_over = !matches!(piece, Some(Piece::Chunk(_)));
-        Poll::Ready(match piece {
-            Some(Piece::Chunk(chunk)) => Some(Ok(chunk)),
-            Some(Piece::Cut(failure)) => Some(Err(io::Error::other(failure))),
-            Some(Piece::End) => None,
+        let item = ready!(self.rx.poll_recv(cx));
+        self.is_finished = !matches!(item, Some(BodyItem::Chunk(_)));
+        Poll::Ready(match item {
+            Some(BodyItem::Chunk(chunk)) => Some(Ok(chunk)),
+            Some(BodyItem::Error(failure)) => Some(Err(io::Error::other(failure))),
+            Some(BodyItem::End) => None,
             None => Some(Err(io::Error::other("the file's task ended early"))),
         })
     }
@@ -261,11 +263,11 @@
 /// would keep its slot, and a rest that waits for a slot would be sent to nobody.
 struct FileGuard {
     call: CallId,
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficHandler>,
 }
 
 impl Drop for FileGuard {
     fn drop(&mut self) {
-        self.traffic.leave_file(self.call);
+        self.traffic.cancel_transfer(self.call);
     }
 }
--- a/src/daemon/stream/tests.rs
+++ b/src/daemon/stream/tests.rs
@@ -6,14 +6,14 @@
 // like the end of a body, and a dome would run a part of a show as if it were the whole.
 #[tokio::test]
 async fn a_body_without_its_last_word_ends_uncleanly() {
-    for (last, is_clean) in [(None, false), (Some(Piece::End), true)] {
-        let (tx, rx) = mpsc::channel(STREAM_CHUNKS);
-        tx.send(Piece::Chunk(Bytes::from_static(b"show"))).await.expect("the body is there");
+    for (last, is_clean) in [(None, false), (Some(BodyItem::End), true)] {
+        let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+        tx.send(BodyItem::Chunk(Bytes::from_static(b"show"))).await.expect("the body is there");
         if let Some(last) = last {
             tx.send(last).await.expect("the body is there");
         }
         drop(tx);
-        let pieces: Vec<_> = StreamedFile { guard: (), is_over: false, rx }.collect().await;
-        assert_eq!(pieces.iter().all(Result::is_ok), is_clean, "{pieces:?}");
+        let items: Vec<_> = FileBody { guard: (), is_finished: false, rx }.collect().await;
+        assert_eq!(items.iter().all(Result::is_ok), is_clean, "{items:?}");
     }
 }
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -11,7 +11,7 @@
 use super::members::{MemberPlan, SLOTS, ServicePlan, ZONES, zone_name};
 use crate::{
     base::BootClock,
-    daemon::{Daemon, DaemonParts},
+    daemon::{Daemon, DaemonConfig},
     forward::{ForwardLimits, HttpUpstream},
     ingress::IngressLimits,
     manifest::{Manifest, SignedManifest, Target, sign},
@@ -127,7 +127,7 @@
         let link = PeerClient::new(self.peer_key.clone(), self.plan.name.into());
         let upstream = || HttpUpstream::open(ForwardLimits::default());
         let platform = HttpPlatform::open(self.platform)?;
-        let daemon = Daemon::spawn(DaemonParts {
+        let daemon = Daemon::spawn(DaemonConfig {
             clock: Arc::new(BootClock),
             limits: RouterLimits::default(),
             link: Arc::new(Linked::new(link, self.links.clone(), place.clone())),
@@ -137,9 +137,9 @@
             platform: Arc::new(Linked::new(platform, self.links.clone(), place.clone())),
             seed: self.seeds.fetch_add(1, Ordering::Relaxed),
             settings,
-            record: self.record.clone(),
+            trace_recorder: self.record.clone(),
             targets: Arc::new(Linked::new(upstream()?, self.links.clone(), place.clone())),
-            timeline: TIMELINE,
+            timeline_capacity: TIMELINE,
             traffic_threads: 2,
         })
         .await?;
--- a/src/demo/events.rs
+++ b/src/demo/events.rs
@@ -153,7 +153,7 @@
         drop(seats);
         if planned {
             let report = daemon.stop().await;
-            let whole = report.cut == 0 && report.entries_lost == 0;
+            let whole = report.interrupted == 0 && report.entries_lost == 0;
             self.tally.check(Promise::GracefulStop, whole, || format!("{name}: {report:?}"));
         } else {
             drop(daemon);
--- a/src/demo/watch.rs
+++ b/src/demo/watch.rs
@@ -80,7 +80,7 @@
         for seat in seats.iter() {
             let Some(daemon) = &seat.daemon else { continue };
             let sequence = daemon.sequence().unwrap_or_default();
-            let incarnation = daemon.own().incarnation;
+            let incarnation = daemon.view().incarnation;
             let held = self.held.insert(seat.name.clone(), Held { incarnation, sequence });
             let before = held.filter(|held| held.incarnation == incarnation);
             let reverted = before.is_some_and(|held| sequence < held.sequence);
--- a/src/measure/in_force/mod.rs
+++ b/src/measure/in_force/mod.rs
@@ -187,10 +187,10 @@
     fn kill_relays(&mut self, zone: usize) {
         let zone = self.fleet.places[zone].zone.clone();
         for _ in 0..RELAYS {
-            let near = self.hosts.iter().filter(|host| host.own().zone == zone);
-            let ids: Vec<HostId> = near.map(|host| host.own().id.clone()).collect();
+            let near = self.hosts.iter().filter(|host| host.view().zone == zone);
+            let ids: Vec<HostId> = near.map(|host| host.view().id.clone()).collect();
             let relay = owner_of(&zone, &ids).cloned();
-            self.hosts.retain(|host| Some(&host.own().id) != relay.as_ref());
+            self.hosts.retain(|host| Some(&host.view().id) != relay.as_ref());
         }
     }
 }
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     base::BootClock,
-    daemon::{Daemon, DaemonParts, PeerLink},
+    daemon::{Daemon, DaemonConfig, PeerLink},
     forward::{ForwardLimits, HttpUpstream},
     ingress::IngressLimits,
     manifest::{
@@ -129,7 +129,7 @@
             let upstream = HttpUpstream::open(ForwardLimits::default())?;
             Ok(Arc::new(Linked::new(upstream, self.links.clone(), place.clone())))
         };
-        let daemon = Daemon::spawn(DaemonParts {
+        let daemon = Daemon::spawn(DaemonConfig {
             clock: Arc::new(BootClock),
             limits: RouterLimits::default(),
             link,
@@ -137,11 +137,11 @@
             peer_key: Secret::new(PEER_KEY),
             peers: upstream()?,
             platform: Arc::new(Linked::new(platform, self.links.clone(), place.clone())),
-            record: None,
+            trace_recorder: None,
             seed: self.seeds.fetch_add(1, Ordering::Relaxed),
             settings: self.settings(name, place, peers),
             targets: upstream()?,
-            timeline: TIMELINE,
+            timeline_capacity: TIMELINE,
             traffic_threads: 1,
         })
         .await?;
@@ -212,7 +212,7 @@
 
     /// A loopback address whose home is the host's region.
     pub fn caller_in(&self, host: &Daemon) -> IpAddr {
-        let index = self.regions().iter().position(|region| region.name == host.own().region);
+        let index = self.regions().iter().position(|region| region.name == host.view().region);
         IpAddr::V4(Ipv4Addr::new(127, 1, u8::try_from(index.unwrap_or_default()).unwrap_or(0), 1))
     }
 
--- a/tests/combined_failures.rs
+++ b/tests/combined_failures.rs
@@ -78,7 +78,7 @@
         let look_up = http.get(format!("{base}/lookup?service={BOOKING}")).send().await.unwrap();
         let Ok(look_up) = look_up.json::<LookupBody>().await else { return false };
         let number = attempt.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let key = format!("{what}-{}-{number}", host.own().id);
+        let key = format!("{what}-{}-{number}", host.view().id);
         let booking = http.post(format!("{base}/services/{BOOKING}/"));
         let booking = booking.header("idempotency-key", &key).body("a pair of boots");
         let booking = booking.header("lavender-binding", look_up.binding.to_string());
@@ -192,7 +192,7 @@
     fleet.links.cut(&cut.zone);
     fleet.apply(2).await.unwrap();
     let (near, far): (Vec<&Daemon>, Vec<&Daemon>) =
-        hosts.iter().partition(|host| host.own().zone != cut.zone);
+        hosts.iter().partition(|host| host.view().zone != cut.zone);
     all_have(&near, 2).await;
     assert!(far.iter().all(|host| host.sequence() == Some(1)), "the cut let something through");
 
@@ -223,7 +223,7 @@
     for host in &hosts {
         is_served_at(&fleet, host, "healed").await;
         let taken = taken_by(host);
-        assert!(taken.is_sorted(), "{} went back: {taken:?}", host.own().id);
+        assert!(taken.is_sorted(), "{} went back: {taken:?}", host.view().id);
     }
 }
 
@@ -261,7 +261,7 @@
         all_hold(&fleet, &hosts, &winner).await;
     }
     for host in &hosts {
-        assert!(taken_by(host).is_sorted_by(|a, b| a < b), "{} changed twice", host.own().id);
+        assert!(taken_by(host).is_sorted_by(|a, b| a < b), "{} changed twice", host.view().id);
     }
 }
 
@@ -284,7 +284,7 @@
     let latest = fleet.signed(&fleet.manifest(3)).unwrap();
     all_hold(&fleet, &hosts, &latest).await;
     for host in &hosts {
-        assert!(taken_by(host).is_sorted(), "{} went back", host.own().id);
+        assert!(taken_by(host).is_sorted(), "{} went back", host.view().id);
     }
 }
 
@@ -308,6 +308,6 @@
     hosts.push(fleet.start("new", &fleet.places[0], seeds).await.unwrap());
     all_have(&hosts.iter().collect::<Vec<_>>(), 2).await;
     for host in &hosts {
-        assert_eq!(taken_by(host), [2], "{}", host.own().id);
+        assert_eq!(taken_by(host), [2], "{}", host.view().id);
     }
 }
--- a/tests/files.rs
+++ b/tests/files.rs
@@ -148,7 +148,7 @@
         assert!(!got.clean || got == expected, "{service}: {got:?}");
     }
     let report = host.stop().await;
-    assert_eq!(report.cut, 0, "a slot was not given back");
+    assert_eq!(report.interrupted, 0, "a slot was not given back");
 }
 
 // Each of two hosts owns one target. A file that is asked for at either breaks off at the first
@@ -189,5 +189,5 @@
     }
     assert_eq!(asked_for_rest(&targets), 1);
     drop(res);
-    until(|| async { host.busy() == 0 }).await;
+    until(|| async { host.pending_requests() == 0 }).await;
 }
--- a/tests/fuzz_head.rs
+++ b/tests/fuzz_head.rs
@@ -6,7 +6,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use lavenderplank::{
-    daemon::{BadHeader, Incoming, headers},
+    daemon::{BadHeader, IncomingRequest, headers},
     ingress::BodyHold,
     routing::{Arrival, Via},
     settings::Secret,
@@ -78,16 +78,16 @@
 }
 
 /// What a server makes of the lines; a value that HTTP does not allow never gets here.
-fn incoming(lines: &[Line], body: &[u8]) -> Incoming {
+fn incoming(lines: &[Line], body: &[u8]) -> IncomingRequest {
     let mut map = HeaderMap::new();
     for line in lines {
         let Ok(value) = HeaderValue::from_bytes(&line.value) else { continue };
         map.append(HeaderName::from_static(line.name), value);
     }
-    Incoming {
+    IncomingRequest {
         body: body.to_vec().into(),
         headers: map,
-        hold: BodyHold::default(),
+        body_memory: BodyHold::default(),
         method: Method::POST,
         path: "/".into(),
         received: RECEIVED,
@@ -96,11 +96,11 @@
     }
 }
 
-fn read(incoming: &Incoming) -> Result<Arrival, BadHeader> {
+fn read(incoming: &IncomingRequest) -> Result<Arrival, BadHeader> {
     incoming.arrival(1, &Arc::from("gradski-servis"), &Secret::new(SECRET))
 }
 
-fn only<'a>(incoming: &'a Incoming, name: &str) -> Option<&'a [u8]> {
+fn only<'a>(incoming: &'a IncomingRequest, name: &str) -> Option<&'a [u8]> {
     let values: Vec<&HeaderValue> = incoming.headers.get_all(name).iter().collect();
     assert!(values.len() <= 1, "{name} came twice and was read");
     values.first().map(|value| value.as_bytes())
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -205,7 +205,7 @@
     assert_eq!(header(&first.res, "lavender-ran"), "yes");
 
     let report = stops.stop().await;
-    assert_eq!((report.cut, report.entries_lost), (0, 0));
+    assert_eq!((report.interrupted, report.entries_lost), (0, 0));
 
     let again = member.book(&stays, &first.key).header("lavender-binding", &binding);
     assert_eq!(header(&again.send().await.unwrap(), "lavender-ran"), "yes");
@@ -226,7 +226,7 @@
     let lookup = member.look_up(&stops, BOOKING).await.unwrap();
     let bound = lookup.hosts.iter().find(|host| &*host.host == "a-2").unwrap();
     let report = stops.stop().await;
-    assert_eq!((report.cut, report.entries_lost), (0, 0));
+    assert_eq!((report.interrupted, report.entries_lost), (0, 0));
     let copy = member.book(&stays, "k").header("lavender-binding", bound.binding.to_string());
     let res = copy.send().await.unwrap();
     let told = (header(&res, "lavender-error"), header(&res, "lavender-ran"));
--- a/tests/support/hosts.rs
+++ b/tests/support/hosts.rs
@@ -7,7 +7,7 @@
 use ed25519_dalek::SigningKey;
 use lavenderplank::{
     base::{BootClock, Clock},
-    daemon::{Daemon, DaemonParts, LookupBody},
+    daemon::{Daemon, DaemonConfig, LookupBody},
     forward::{ForwardLimits, HttpUpstream},
     ingress::IngressLimits,
     manifest::{
@@ -131,7 +131,7 @@
         let limits =
             ForwardLimits { stream_silence: Duration::from_secs(300), ..ForwardLimits::default() };
         let upstream = || Arc::new(HttpUpstream::open(limits).unwrap());
-        let host = Daemon::spawn(DaemonParts {
+        let host = Daemon::spawn(DaemonConfig {
             clock: self.clock.clone(),
             limits: RouterLimits::default(),
             link: Arc::new(PeerClient::new(key.clone(), MEMBER.into())),
@@ -139,11 +139,11 @@
             peer_key: key,
             peers: upstream(),
             platform: Arc::new(HttpPlatform::open(self.platform.address()).unwrap()),
-            record: None,
+            trace_recorder: None,
             seed: self.seeds,
             settings,
             targets: upstream(),
-            timeline: 1000,
+            timeline_capacity: 1000,
             traffic_threads: 1,
         })
         .await
