--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     base::BootClock,
-    daemon::{Daemon, DaemonParts, PeerLink},
+    daemon::{Daemon, DaemonConfig, PeerLink},
     forward::{ForwardLimits, HttpUpstream},
     ingress::IngressLimits,
     manifest::{
@@ -27,7 +27,7 @@
     prelude::*,
     routing::RouterLimits,
     settings::{LogSettings, Secret, Settings},
-    store::{HttpPlatform, Limits, Platform},
+    store::{HttpPlatform, Platform, RateLimits},
 };
 
 /// The read service of every fleet.
@@ -124,12 +124,12 @@
         place: &Place,
         peers: Vec<SocketAddr>,
     ) -> eyre::Result<Daemon> {
-        let platform = HttpPlatform::open(self.platform.address())?;
+        let platform = HttpPlatform::new(self.platform.address())?;
         let upstream = || -> eyre::Result<_> {
             let upstream = HttpUpstream::new(ForwardLimits::default())?;
             Ok(Arc::new(Linked::new(upstream, self.links.clone(), place.clone())))
         };
-        let daemon = Daemon::spawn(DaemonParts {
+        let daemon = Daemon::spawn(DaemonConfig {
             clock: Arc::new(BootClock),
             limits: RouterLimits::default(),
             link,
@@ -137,11 +137,11 @@
             peer_key: Secret::new(PEER_KEY),
             peers: upstream()?,
             platform: Arc::new(Linked::new(platform, self.links.clone(), place.clone())),
-            record: None,
+            trace_recorder: None,
             seed: self.seeds.fetch_add(1, Ordering::Relaxed),
             settings: self.settings(name, place, peers),
             targets: upstream()?,
-            timeline: TIMELINE,
+            timeline_capacity: TIMELINE,
             traffic_threads: 1,
         })
         .await?;
@@ -154,7 +154,8 @@
     pub async fn apply(&self, sequence: Sequence) -> eyre::Result<AcceptOutcome> {
         let signed = self.signed(&self.manifest(sequence))?;
         let clock = Arc::new(BootClock);
-        let platform = HttpPlatform::open_with(self.platform.address(), Limits::OPERATOR, clock)?;
+        let platform =
+            HttpPlatform::with_limits(self.platform.address(), RateLimits::OPERATOR, clock)?;
         Ok(self.accept(&platform, signed).await?)
     }
 
@@ -212,7 +213,7 @@
 
     /// A loopback address whose home is the host's region.
     pub fn caller_in(&self, host: &Daemon) -> IpAddr {
-        let index = self.regions().iter().position(|region| region.name == host.own().region);
+        let index = self.regions().iter().position(|region| region.name == host.view().region);
         IpAddr::V4(Ipv4Addr::new(127, 1, u8::try_from(index.unwrap_or_default()).unwrap_or(0), 1))
     }
 
