--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -40,7 +40,7 @@
         }
     };
     let (host, bounds) = (settings.host.clone(), settings.event_log);
-    let events = Arc::new(EventLog::open(host, bounds, Arc::new(BootClock), io::stdout())?);
+    let events = Arc::new(EventLog::start(host, bounds, Arc::new(BootClock), io::stdout())?);
     let _bridge = start_bridge(settings.log.level.as_str(), events.clone())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let exit = runtime.block_on(LocalSet::new().run_until(serve(file, settings, events.clone())));
--- a/src/cmd/why.rs
+++ b/src/cmd/why.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     cmd::{Exit, Result, output},
-    why::{Story, Verdict, find, text},
+    why::{RequestHistory, Verdict, find_request, render_text},
 };
 
 /// Tells from the hosts' logs what became of a request, and why.
@@ -24,21 +24,21 @@
 
 /// Prints the story; ends with 1 where the logs do not name the request.
 pub fn run(args: Args) -> Result {
-    let found = match find(&args.id, &args.logs) {
+    let found = match find_request(&args.id, &args.logs) {
         Ok(found) => found,
         Err(problem) => {
             output::complaint(problem)?;
             return Ok(Exit::BadInput);
         }
     };
-    let story = Story::new(&args.id, &found);
+    let history = RequestHistory::new(&args.id, &found);
     match args.json {
-        true => output::json(&story)?,
-        false => output::line(text(&story).trim_end())?,
+        true => output::json(&history)?,
+        false => output::line(render_text(&history).trim_end())?,
     }
-    if found.lines == found.strange && 0 < found.lines {
+    if found.total_lines == found.unparsed && 0 < found.total_lines {
         output::complaint("none of the lines is an event; name the hosts' standard output")?;
         return Ok(Exit::BadInput);
     }
-    Ok(if story.cause.verdict == Verdict::NotFound { Exit::Failed } else { Exit::Done })
+    Ok(if history.cause.verdict == Verdict::NotFound { Exit::Failed } else { Exit::Done })
 }
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -18,7 +18,7 @@
     forward::Upstream,
     ingress::{self, BodyMemory},
     ledger::SealedLedger,
-    metrics::{self, MeteredSink},
+    metrics::{self, MeteredTimelineSink},
     peer::{HandoverChunk, PeerCredentials, PeerServer},
     prelude::*,
     routing::{Event, RouterLimits},
@@ -159,7 +159,7 @@
         ));
         let metrics = start::metrics(&parts.settings, &own)?;
         let sink: Arc<dyn EventSink> =
-            Arc::new(MeteredSink::new(recorder.clone(), metrics.clone()));
+            Arc::new(MeteredTimelineSink::new(recorder.clone(), metrics.clone()));
         sink.record(None, EventKind::Started);
         let traffic = {
             let _context = traffic_rt.enter();
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -31,7 +31,7 @@
 use crate::{
     event_log::{Event, EventSink, WatchReason},
     fleet::{DeclarationCheck, Fleet, FleetConfig, Load},
-    metrics::{ControlFigures, EntryMetrics},
+    metrics::{ControlGauges, EntryMetrics},
     prelude::*,
     store::{FollowPace, Followed, Follower, Platform},
 };
@@ -216,7 +216,7 @@
         view.known_hosts = self.fleet.known_hosts(now);
         view.peers_started_earlier = self.fleet.peers_started_earlier(now);
         view.demand = demand;
-        self.parts.metrics.control(self.control_figures(&view));
+        self.parts.metrics.set_control_gauges(self.control_figures(&view));
         self.parts.view.store(Some(Arc::new(view)));
     }
 
@@ -235,11 +235,11 @@
         latest
     }
 
-    fn control_figures(&self, view: &View) -> ControlFigures {
+    fn control_figures(&self, view: &View) -> ControlGauges {
         let now = self.now();
         let targets = || view.targets.values().flat_map(|targets| targets.iter());
         let cold = targets().filter(|target| target.is_cold(now)).count();
-        ControlFigures {
+        ControlGauges {
             declaration: view.declaration.as_ref().map_or(0, |declaration| declaration.version),
             hosts: view.hosts.len(),
             store_age: now.saturating_sub(self.state_received_at),
--- a/src/entry/control/handlers.rs
+++ b/src/entry/control/handlers.rs
@@ -62,7 +62,7 @@
 
     async fn handle(&mut self, Tick { due }: Tick, cx: &mut xtra::Context<Self>) {
         let now = self.now();
-        self.parts.metrics.control_waited(now.saturating_sub(due));
+        self.parts.metrics.observe_control_wait(now.saturating_sub(due));
         for target in self.known_state.expire_lapsed(now) {
             self.record_target_gone(target, Source::Listing);
         }
@@ -115,7 +115,9 @@
         let known = self.known_state.revisions();
         let bytes_before = self.response_cache.compressed_bytes();
         let response = self.response_cache.response(&self.raw_objects, known, since);
-        self.parts.metrics.state_answered(self.response_cache.compressed_bytes() - bytes_before);
+        self.parts
+            .metrics
+            .record_state_response(self.response_cache.compressed_bytes() - bytes_before);
         response
     }
 }
--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -99,7 +99,7 @@
             let since = own_stamp.revisions;
             let result = peer_client.query(addr, since).await;
             let outcome = QueryOutcome::of(&result);
-            metrics.queried(clock.now().saturating_sub(now), outcome.name());
+            metrics.record_state_query(clock.now().saturating_sub(now), outcome.name());
             if let Err(error) = &result {
                 let reason = error.to_string().into();
                 events.record(None, Event::HostUnanswering { addr, reason });
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -32,7 +32,7 @@
 use crate::{
     event_log::{Event, EventSink},
     fleet::Load,
-    metrics::{EntryMetrics, MeteredEvents},
+    metrics::{EntryMetrics, MeteredEventSink},
     prelude::*,
     store::Platform,
 };
@@ -110,7 +110,7 @@
         };
         let metrics = Arc::new(EntryMetrics::default());
         let events: Arc<dyn EventSink> =
-            Arc::new(MeteredEvents::new(parts.events, metrics.clone()));
+            Arc::new(MeteredEventSink::new(parts.events, metrics.clone()));
         let bounds: BoundsCell = Arc::new(ArcSwap::from_pointee(settings.bounds.clone()));
         let settings = Arc::new(settings);
         let view: ViewCell = Arc::new(ArcSwapOption::empty());
@@ -296,7 +296,7 @@
     if req.uri().path() != METRICS_PATH {
         return status_response(StatusCode::NOT_FOUND);
     }
-    match metrics.text(events.dropped()) {
+    match metrics.encode_text(events.dropped()) {
         Ok(text) => {
             let mut response = Response::new(Full::new(text.into()));
             let media_type = HeaderValue::from_static(METRICS_MEDIA_TYPE);
@@ -390,7 +390,7 @@
         interval.tick().await;
         state.tick();
         load.store(Arc::new(state.load()));
-        metrics.traffic(state.figures());
+        metrics.set_traffic_gauges(state.figures());
     }
 }
 
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -18,7 +18,7 @@
     admission::RetryAllowance,
     event_log::{Event, EventSink, PauseReason, RequestKey},
     fleet::Load,
-    metrics::TrafficFigures,
+    metrics::TrafficGauges,
     placement::{
         CachedObjects, ColdTargetLimiter, Forecast, HealthChange, HealthSignal, NameTag, ObjectTag,
         RoundTrips, SentCounter, SentTotals, ServiceEstimates, TargetHealth, TargetTag, Tuning,
@@ -415,10 +415,10 @@
     }
 
     /// Current values for the metrics.
-    pub fn figures(&self) -> TrafficFigures {
+    pub fn figures(&self) -> TrafficGauges {
         let now = self.clock.now();
         let target_health = self.target_health.borrow();
-        TrafficFigures {
+        TrafficGauges {
             connections: self.open_connections.get(),
             in_flight: target_health.values().map(|health| health.in_flight).sum(),
             paused: target_health.values().filter(|health| health.is_paused(now)).count(),
--- a/src/event_log/kind.rs
+++ b/src/event_log/kind.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Priority {
     /// Steps of requests; the first to be dropped.
-    Usual,
+    Low,
     /// Failures and what the host believes.
-    Kept,
+    High,
 }
 
 impl Event {
@@ -18,7 +18,7 @@
     }
 
     /// What its rate is bounded by: refusals by their reason, so that one does not hide another.
-    pub fn cause(&self) -> &'static str {
+    pub fn rate_key(&self) -> &'static str {
         match self {
             Event::Answered { error: Some(error), .. }
             | Event::NotPlaced { error, .. }
@@ -37,8 +37,8 @@
             | Event::CallerLeft { .. }
             | Event::Note { .. }
             | Event::Sent { .. }
-            | Event::Taken { .. } => Priority::Usual,
-            _ => Priority::Kept,
+            | Event::Taken { .. } => Priority::Low,
+            _ => Priority::High,
         }
     }
 }
--- a/src/event_log/queue.rs
+++ b/src/event_log/queue.rs
@@ -11,13 +11,13 @@
 use crate::prelude::*;
 
 /// Span of the rate bound.
-const SECOND: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// One line that asks to be kept.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingLine {
     /// With `kind`, what the rate is bounded by.
-    pub cause: &'static str,
+    pub rate_key: &'static str,
     pub kind: EventKind,
     pub text: Vec<u8>,
     pub priority: Priority,
@@ -30,8 +30,8 @@
     /// Lines dropped since they were last told, by kind.
     dropped: BTreeMap<EventKind, u64>,
     lines: VecDeque<PendingLine>,
-    rates: HashMap<(EventKind, &'static str), u32>,
-    second: Moment,
+    window_counts: HashMap<(EventKind, &'static str), u32>,
+    window_start: Moment,
     settings: EventLogSettings,
 }
 
@@ -42,24 +42,24 @@
             bytes: 0,
             dropped: BTreeMap::new(),
             lines: VecDeque::new(),
-            rates: HashMap::new(),
-            second: Moment::ZERO,
+            window_counts: HashMap::new(),
+            window_start: Moment::ZERO,
             settings,
         }
     }
 
     /// Whether a line of this kind and cause may still be written in this second; if not, it is
     /// counted. Asked before the line is made, since that costs more.
-    pub fn admits(&mut self, kind: EventKind, cause: &'static str, now: Moment) -> bool {
-        if SECOND <= now.saturating_sub(self.second) {
-            self.second = now;
-            self.rates.clear();
+    pub fn admit(&mut self, kind: EventKind, rate_key: &'static str, now: Moment) -> bool {
+        if RATE_WINDOW <= now.saturating_sub(self.window_start) {
+            self.window_start = now;
+            self.window_counts.clear();
         }
-        let count = self.rates.entry((kind, cause)).or_default();
+        let count = self.window_counts.entry((kind, rate_key)).or_default();
         *count += 1;
         let admitted = *count <= self.settings.lines_per_second;
         if !admitted {
-            self.drop_one(kind);
+            self.count_dropped(kind);
         }
         admitted
     }
@@ -69,10 +69,10 @@
         let room = self.settings.queue_bytes;
         while room < self.bytes + pending.text.len() {
             let light = self.lines.iter().position(|line| line.priority < pending.priority);
-            let Some(at) = light else { return self.drop_one(pending.kind) };
+            let Some(at) = light else { return self.count_dropped(pending.kind) };
             if let Some(line) = self.lines.remove(at) {
                 self.bytes -= line.text.len();
-                self.drop_one(line.kind);
+                self.count_dropped(line.kind);
             }
         }
         self.bytes += pending.text.len();
@@ -80,7 +80,7 @@
     }
 
     /// Takes all lines out, oldest first, each with its line feed.
-    pub fn take(&mut self) -> Vec<u8> {
+    pub fn take_lines(&mut self) -> Vec<u8> {
         let mut text = Vec::with_capacity(self.bytes);
         for line in std::mem::take(&mut self.lines) {
             text.extend_from_slice(&line.text);
@@ -94,7 +94,7 @@
         std::mem::take(&mut self.dropped)
     }
 
-    fn drop_one(&mut self, kind: EventKind) {
+    fn count_dropped(&mut self, kind: EventKind) {
         *self.dropped.entry(kind).or_default() += 1;
     }
 }
--- a/src/event_log/tests.rs
+++ b/src/event_log/tests.rs
@@ -13,7 +13,7 @@
 use crate::{base::BootClock, prelude::*};
 
 fn pending(kind: EventKind, priority: Priority, text: &str) -> PendingLine {
-    PendingLine { cause: kind.name(), kind, text: text.as_bytes().to_vec(), priority }
+    PendingLine { rate_key: kind.name(), kind, text: text.as_bytes().to_vec(), priority }
 }
 
 fn secs(secs: f64) -> Duration {
@@ -29,10 +29,10 @@
     let mut admitted = 0;
     for at in 0..3_000 {
         let now = secs(10.0 + f64::from(at) / 1_000.0);
-        admitted += u32::from(queue.admits(EventKind::Refused, "no-slots", now));
+        admitted += u32::from(queue.admit(EventKind::Refused, "no-slots", now));
     }
     assert_eq!(admitted, 300);
-    assert!(queue.admits(EventKind::Refused, "no-target", secs(12.9)));
+    assert!(queue.admit(EventKind::Refused, "no-target", secs(12.9)));
     assert_eq!(queue.take_dropped(), [(EventKind::Refused, 2_700)].into());
     assert!(queue.take_dropped().is_empty(), "each is told once");
 }
@@ -44,13 +44,13 @@
     let settings = EventLogSettings { lines_per_second: 1_000, queue_bytes: 100 };
     let mut queue = LineQueue::new(settings);
     for _ in 0..10 {
-        queue.push(pending(EventKind::Sent, Priority::Usual, "sent.....\n"));
+        queue.push(pending(EventKind::Sent, Priority::Low, "sent.....\n"));
     }
-    queue.push(pending(EventKind::Taken, Priority::Usual, "taken....\n"));
+    queue.push(pending(EventKind::Taken, Priority::Low, "taken....\n"));
     for at in 0..12 {
-        queue.push(pending(EventKind::Refused, Priority::Kept, &format!("refused {at}\n")));
+        queue.push(pending(EventKind::Refused, Priority::High, &format!("refused {at}\n")));
     }
-    let text = String::from_utf8(queue.take()).expect("it is text");
+    let text = String::from_utf8(queue.take_lines()).expect("it is text");
     assert!(text.len() <= 100 && !text.contains("sent"), "{text}");
     assert!(text.starts_with("refused 0\nrefused 1\n"), "{text}");
     let dropped = queue.take_dropped();
@@ -85,7 +85,8 @@
     let (out, written) = channel();
     let blocked = Blocked { open: Mutex::new(open), out };
     let settings = EventLogSettings { lines_per_second: 1_000_000, queue_bytes: 8 * 1024 };
-    let log = EventLog::open("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
+    let log =
+        EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
     let event = || Event::TargetTrusted { target: "t-1".into() };
     let since = Instant::now();
     for _ in 0..5_000 {
@@ -125,7 +126,8 @@
     drop(unblock);
     let blocked = Blocked { open: Mutex::new(open), out };
     let settings = EventLogSettings { lines_per_second: 1_000, queue_bytes: 1 << 20 };
-    let log = EventLog::open("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
+    let log =
+        EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
     for _ in 0..200 {
         log.record(None, Event::TargetTrusted { target: "t-1".into() });
     }
@@ -144,7 +146,8 @@
     let (out, _written) = channel();
     let blocked = Blocked { open: Mutex::new(open), out };
     let settings = EventLogSettings::default();
-    let log = EventLog::open("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
+    let log =
+        EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
     log.record(None, Event::WatchEnded);
     let since = Instant::now();
     drop(log);
@@ -160,7 +163,8 @@
     drop(unblock);
     let blocked = Blocked { open: Mutex::new(open), out };
     let settings = EventLogSettings::default();
-    let log = EventLog::open("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
+    let log =
+        EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
     let key = RequestKey { attempt: Some("r-1".into()), own: Some(7) };
     log.record(Some(&key), Event::WatchEnded);
     drop(log);
--- a/src/event_log/writer.rs
+++ b/src/event_log/writer.rs
@@ -18,23 +18,23 @@
 
 /// Time between two writes: few, since each costs a system call, and short enough that a killed
 /// process loses little.
-const FLUSH: Duration = Duration::from_millis(250);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between two lines about dropped ones.
-const REPORT_DROPPED: Duration = Duration::from_secs(1);
+const DROPPED_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest time that the end of the process waits for the last lines.
-const LAST_LINES: Duration = Duration::from_millis(200);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Most bytes of one write: a pipe takes that many whole (`PIPE_BUF`), so that lines of processes
 /// that share one do not mix.
-const WRITE_MOST: usize = 4_096;
+const MAX_WRITE_BYTES: usize = 4_096;
 
 /// Stack of the writing thread, in bytes: it only copies.
-const STACK: usize = 64 * 1024;
+const STACK_BYTES: usize = 64 * 1024;
 
 /// Bytes of most lines.
-const LINE_USUAL: usize = 320;
+const TYPICAL_LINE_BYTES: usize = 320;
 
 /// Result of opening a log.
 pub type Result<T> = std::result::Result<T, LogWriterError>;
@@ -53,9 +53,9 @@
 
 struct Shared {
     dropped: AtomicU64,
-    ended: AtomicBool,
+    closing: AtomicBool,
     queue: Mutex<LineQueue>,
-    written: AtomicBool,
+    finished: AtomicBool,
 }
 
 impl Shared {
@@ -66,7 +66,7 @@
 
 impl EventLog {
     /// A log of `host` that writes to `out`.
-    pub fn open(
+    pub fn start(
         host: HostId,
         settings: EventLogSettings,
         clock: Arc<dyn Clock>,
@@ -74,28 +74,29 @@
     ) -> Result<Self> {
         let shared = Arc::new(Shared {
             dropped: AtomicU64::new(0),
-            ended: AtomicBool::new(false),
+            closing: AtomicBool::new(false),
             queue: Mutex::new(LineQueue::new(settings)),
-            written: AtomicBool::new(false),
+            finished: AtomicBool::new(false),
         });
         let started = clock.now();
         let formatter = Arc::new(LineFormatter { clock, host, started });
-        let thread = std::thread::Builder::new().name("log".into()).stack_size(STACK);
-        let (of_thread, of_formatter) = (shared.clone(), formatter.clone());
-        let thread = thread.spawn(move || write_all(&of_thread, &of_formatter, out))?;
+        let thread = std::thread::Builder::new().name("log".into()).stack_size(STACK_BYTES);
+        let (thread_shared, thread_formatter) = (shared.clone(), formatter.clone());
+        let thread =
+            thread.spawn(move || write_until_closed(&thread_shared, &thread_formatter, out))?;
         Ok(Self { shared, formatter, thread: Mutex::new(Some(thread)) })
     }
 }
 
 impl EventSink for EventLog {
     fn record(&self, request: Option<&RequestKey>, event: Event) {
-        let (kind, cause, priority) = (event.kind(), event.cause(), event.priority());
+        let (kind, rate_key, priority) = (event.kind(), event.rate_key(), event.priority());
         let now = self.formatter.clock.now();
-        if !self.shared.queue().admits(kind, cause, now) {
+        if !self.shared.queue().admit(kind, rate_key, now) {
             return;
         }
-        let text = self.formatter.line(request.cloned().unwrap_or_default(), event, now);
-        self.shared.queue().push(PendingLine { cause, kind, text, priority });
+        let text = self.formatter.format_line(request.cloned().unwrap_or_default(), event, now);
+        self.shared.queue().push(PendingLine { rate_key, kind, text, priority });
     }
 
     fn dropped(&self) -> u64 {
@@ -117,11 +118,11 @@
     pub fn close(&self) {
         let thread = self.thread.lock().expect("no holder of this lock panics").take();
         let Some(thread) = thread else { return };
-        self.shared.ended.store(true, Ordering::Relaxed);
+        self.shared.closing.store(true, Ordering::Relaxed);
         thread.thread().unpark();
-        let last = std::time::Instant::now() + LAST_LINES;
+        let last = std::time::Instant::now() + CLOSE_TIMEOUT;
         // An output that nobody reads must not hold up the end of the process.
-        while !self.shared.written.load(Ordering::Relaxed) && std::time::Instant::now() < last {
+        while !self.shared.finished.load(Ordering::Relaxed) && std::time::Instant::now() < last {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -135,7 +136,7 @@
 }
 
 impl LineFormatter {
-    fn line(&self, request: RequestKey, event: Event, now: Moment) -> Vec<u8> {
+    fn format_line(&self, request: RequestKey, event: Event, now: Moment) -> Vec<u8> {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = Line {
             at_ms: wall.as_millis() as u64,
@@ -144,7 +145,7 @@
             request,
             event,
         };
-        let mut text = Vec::with_capacity(LINE_USUAL);
+        let mut text = Vec::with_capacity(TYPICAL_LINE_BYTES);
         serde_json::to_writer(&mut text, &line).expect("a line is plain text and numbers");
         text.push(b'\n');
         text
@@ -152,38 +153,38 @@
 }
 
 /// Writes until the log ends. What can't be written is lost, and counted with what was dropped.
-fn write_all(shared: &Shared, formatter: &LineFormatter, mut out: impl Write) {
+fn write_until_closed(shared: &Shared, formatter: &LineFormatter, mut out: impl Write) {
     let mut reported = formatter.clock.now();
     let mut unwritten = 0;
     loop {
-        std::thread::park_timeout(FLUSH);
-        let ended = shared.ended.load(Ordering::Relaxed);
+        std::thread::park_timeout(FLUSH_INTERVAL);
+        let closing = shared.closing.load(Ordering::Relaxed);
         let now = formatter.clock.now();
-        if ended || REPORT_DROPPED <= now.saturating_sub(reported) {
+        if closing || DROPPED_REPORT_INTERVAL <= now.saturating_sub(reported) {
             reported = now;
             report_dropped(shared, formatter, std::mem::take(&mut unwritten));
         }
-        let text = shared.queue().take();
-        for part in whole_lines(&text) {
+        let text = shared.queue().take_lines();
+        for part in chunk_lines(&text) {
             if out.write_all(part).and_then(|()| out.flush()).is_err() {
                 let lines = part.iter().filter(|byte| **byte == b'\n').count() as u64;
                 unwritten += lines;
                 shared.dropped.fetch_add(lines, Ordering::Relaxed);
             }
         }
-        if ended {
-            return shared.written.store(true, Ordering::Relaxed);
+        if closing {
+            return shared.finished.store(true, Ordering::Relaxed);
         }
     }
 }
 
 /// Parts of whole lines, each as large as one write may be; a longer line is a part of its own.
-fn whole_lines(text: &[u8]) -> Vec<&[u8]> {
+fn chunk_lines(text: &[u8]) -> Vec<&[u8]> {
     let mut parts = Vec::new();
     let mut begin = 0;
     let mut end = 0;
     for line in text.split_inclusive(|byte| *byte == b'\n') {
-        if begin < end && WRITE_MOST < end + line.len() - begin {
+        if begin < end && MAX_WRITE_BYTES < end + line.len() - begin {
             parts.push(&text[begin..end]);
             begin = end;
         }
@@ -207,7 +208,12 @@
         return;
     }
     let event = Event::LinesDropped { counts };
-    let text = formatter.line(RequestKey::default(), event, formatter.clock.now());
+    let text = formatter.format_line(RequestKey::default(), event, formatter.clock.now());
     let kind = EventKind::LinesDropped;
-    shared.queue().push(PendingLine { cause: kind.name(), kind, text, priority: Priority::Kept });
+    shared.queue().push(PendingLine {
+        rate_key: kind.name(),
+        kind,
+        text,
+        priority: Priority::High,
+    });
 }
--- a/src/metrics/metered_sink.rs
+++ b/src/metrics/metered_sink.rs
@@ -8,18 +8,18 @@
 
 /// Passes events on and turns each into the counters it stands for, so that the decisions need no
 /// second call for metrics.
-pub struct MeteredSink {
+pub struct MeteredTimelineSink {
     metrics: Arc<dyn Metrics>,
-    next: Arc<dyn EventSink>,
+    inner: Arc<dyn EventSink>,
 }
 
-impl MeteredSink {
-    /// Counts into `metrics` what goes to `next`.
-    pub fn new(next: Arc<dyn EventSink>, metrics: Arc<dyn Metrics>) -> Self {
-        Self { metrics, next }
+impl MeteredTimelineSink {
+    /// Counts into `metrics` what goes to `inner`.
+    pub fn new(inner: Arc<dyn EventSink>, metrics: Arc<dyn Metrics>) -> Self {
+        Self { metrics, inner }
     }
 
-    fn meter(&self, kind: &EventKind) {
+    fn count_event(&self, kind: &EventKind) {
         let metrics = &*self.metrics;
         metrics.count(Metric::Events, 1, Some(kind.name()));
         match kind {
@@ -49,10 +49,10 @@
     }
 }
 
-impl EventSink for MeteredSink {
+impl EventSink for MeteredTimelineSink {
     fn record(&self, request: Option<&RequestId>, kind: EventKind) {
-        self.meter(&kind);
-        self.next.record(request, kind);
+        self.count_event(&kind);
+        self.inner.record(request, kind);
     }
 
     fn is_on(&self) -> bool {
--- a/src/metrics/metric.rs
+++ b/src/metrics/metric.rs
@@ -2,7 +2,7 @@
 
 /// How a metric is to be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Shape {
+pub enum MetricKind {
     /// Only grows; a restart starts it from nothing.
     Counter,
     /// The value at the moment it was sent.
@@ -43,21 +43,21 @@
 
     /// Name on the wire, after the prefix.
     pub fn name(self) -> &'static str {
-        self.row().0
+        self.definition().0
     }
 
     /// How it is to be read.
-    pub fn shape(self) -> Shape {
-        self.row().1
+    pub fn kind(self) -> MetricKind {
+        self.definition().1
     }
 
     /// One line for the operators' reference; `label` is what tells its parts from one another.
     pub fn doc(self) -> &'static str {
-        self.row().2
+        self.definition().2
     }
 
-    fn row(self) -> (&'static str, Shape, &'static str) {
-        use Shape::{Counter, Gauge};
+    fn definition(self) -> (&'static str, MetricKind, &'static str) {
+        use MetricKind::{Counter, Gauge};
         match self {
             Metric::ConnectionsRefused => {
                 ("connections_refused", Counter, "connections closed since all allowed were open")
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -8,9 +8,9 @@
 mod tests;
 
 pub use self::{
-    entry::{ControlFigures, EntryMetrics, MeteredEvents, TrafficFigures},
-    metered_sink::MeteredSink,
-    metric::{Metric, Shape},
+    entry::{ControlGauges, EntryMetrics, MeteredEventSink, TrafficGauges},
+    metered_sink::MeteredTimelineSink,
+    metric::{Metric, MetricKind},
     statsd::{MetricsError, Result, Tags, open},
 };
 
--- a/src/metrics/statsd.rs
+++ b/src/metrics/statsd.rs
@@ -16,7 +16,7 @@
 const PREFIX: &str = "lavenderplank";
 
 /// Datagrams that wait for the sending thread; past it new ones are dropped.
-const QUEUE: usize = 4_096;
+const MAX_QUEUED_DATAGRAMS: usize = 4_096;
 
 /// Result of opening metrics.
 pub type Result<T> = std::result::Result<T, MetricsError>;
@@ -52,12 +52,13 @@
         .map_err(|source| MetricsError::Socket { address, source })?;
     let sink = BufferedUdpMetricSink::from(address, socket)
         .map_err(|error| MetricsError::Sink { address, detail: error.to_string() })?;
-    let client = StatsdClient::builder(PREFIX, QueuingMetricSink::with_capacity(sink, QUEUE))
-        .with_tag("member", &tags.member)
-        .with_tag("zone", &tags.zone)
-        .with_tag("host", &tags.host)
-        .with_error_handler(|error| log::debug!("metric dropped: {error}"))
-        .build();
+    let client =
+        StatsdClient::builder(PREFIX, QueuingMetricSink::with_capacity(sink, MAX_QUEUED_DATAGRAMS))
+            .with_tag("member", &tags.member)
+            .with_tag("zone", &tags.zone)
+            .with_tag("host", &tags.host)
+            .with_error_handler(|error| log::debug!("metric dropped: {error}"))
+            .build();
     Ok(Arc::new(Statsd { client }))
 }
 
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -25,7 +25,7 @@
     let server = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     server.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     let metrics = open(Some(server.local_addr().unwrap()), &tags()).unwrap();
-    let sink = MeteredSink::new(Arc::new(NullSink), metrics.clone());
+    let sink = MeteredTimelineSink::new(Arc::new(NullSink), metrics.clone());
     sink.record(None, EventKind::Refused { error: ErrorKind::CapReached });
     let (mut text, mut buf) = (String::new(), [0; 2_000]);
     // A flush can overtake what still waits for the sending thread; hosts flush every second.
--- a/src/why/cause.rs
+++ b/src/why/cause.rs
@@ -1,6 +1,6 @@
 //! What a request's lines come to: the verdict, the cause, and the setting or event behind it.
 
-use super::Told;
+use super::HistoryLine;
 use crate::{
     event_log::{AttemptEnd, End, Event, PauseReason},
     prelude::*,
@@ -42,17 +42,17 @@
 }
 
 /// Names the cause. The last line of the request decides, since each host's part ends with one.
-pub fn of(lines: &[Told], dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
+pub fn determine(lines: &[HistoryLine], dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
     let request: Vec<&Event> =
         lines.iter().filter(|told| told.is_request).map(|told| &told.line.event).collect();
-    let Some(first) = request.first() else { return not_found(dropped) };
+    let Some(first) = request.first() else { return not_found_cause(dropped) };
     let ends = |event: &&&Event| {
         matches!(event, Event::Answered { .. } | Event::Refused { .. } | Event::CallerLeft { .. })
     };
     let broken = request.iter().find(|event| matches!(event, Event::StreamBroken { .. }));
     if let Some(Event::StreamBroken { reason, target, .. }) = broken {
         let what = format!("the answer of {target} broke off on its way: {reason}");
-        return Cause::new(Verdict::Failed, what).behind(target_story(lines, target));
+        return Cause::new(Verdict::Failed, what).behind(target_changes(lines, target));
     }
     match request.iter().rfind(ends) {
         Some(Event::Refused { error, status, team, .. }) => {
@@ -63,12 +63,12 @@
             let what = format!("the caller closed its connection after {took_ms} ms");
             Cause::new(Verdict::CallerLeft, what).behind([format!("attempts by then: {sent}")])
         }
-        Some(answered @ Event::Answered { .. }) => of_answer(answered, &request, lines),
-        _ => unfinished(first, lines, dropped),
+        Some(answered @ Event::Answered { .. }) => answer_cause(answered, &request, lines),
+        _ => unfinished_cause(first, lines, dropped),
     }
 }
 
-fn not_found(dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
+fn not_found_cause(dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
     let what = "no line of these logs names the request: it reached none of these hosts, or came \
                 at another time";
     let lost: u64 = dropped.values().sum();
@@ -76,7 +76,11 @@
     Cause::new(Verdict::NotFound, what).behind(reasons)
 }
 
-fn unfinished(first: &Event, lines: &[Told], dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
+fn unfinished_cause(
+    first: &Event,
+    lines: &[HistoryLine],
+    dropped: &BTreeMap<Arc<str>, u64>,
+) -> Cause {
     let what =
         format!("the story ends without an answer; it begins with `{}`", first.kind().name());
     let stop = lines.iter().filter(|told| !told.is_request).find_map(|told| {
@@ -94,7 +98,7 @@
     Cause::new(Verdict::Unfinished, what).behind(stop.into_iter().chain(lost))
 }
 
-fn of_answer(answered: &Event, request: &[&Event], lines: &[Told]) -> Cause {
+fn answer_cause(answered: &Event, request: &[&Event], lines: &[HistoryLine]) -> Cause {
     let Event::Answered { end, error, objective_ms, ran, sent, status, target, took_ms, .. } =
         answered
     else {
@@ -110,32 +114,32 @@
             let what = format!(
                 "{by} answered {status} after {took_ms} ms; the objective is {objective_ms} ms"
             );
-            Cause::new(Verdict::Late, what).behind(slow(request, lines))
+            Cause::new(Verdict::Late, what).behind(latency_reasons(request, lines))
         }
         End::TargetFailed => {
             let what = format!("{by} itself answered {status}; the host passed it on");
-            Cause::new(Verdict::TargetFailed, what).behind(failures(request, lines))
+            Cause::new(Verdict::TargetFailed, what).behind(attempt_failures(request, lines))
         }
         End::Refused => {
             let why = error.map_or_else(String::new, |error| format!(": {error}"));
             let what = format!("not run, refused with {status} after {took_ms} ms{why}");
             Cause::new(Verdict::Refused, what)
-                .behind(no_room(request))
-                .behind(failures(request, lines))
-                .behind(missing_targets(lines))
+                .behind(placement_failures(request))
+                .behind(attempt_failures(request, lines))
+                .behind(capacity_changes(lines))
         }
         End::Failed => {
             let why = error.map_or_else(String::new, |error| format!(": {error}"));
             let what = format!(
                 "{status} after {took_ms} ms and {sent} attempts; whether it ran: {ran}{why}"
             );
-            Cause::new(Verdict::Failed, what).behind(failures(request, lines))
+            Cause::new(Verdict::Failed, what).behind(attempt_failures(request, lines))
         }
     }
 }
 
 /// Why no target took it.
-fn no_room(request: &[&Event]) -> Vec<String> {
+fn placement_failures(request: &[&Event]) -> Vec<String> {
     let told = request.iter().filter_map(|event| match event {
         Event::NotPlaced {
             candidates,
@@ -171,7 +175,7 @@
 }
 
 /// What went wrong at targets.
-fn failures(request: &[&Event], lines: &[Told]) -> Vec<String> {
+fn attempt_failures(request: &[&Event], lines: &[HistoryLine]) -> Vec<String> {
     let mut reasons = Vec::new();
     for event in request {
         match event {
@@ -179,7 +183,12 @@
                 let end = match end {
                     AttemptEnd::Answered => continue,
                     AttemptEnd::Cancelled => {
-                        reasons.push(unanswered(request, target, *took_ms, *connect_ms));
+                        reasons.push(describe_cancelled_attempt(
+                            request,
+                            target,
+                            *took_ms,
+                            *connect_ms,
+                        ));
                         continue;
                     }
                     AttemptEnd::Failed => "failed it",
@@ -189,7 +198,7 @@
                     AttemptEnd::WrongTarget => "is no longer at its address",
                 };
                 reasons.push(format!("{target} {end} after {took_ms} ms: {detail}"));
-                reasons.extend(target_story(lines, target));
+                reasons.extend(target_changes(lines, target));
             }
             Event::RetryDenied { limit, sent, .. } => {
                 reasons.push(format!("no further attempt after {sent}: limit `{limit}`"));
@@ -203,7 +212,12 @@
 }
 
 /// An attempt that was given up: the caller's time was over, or another attempt was faster.
-fn unanswered(request: &[&Event], of: &TargetId, took_ms: u64, connect_ms: Option<u64>) -> String {
+fn describe_cancelled_attempt(
+    request: &[&Event],
+    of: &TargetId,
+    took_ms: u64,
+    connect_ms: Option<u64>,
+) -> String {
     let sent = request.iter().find_map(|event| match event {
         Event::Sent { cold, expected_ms, left_ms, load, region, slots, target, .. }
             if target == of =>
@@ -223,8 +237,8 @@
 }
 
 /// Why a success was late.
-fn slow(request: &[&Event], lines: &[Told]) -> Vec<String> {
-    let mut reasons = failures(request, lines);
+fn latency_reasons(request: &[&Event], lines: &[HistoryLine]) -> Vec<String> {
+    let mut reasons = attempt_failures(request, lines);
     for event in request {
         match event {
             Event::Sent {
@@ -265,7 +279,7 @@
 }
 
 /// What the hosts believed of one target around then.
-fn target_story(lines: &[Told], of: &TargetId) -> Vec<String> {
+fn target_changes(lines: &[HistoryLine], of: &TargetId) -> Vec<String> {
     let told = lines.iter().filter(|told| !told.is_request).filter_map(|told| {
         let at = told.after_ms;
         match &told.line.event {
@@ -292,7 +306,7 @@
 }
 
 /// Changes that left fewer targets than usual.
-fn missing_targets(lines: &[Told]) -> Vec<String> {
+fn capacity_changes(lines: &[HistoryLine]) -> Vec<String> {
     let told = lines.iter().filter(|told| !told.is_request && told.after_ms <= 0);
     let told = told.filter_map(|told| {
         let at = told.after_ms;
--- a/src/why/story.rs
+++ b/src/why/history.rs
@@ -1,11 +1,11 @@
 //! The lines of one request in their order, and what they come to.
 
-use super::{Cause, Found, cause};
+use super::{Cause, LogMatches, cause};
 use crate::{event_log::Line, prelude::*};
 
 /// One line of the story.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Told {
+pub struct HistoryLine {
     /// Time since the request's first line, in milliseconds; negative before it.
     pub after_ms: i64,
     /// It is about the request itself; otherwise it tells what the host believed.
@@ -15,26 +15,26 @@
 
 /// Everything that the logs tell of one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Story {
+pub struct RequestHistory {
     pub cause: Cause,
     /// Kinds and numbers of lines that were dropped meanwhile.
     pub dropped: BTreeMap<Arc<str>, u64>,
     pub id: Arc<str>,
-    pub lines: Vec<Told>,
+    pub lines: Vec<HistoryLine>,
 }
 
-impl Story {
+impl RequestHistory {
     /// Puts what was found in order.
-    pub fn new(id: &str, found: &Found) -> Self {
+    pub fn new(id: &str, found: &LogMatches) -> Self {
         let first = found.request.iter().map(|line| line.at_ms).min().unwrap_or_default();
         let told = |is_request| {
-            move |line: &Line| Told {
+            move |line: &Line| HistoryLine {
                 after_ms: line.at_ms as i64 - first as i64,
                 is_request,
                 line: line.clone(),
             }
         };
-        let mut lines: Vec<Told> = found.context.iter().map(told(false)).collect();
+        let mut lines: Vec<HistoryLine> = found.context.iter().map(told(false)).collect();
         lines.extend(found.request.iter().map(told(true)));
         // Lines of one millisecond stay in the order in which each host wrote them.
         lines.sort_by_key(|told| told.after_ms);
@@ -45,7 +45,7 @@
                 *dropped.entry(kind.clone()).or_default() += count;
             }
         }
-        let cause = cause::of(&lines, &dropped);
+        let cause = cause::determine(&lines, &dropped);
         Self { cause, dropped, id: id.into(), lines }
     }
 
--- a/src/why/mod.rs
+++ b/src/why/mod.rs
@@ -4,15 +4,15 @@
 //! them in order and names the cause; `render` prints them. Nothing here asks a running host.
 
 mod cause;
-mod read;
+mod history;
 mod render;
-mod story;
+mod search;
 #[cfg(test)]
 mod tests;
 
 pub use self::{
     cause::{Cause, Verdict},
-    read::{Found, ReadError, find},
-    render::text,
-    story::{Story, Told},
+    history::{HistoryLine, RequestHistory},
+    render::render_text,
+    search::{LogMatches, ReadError, find_request},
 };
--- a/src/why/render.rs
+++ b/src/why/render.rs
@@ -2,18 +2,24 @@
 
 use std::fmt::Write;
 
-use super::{Story, Told};
+use super::{HistoryLine, RequestHistory};
 use crate::event_log::Event;
 
 /// The whole story.
-pub fn text(story: &Story) -> String {
+pub fn render_text(story: &RequestHistory) -> String {
     let mut text = format!("request {}\n", story.id);
     if !story.lines.is_empty() {
         text.push_str("\n       ms  host\n");
     }
     for told in &story.lines {
         let mark = if told.is_request { ' ' } else { '~' };
-        let _ = writeln!(text, "{:>9} {mark}{:<18} {}", told.after_ms, told.line.host, one(told));
+        let _ = writeln!(
+            text,
+            "{:>9} {mark}{:<18} {}",
+            told.after_ms,
+            told.line.host,
+            format_event(told)
+        );
     }
     if !story.dropped.is_empty() {
         let counts: Vec<String> =
@@ -31,7 +37,7 @@
 }
 
 /// One event: its kind, then its fields as they are in the log.
-fn one(told: &Told) -> String {
+fn format_event(told: &HistoryLine) -> String {
     let event: &Event = &told.line.event;
     let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(event) else {
         return event.kind().name().to_owned();
--- a/src/why/read.rs
+++ b/src/why/search.rs
@@ -14,20 +14,20 @@
 
 /// Most lines of the request itself that are kept: one attempt has some twenty at most, and its id
 /// may be that of a caller who repeats it.
-const REQUEST_MOST: usize = 1_000;
+const MAX_REQUEST_LINES: usize = 1_000;
 
 /// Most lines about one subject, on one host, that are kept from before the request.
-const BEFORE_MOST: usize = 3;
+const MAX_LINES_BEFORE: usize = 3;
 
 /// Most lines of context that are kept in all.
-const CONTEXT_MOST: usize = 2_000;
+const MAX_CONTEXT_LINES: usize = 2_000;
 
 /// Time after the request's last line in which a change of belief may still explain it: a lost
 /// target is told after a connection is tried again.
-const AFTER: Duration = Duration::from_secs(2);
+const CONTEXT_AFTER: Duration = Duration::from_secs(2);
 
 /// Longest line that is read; a longer one is none of ours.
-const LINE_MOST: u64 = 64 * 1024;
+const MAX_LINE_BYTES: u64 = 64 * 1024;
 
 /// Result of reading logs.
 pub type Result<T> = std::result::Result<T, ReadError>;
@@ -42,7 +42,7 @@
 
 /// What the logs hold of one request.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct LogMatches {
     /// What the hosts believed then: their last word before about each thing that the request
     /// touched, and what changed while it ran.
     pub context: Vec<Line>,
@@ -52,39 +52,39 @@
     /// where the request was not found.
     pub dropped: Vec<Line>,
     /// Lines that are no events.
-    pub strange: u64,
+    pub unparsed: u64,
     /// Lines that were read.
-    pub lines: u64,
+    pub total_lines: u64,
 }
 
 /// Finds what is known of the request with this id.
-pub fn find(id: &str, files: &[PathBuf]) -> Result<Found> {
-    let mut found = Found::default();
+pub fn find_request(id: &str, files: &[PathBuf]) -> Result<LogMatches> {
+    let mut matches = LogMatches::default();
     for path in files {
-        each_line(path, |line| found.first(id, line))?;
+        for_each_line(path, |line| matches.add(id, line))?;
     }
-    let span = Span::of(&found.request);
-    let mut context = Context::default();
+    let scope = RequestScope::of(&matches.request);
+    let mut context = ContextLines::default();
     for path in files {
-        each_line(path, |line| {
+        for_each_line(path, |line| {
             if let Ok(line) = line {
-                context.take(line, &span);
+                context.add(line, &scope);
             }
         })?;
     }
-    found.dropped = context.dropped;
-    found.context = context.before.into_values().flatten().chain(context.during).collect();
-    Ok(found)
+    matches.dropped = context.dropped;
+    matches.context = context.before.into_values().flatten().chain(context.during).collect();
+    Ok(matches)
 }
 
-impl Found {
-    fn first(&mut self, id: &str, line: std::result::Result<Line, Strange>) {
-        self.lines += 1;
+impl LogMatches {
+    fn add(&mut self, id: &str, line: std::result::Result<Line, NotAnEvent>) {
+        self.total_lines += 1;
         let Ok(line) = line else {
-            self.strange += 1;
+            self.unparsed += 1;
             return;
         };
-        if line.request.attempt.as_deref() == Some(id) && self.request.len() < REQUEST_MOST {
+        if line.request.attempt.as_deref() == Some(id) && self.request.len() < MAX_REQUEST_LINES {
             self.request.push(line);
         }
     }
@@ -92,24 +92,24 @@
 
 /// Where and when the request ran, and what it touched.
 #[derive(Debug, Default)]
-struct Span {
+struct RequestScope {
     /// First and last line of each host, by its wall clock.
     hosts: BTreeMap<HostId, (u64, u64)>,
     services: BTreeSet<ServiceId>,
     targets: BTreeSet<TargetId>,
 }
 
-impl Span {
+impl RequestScope {
     fn of(lines: &[Line]) -> Self {
-        let mut span = Self::default();
+        let mut scope = Self::default();
         for line in lines {
             let at = line.at_ms;
-            let host = span.hosts.entry(line.host.clone()).or_insert((at, at));
+            let host = scope.hosts.entry(line.host.clone()).or_insert((at, at));
             *host = (host.0.min(at), host.1.max(at));
-            span.services.extend(service(&line.event).cloned());
-            span.targets.extend(target(&line.event).cloned());
+            scope.services.extend(service(&line.event).cloned());
+            scope.targets.extend(target(&line.event).cloned());
         }
-        span
+        scope
     }
 }
 
@@ -152,7 +152,7 @@
     Zone(ZoneId),
 }
 
-impl Span {
+impl RequestScope {
     /// The subject of a change that may have mattered to the request.
     fn subject(&self, event: &Event) -> Option<Subject> {
         match event {
@@ -192,38 +192,39 @@
 
 /// Lines of context, bounded.
 #[derive(Debug, Default)]
-struct Context {
+struct ContextLines {
     before: BTreeMap<(HostId, Subject), VecDeque<Line>>,
     dropped: Vec<Line>,
     during: Vec<Line>,
 }
 
-impl Context {
-    fn take(&mut self, line: Line, span: &Span) {
-        let times = span.hosts.get(&line.host);
+impl ContextLines {
+    fn add(&mut self, line: Line, scope: &RequestScope) {
+        let times = scope.hosts.get(&line.host);
         if matches!(line.event, Event::LinesDropped { .. }) {
             let near = |(first, last): &(u64, u64)| {
-                *first <= line.at_ms && line.at_ms <= last + AFTER.as_millis() as u64
+                *first <= line.at_ms && line.at_ms <= last + CONTEXT_AFTER.as_millis() as u64
             };
-            let matters = span.hosts.is_empty() || times.is_some_and(near);
-            if matters && self.dropped.len() < CONTEXT_MOST {
+            let matters = scope.hosts.is_empty() || times.is_some_and(near);
+            if matters && self.dropped.len() < MAX_CONTEXT_LINES {
                 self.dropped.push(line);
             }
             return;
         }
         let Some((first, last)) = times else { return };
-        let Some(subject) = span.subject(&line.event) else { return };
+        let Some(subject) = scope.subject(&line.event) else { return };
         if line.at_ms < *first {
             // What a host heard of others long ago, and forgot by a new start, explains nothing.
             if matches!(line.event, Event::Started { .. }) {
                 self.before.retain(|(host, _), _| *host != line.host);
             }
             let kept = self.before.entry((line.host.clone(), subject)).or_default();
-            if BEFORE_MOST <= kept.len() {
+            if MAX_LINES_BEFORE <= kept.len() {
                 kept.pop_front();
             }
             kept.push_back(line);
-        } else if line.at_ms <= last + AFTER.as_millis() as u64 && self.during.len() < CONTEXT_MOST
+        } else if line.at_ms <= last + CONTEXT_AFTER.as_millis() as u64
+            && self.during.len() < MAX_CONTEXT_LINES
         {
             self.during.push(line);
         }
@@ -231,22 +232,25 @@
 }
 
 /// A line that is no event.
-struct Strange;
+struct NotAnEvent;
 
 /// Hands on each line. Collectors put a time or a name before a line: it is read from its first
 /// brace.
-fn each_line(path: &Path, mut f: impl FnMut(std::result::Result<Line, Strange>)) -> Result<()> {
+fn for_each_line(
+    path: &Path,
+    mut f: impl FnMut(std::result::Result<Line, NotAnEvent>),
+) -> Result<()> {
     let fail = |source| ReadError { path: path.to_owned(), source };
     let mut reader = BufReader::new(File::open(path).map_err(fail)?);
     let mut text = Vec::new();
     loop {
         text.clear();
-        let mut limited = io::Read::take(&mut reader, LINE_MOST);
+        let mut limited = io::Read::take(&mut reader, MAX_LINE_BYTES);
         if limited.read_until(b'\n', &mut text).map_err(fail)? == 0 {
             return Ok(());
         }
         let json = text.iter().position(|byte| *byte == b'{').map(|at| &text[at..]);
         let line = json.and_then(|json| serde_json::from_slice(json).ok());
-        f(line.ok_or(Strange));
+        f(line.ok_or(NotAnEvent));
     }
 }
--- a/src/why/tests.rs
+++ b/src/why/tests.rs
@@ -121,9 +121,9 @@
     Event::TargetPaused { failures: 2, pause_ms: 500, reason, target: target.into() }
 }
 
-fn story(id: &str, logs: &[&Log]) -> Story {
+fn story(id: &str, logs: &[&Log]) -> RequestHistory {
     let files: Vec<PathBuf> = logs.iter().map(|log| log.0.clone()).collect();
-    Story::new(id, &find(id, &files).expect("the logs can be read"))
+    RequestHistory::new(id, &find_request(id, &files).expect("the logs can be read"))
 }
 
 /// A booking's target went down under it. Its id alone leads to the lost attempt, to the target's
@@ -149,7 +149,7 @@
     assert!(behind.contains("t-1 was lost after the request was sent"), "{behind}");
     assert!(behind.contains("t-1 was paused at 40 ms, nobody answered at its address"), "{behind}");
     assert!(story.cause.what.contains("whether it ran: unknown"), "{}", story.cause.what);
-    assert!(text(&story).contains("cause: 502"), "{}", text(&story));
+    assert!(render_text(&story).contains("cause: 502"), "{}", render_text(&story));
 }
 
 /// A read is late since its target had to work for an object that it did not know. The host had
@@ -249,9 +249,9 @@
     lines.extend((5_000..6_500).map(lost));
     lines.extend((5_000..6_500).map(lost));
     let log = Log::of(&lines);
-    let found = find("r-1", std::slice::from_ref(&log.0)).expect("the log can be read");
+    let found = find_request("r-1", std::slice::from_ref(&log.0)).expect("the log can be read");
     assert_eq!(found.context.len(), 3 + 2_000);
-    assert_eq!(found.lines, 8_001);
+    assert_eq!(found.total_lines, 8_001);
 }
 
 /// Every way in which a request can end has its verdict.
@@ -301,8 +301,8 @@
         text.splice(at..at, noise);
         let log = Log::write("");
         fs::write(&log.0, &text).expect("a temporary file");
-        let found = find("r-1", std::slice::from_ref(&log.0)).expect("the log can be read");
+        let found = find_request("r-1", std::slice::from_ref(&log.0)).expect("the log can be read");
         proptest::prop_assert!(found.request.len() <= 2);
-        proptest::prop_assert!(found.strange <= found.lines);
+        proptest::prop_assert!(found.unparsed <= found.total_lines);
     }
 }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -15,7 +15,7 @@
     base::ErrorKind,
     cmd::Cli,
     event_log::EventKind as EntryEvent,
-    metrics::{EntryMetrics, Metric, Shape},
+    metrics::{EntryMetrics, Metric, MetricKind},
     timeline::EventKind,
 };
 use strum::IntoEnumIterator;
@@ -66,10 +66,10 @@
 fn every_metric_stands_in_the_page() {
     let mut table = String::from("\n| Name | Shape | Meaning |\n| --- | --- | --- |\n");
     for metric in Metric::ALL {
-        let shape = match metric.shape() {
-            Shape::Counter => "counter",
-            Shape::Gauge => "gauge",
-            Shape::Timing => "timing, ms",
+        let shape = match metric.kind() {
+            MetricKind::Counter => "counter",
+            MetricKind::Gauge => "gauge",
+            MetricKind::Timing => "timing, ms",
         };
         writeln!(table, "| `{}` | {shape} | {} |", metric.name(), metric.doc()).unwrap();
     }
