--- a/src/demo/events.rs
+++ b/src/demo/events.rs
@@ -91,7 +91,7 @@
 
     /// The pipeline applies its next manifest.
     pub async fn apply(&self) -> eyre::Result<()> {
-        let platform = HttpPlatform::open(self.platform.address())?;
+        let platform = HttpPlatform::new(self.platform.address())?;
         let (manifest, signed) = self.cluster.next_manifest()?;
         let proposal =
             Proposal { member: self.cluster.plan.name.into(), parts: Vec::new(), signed };
@@ -153,7 +153,7 @@
         drop(seats);
         if planned {
             let report = daemon.stop().await;
-            let whole = report.cut == 0 && report.entries_lost == 0;
+            let whole = report.interrupted == 0 && report.entries_lost == 0;
             self.tally.check(Promise::GracefulStop, whole, || format!("{name}: {report:?}"));
         } else {
             drop(daemon);
--- a/tests/support/hosts.rs
+++ b/tests/support/hosts.rs
@@ -7,7 +7,7 @@
 use ed25519_dalek::SigningKey;
 use lavenderplank::{
     base::{BootClock, Clock},
-    daemon::{Daemon, DaemonParts, LookupBody},
+    daemon::{Daemon, DaemonConfig, LookupBody},
     forward::{ForwardLimits, HttpUpstream},
     ingress::IngressLimits,
     manifest::{
@@ -101,7 +101,7 @@
         let text = serde_norway::to_string(&self.manifest(sequence)).unwrap();
         let signed = sign(&text, &self.key).unwrap();
         let proposal = Proposal { member: MEMBER.into(), parts: Vec::new(), signed };
-        let platform = HttpPlatform::open(self.platform.address()).unwrap();
+        let platform = HttpPlatform::new(self.platform.address()).unwrap();
         let loads = LoadShares { entries: Vec::new(), default: DEFAULT_LOAD };
         accept(&platform, &proposal, &self.key.verifying_key(), &loads).await.unwrap();
     }
@@ -131,19 +131,19 @@
         let limits =
             ForwardLimits { stream_silence: Duration::from_secs(300), ..ForwardLimits::default() };
         let upstream = || Arc::new(HttpUpstream::open(limits).unwrap());
-        let host = Daemon::spawn(DaemonParts {
+        let host = Daemon::spawn(DaemonConfig {
             clock: self.clock.clone(),
             limits: RouterLimits::default(),
             link: Arc::new(PeerClient::new(key.clone(), MEMBER.into())),
             operator_token: Secret::new(OPERATOR_TOKEN),
             peer_key: key,
             peers: upstream(),
-            platform: Arc::new(HttpPlatform::open(self.platform.address()).unwrap()),
-            record: None,
+            platform: Arc::new(HttpPlatform::new(self.platform.address()).unwrap()),
+            trace_recorder: None,
             seed: self.seeds,
             settings,
             targets: upstream(),
-            timeline: 1000,
+            timeline_capacity: 1000,
             traffic_threads: 1,
         })
         .await
