--- a/src/entry/place.rs
+++ b/src/entry/place.rs
@@ -288,7 +288,7 @@
     }
 }
 
-/// Whether a request may be sent outside the region picked by the shares.
+/// Whether a request may spill, that is, be sent outside the region picked by the shares.
 fn may_spill(state: &ServiceState) -> bool {
     1.0 <= state.spill_credit
 }
--- a/src/entry/service_state.rs
+++ b/src/entry/service_state.rs
@@ -13,8 +13,9 @@
 /// Shortest interval over which demand is measured, in seconds.
 const MIN_INTERVAL_S: f64 = 0.1;
 
-/// Fraction of requests that may be sent outside the region picked by the shares. Small, since
-/// these requests add to the traffic shifted between regions.
+/// Fraction of requests that may spill, that is, be sent outside the region picked by the shares.
+/// Small, since these requests add to the traffic shifted between regions and count towards the
+/// maximum shift.
 const SPILL_CREDIT_PER_REQUEST: f64 = 0.005;
 
 /// Most credit that can be saved up, in requests.
@@ -36,8 +37,8 @@
     /// Number of intervals over which demand was measured.
     measurements: u32,
     pub shares: Option<RegionShares>,
-    /// Number of requests that may be sent outside the region picked by the shares; grows with each
-    /// request.
+    /// Number of requests that may spill, that is, be sent outside the region picked by the shares;
+    /// grows with each request.
     pub spill_credit: f64,
     /// The shares that were last written to the log.
     reported_shares: BTreeMap<RegionId, f64>,
--- a/src/lookup/block_table.rs
+++ b/src/lookup/block_table.rs
@@ -17,13 +17,16 @@
         "block {block} begins a part but is not above the previous part; sign the blocks again"
     )]
     OutOfOrder { block: IpNet },
-    #[error("block {block} is listed twice; list it only once")]
+    #[error("block {block} is both in the manifest's list and in a part; list it only once")]
     Duplicate { block: IpNet },
 }
 
-/// Client blocks of a member: those listed in the manifest itself, and parts in ascending order,
-/// which are shared with the tables of other manifests, so that a change rebuilds only the parts
-/// that it affects.
+/// Client blocks of a member: those listed in the manifest itself, and parts in ascending order.
+///
+/// A part is a sorted run of client blocks that is stored outside the manifest, so that a manifest
+/// can have more blocks than fit into one stored object. A few blocks are simply listed in the
+/// manifest. Parts are shared with the tables of other manifests, so that a change rebuilds only
+/// the parts that it affects.
 #[derive(Clone, Debug, Default)]
 pub struct BlockTable {
     listed: Arc<BlockPart>,
@@ -82,8 +85,8 @@
         longest.map(|(_, home)| home)
     }
 
-    /// The listed blocks and the parts, in order.
-    pub fn parts(&self) -> impl Iterator<Item = &Arc<BlockPart>> {
+    /// The listed blocks, as the first item, followed by the parts in order.
+    pub fn all_parts(&self) -> impl Iterator<Item = &Arc<BlockPart>> {
         std::iter::once(&self.listed).chain(self.parts.iter().map(|entry| &entry.part))
     }
 
@@ -95,7 +98,7 @@
 
     /// Number of blocks.
     pub fn len(&self) -> usize {
-        self.parts().map(|part| part.len()).sum()
+        self.all_parts().map(|part| part.len()).sum()
     }
 
     pub fn is_empty(&self) -> bool {
--- a/src/manifest/blocks.rs
+++ b/src/manifest/blocks.rs
@@ -32,7 +32,7 @@
 
     /// All blocks: first those in the text, then those of the parts in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = ClientBlock> + '_ {
-        let parts = self.table.parts().skip(1).flat_map(|part| part.iter());
+        let parts = self.table.all_parts().skip(1).flat_map(|part| part.iter());
         self.listed.iter().cloned().chain(parts)
     }
 
--- a/src/manifest/check.rs
+++ b/src/manifest/check.rs
@@ -179,7 +179,7 @@
     fn parts(&mut self) {
         let manifest = self.manifest;
         let defined: BTreeSet<&str> = manifest.regions.iter().map(|region| &*region.name).collect();
-        let used = manifest.client_blocks.table().parts().skip(1);
+        let used = manifest.client_blocks.table().all_parts().skip(1);
         let used: BTreeSet<&RegionId> = used.flat_map(|part| part.regions()).collect();
         for region in used.into_iter().filter(|region| !defined.contains(&***region)) {
             self.report_unknown(&[PathSegment::Key("client_blocks")], "region", region);
--- a/src/manifest/tests/parts.rs
+++ b/src/manifest/tests/parts.rs
@@ -36,7 +36,7 @@
 }
 
 fn tables(manifest: &Manifest) -> Vec<Arc<BlockPart>> {
-    manifest.client_blocks.table().parts().skip(1).cloned().collect()
+    manifest.client_blocks.table().all_parts().skip(1).cloned().collect()
 }
 
 // A pipeline's own tool splits the blocks wrongly and signs the parts. A host that accepted them
@@ -51,7 +51,10 @@
         (&["10.3.0.0/16 bagmati\n10.2.0.0/16 bagmati\n"], "10.2.0.0/16 is listed twice or out of"),
         (&["10.3.0.0/16 bagmati\n", "10.2.0.0/16 bagmati\n"], "10.2.0.0/16 begins a part but"),
         (&["10.2.0.0/16 bagmati\n10.2.0.0/16 bagmati\n"], "10.2.0.0/16 is listed twice"),
-        (&["10.1.0.0/16 bagmati\n"], "block 10.1.0.0/16 is listed twice; list it only once"),
+        (
+            &["10.1.0.0/16 bagmati\n"],
+            "block 10.1.0.0/16 is both in the manifest's list and in a part; list it only once",
+        ),
         (&["10.2.0.1/16 bagmati\n"], "10.2.0.1/16 has bits set past its prefix; write 10.2.0.0/16"),
         (&["10.2.0.0/16 east\n"], "client_blocks: there is no region east"),
     ];
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -35,6 +35,7 @@
         self.records.get(host)
     }
 
+    /// Returns the hosts that are not suspected, including those that are leaving.
     pub fn live(&self) -> impl Iterator<Item = &HostView> {
         self.records.values().filter(|record| !record.suspected).map(|record| &record.view)
     }
@@ -53,8 +54,8 @@
         self.records.values().map(move |record| record.entry(now))
     }
 
-    /// Hashes the hosts including `own`, without heartbeats. Rosters of the same hosts have the
-    /// same hash.
+    /// Hashes the id, epoch and revision of every host, including `own`. Two hosts with the same
+    /// hash know the same state of the same hosts; heartbeats and suspicions are not covered.
     pub fn hash(&self, own: &HostEntry) -> u64 {
         let mut rows: Vec<_> = self
             .records
@@ -97,7 +98,8 @@
 
     /// Merges the entry of one host. Of two incarnations the one with the higher epoch stays,
     /// however often the other is heard: a process that was paused before its replacement started,
-    /// and then resumes on the same address, cannot displace the new one.
+    /// and then resumes on the same address, cannot displace the new one. At equal epochs the known
+    /// incarnation stays, unless it is suspected and the other was heard just now (`age_ms` is 0).
     pub fn merge(
         &mut self,
         entry: HostEntry,
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -27,7 +27,8 @@
 /// Extra cost of a target in another zone of the region, for the traffic between zones.
 const CROSS_ZONE_COST: Duration = Duration::from_millis(6);
 
-/// Extra cost of a region other than the one selected by the shares, since it counts as a shift.
+/// Extra cost of a spill, that is, of a region other than the one selected by the shares: it adds to
+/// the traffic shifted between regions.
 const SPILL_COST: Duration = Duration::from_millis(150);
 
 /// Rank from which the rank cost no longer rises; a few targets are enough for any object.
@@ -62,6 +63,8 @@
     pub estimates: ServiceEstimates,
     /// Time until the caller's deadline.
     pub time_left: Duration,
+    /// Whether the request may spill, that is, run outside `region`. A spilled request counts
+    /// towards the maximum shift like any other that is sent to its region; see `SentTotals`.
     pub may_spill: bool,
     /// `None` if the request is about no object; all targets are then equally fast.
     pub object: Option<ObjectTag>,
@@ -113,9 +116,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
     Send(CandidateEstimate),
-    /// No target that the request may use can answer in time. `best` is the candidate with the
-    /// lowest cost, if any has space in its queue. `free_in` is the expected wait for a slot; it is
-    /// unknown if all targets are unavailable, as the queue of a paused target says nothing.
+    /// The cheapest usable target exceeds `PlacementQuery::limit`, or the queues of all usable
+    /// targets are full. `best` is the candidate with the lowest cost, if any has space in its
+    /// queue. `free_in` is the expected wait for a slot. It is `None` if the request may use none
+    /// of the targets: they are unavailable (the queue of a paused target says nothing), or in
+    /// other regions and `may_spill` is false.
     Busy {
         best: Option<CandidateEstimate>,
         free_in: Option<Duration>,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -10,6 +10,9 @@
 //! `region_shares` selects the region, within the traffic that all hosts of the own region may
 //! still shift (`sent_requests`). `target_index` makes a shortlist of targets, and `choose` selects
 //! one.
+//!
+//! Used by entry hosts, on the users' platform. Hosts started with `run` use `crate::selection`,
+//! which has a `Candidate` and a `HealthSignal` of its own.
 
 mod cache_capacity;
 mod cached_objects;
--- a/src/quarantine/suspects.rs
+++ b/src/quarantine/suspects.rs
@@ -106,13 +106,13 @@
             .map(|runs| runs.iter().map(|run| run.fingerprint).collect())
             .unwrap_or_default();
         for other in others {
-            self.mark_suspect(other, now);
+            self.add_suspicion(other, now);
         }
         let proven = !run.shared && self.is_restricted(fingerprint, now);
         if proven {
             self.refuse(fingerprint, now)
         } else {
-            self.mark_suspect(fingerprint, now)
+            self.add_suspicion(fingerprint, now)
         }
         self.mark(fingerprint, now)
     }
@@ -140,9 +140,14 @@
         self.records.keys().filter_map(|&fingerprint| self.mark(fingerprint, now)).collect()
     }
 
-    /// Merges a peer's mark. A mark that ends at about the same time as the own record is an echo
-    /// of that record and is ignored: otherwise two hosts that repeat each other's marks, each with
-    /// a short delay, would extend a suspicion forever. A new verdict ends well after the old one.
+    /// Merges a peer's mark. A mark with the same verdict that ends earlier than the own record, or
+    /// at about the same time, is an echo of that record and is ignored: otherwise two hosts that
+    /// repeat each other's marks, each with a short delay, would extend a suspicion forever. A new
+    /// verdict ends well after the old one.
+    ///
+    /// The tolerance is a quarter of the longest duration of the verdict: by default 15 s for a
+    /// suspicion and 120 s for a refusal, whose longest duration is `MAX_REFUSAL_MULTIPLIER` times
+    /// the first. So a peer's refusal extends the own one only if it ends at least that much later.
     pub fn merge_mark(&mut self, mark: &QuarantineMark, now: Moment) {
         let (state, longest) = match mark.verdict {
             QuarantineVerdict::Refused => {
@@ -192,7 +197,7 @@
         }
     }
 
-    fn mark_suspect(&mut self, fingerprint: Fingerprint, now: Moment) {
+    fn add_suspicion(&mut self, fingerprint: Fingerprint, now: Moment) {
         let known = self.records.get(&fingerprint).copied();
         if known.is_some_and(|record| record.state == RecordState::Refused) {
             return;
--- a/src/routing/action.rs
+++ b/src/routing/action.rs
@@ -45,6 +45,7 @@
         timeout: Duration,
         via: Via,
     },
+    /// Add an event to the timeline.
     Note {
         kind: EventKind,
         request: Option<RequestId>,
--- a/src/routing/arrival.rs
+++ b/src/routing/arrival.rs
@@ -25,7 +25,7 @@
             hops: u8::from(arrival.via != Via::Caller),
             service: arrival.service.clone(),
         };
-        self.record_event(Some(&arrival.request), kind);
+        self.record_timeline_event(Some(&arrival.request), kind);
         match self.check_arrival(&arrival, now) {
             Ok(state) => {
                 self.calls.insert(call, state);
@@ -103,7 +103,7 @@
     }
 
     fn refuse_before_admission(&mut self, arrival: &Arrival, error: ErrorKind, rng: &mut impl Rng) {
-        self.record_event(Some(&arrival.request), EventKind::Refused { error });
+        self.record_timeline_event(Some(&arrival.request), EventKind::Refused { error });
         let answer = Answer::Error { error, retry_after: jittered_retry_after(error, rng) };
         self.actions.push(Action::Answer { answer, call: arrival.call });
     }
@@ -186,7 +186,7 @@
         let state = &self.calls[&call];
         let timeout = state.arrival.deadline.saturating_sub(now);
         let request = state.arrival.request.clone();
-        self.record_event(Some(&request), EventKind::Forwarded { to: host.clone() });
+        self.record_timeline_event(Some(&request), EventKind::Forwarded { to: host.clone() });
         let via = destination.via();
         self.actions.push(Action::Forward { address, attempt, call, host, timeout, via });
     }
@@ -243,7 +243,7 @@
         let home = self.home_region(&state.arrival);
         let service = state.arrival.service.clone();
         if home == view.own.region {
-            self.caps.record_arrival(&service, &home, now);
+            self.shift_limiter.record_arrival(&service, &home, now);
             return Ok(());
         }
         // While the home region has a live host, that host decides about shifts of its callers and
@@ -265,14 +265,14 @@
             receivers: u32::try_from(receivers).unwrap_or(u32::MAX),
             service: service.clone(),
         };
-        if !self.caps.allow_direct(&query, now) {
+        if !self.shift_limiter.allow_direct(&query, now) {
             return Err(ErrorKind::CapReached);
         }
         let request = state.arrival.request.clone();
         let state = self.call_mut(call);
         state.direct_shift = true;
         state.shift_attempted = true;
-        self.record_event(Some(&request), EventKind::Shifted { home, service });
+        self.record_timeline_event(Some(&request), EventKind::Shifted { home, service });
         Ok(())
     }
 
@@ -310,9 +310,9 @@
         let undo = state.direct_shift && error.response().ran == Ran::No;
         let refused = error == ErrorKind::NoSlots;
         let end = CompletedRequest { latency: None, refused, shifted: true };
-        self.caps.record_completion(&service, &home, end, now);
+        self.shift_limiter.record_completion(&service, &home, end, now);
         if undo {
-            self.caps.refund_direct(&service, &home, now);
+            self.shift_limiter.refund_direct(&service, &home, now);
         }
     }
 
@@ -358,7 +358,7 @@
             return jittered_retry_after(error, rng);
         }
         let home = self.blocks.home_region(state.arrival.client)?;
-        Some(self.caps.retry_after(&state.arrival.service, home, now, rng))
+        Some(self.shift_limiter.retry_after(&state.arrival.service, home, now, rng))
     }
 
     pub(super) fn call_mut(&mut self, call: CallId) -> &mut Call {
--- a/src/routing/attempt_end.rs
+++ b/src/routing/attempt_end.rs
@@ -94,7 +94,7 @@
         if error.is_none() && !arrival.via.requests_slot() {
             let end = CompletedRequest { latency: Some(latency), refused: false, shifted };
             let home = self.home_region(&arrival);
-            self.caps.record_completion(&arrival.service, &home, end, now);
+            self.shift_limiter.record_completion(&arrival.service, &home, end, now);
         }
         let Destination::OwnTarget { slot, target } = destination else { return };
         self.slots.release(target, *slot, now);
@@ -105,12 +105,15 @@
             let mark = self.quarantine.record_end(arrival.fingerprint, target, crashed, now);
             if let Some(mark) = mark {
                 let fingerprint = format!("{:032x}", mark.fingerprint).into();
-                self.record_event(Some(&arrival.request), EventKind::Quarantined { fingerprint });
+                self.record_timeline_event(
+                    Some(&arrival.request),
+                    EventKind::Quarantined { fingerprint },
+                );
             }
         } else {
             self.quarantine.record_inconclusive_end(arrival.fingerprint, target);
         }
-        self.record_event(
+        self.record_timeline_event(
             Some(&arrival.request),
             EventKind::Ended { error, target: target.clone() },
         );
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -53,13 +53,15 @@
 }
 
 impl Arrival {
-    /// Whether the request names a ledger entry, which knows the outcome of earlier copies. A slot
-    /// hop comes from the host that holds the entry and asks for this one attempt only.
+    /// Whether the request names a ledger entry, which knows the outcome of earlier copies: it takes
+    /// both the binding and the key. A slot hop comes from the host that holds the entry and asks
+    /// for this one attempt only.
     pub fn names_ledger_entry(&self) -> bool {
         self.via != Via::SlotHop && self.binding.is_some() && self.key.is_some()
     }
 
-    /// Whether an earlier copy of the same booking may have run.
+    /// Whether an earlier copy of the same booking may have run. With only one of binding and key,
+    /// a booking is refused and no entry can be found, but a copy that had both may have run.
     pub fn may_have_run(&self) -> bool {
         self.via != Via::SlotHop && (self.binding.is_some() || self.key.is_some())
     }
@@ -75,11 +77,12 @@
     Failed {
         error: ErrorKind,
         latency: Duration,
-        /// The head of the answer was already passed to the caller, so no other attempt may follow.
+        /// The head of the answer was already passed to the caller, so no other attempt may follow:
+        /// the body cannot be resumed, unlike that of `Interrupted`.
         passed: bool,
     },
-    /// A streamed body broke off after its beginning was passed to the caller. Another target may
-    /// serve the rest.
+    /// The body of a whole file with a strong ETag broke off after its beginning was passed to the
+    /// caller. Another target that has the same version may serve the rest.
     Interrupted { error: ErrorKind, latency: Duration },
     /// Another host refused it. `error.response().ran` says whether the request ran there.
     Refused { error: ErrorKind, latency: Duration },
--- a/src/routing/hedge.rs
+++ b/src/routing/hedge.rs
@@ -73,7 +73,7 @@
             return;
         }
         if let Some(target) = slow {
-            self.record_event(Some(&request), EventKind::Hedged { target });
+            self.record_timeline_event(Some(&request), EventKind::Hedged { target });
         }
     }
 
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -249,14 +249,14 @@
             regions_silent: !view.silent_regions.is_empty(),
             service: state.arrival.service.clone(),
         };
-        if !self.caps.allow(&query, now) {
+        if !self.shift_limiter.allow(&query, now) {
             return false;
         }
         let request = state.arrival.request.clone();
         let kind = EventKind::Shifted { home: home.clone(), service: query.service };
         self.call_mut(call).shifted = true;
         self.call_mut(call).shift_attempted = true;
-        self.record_event(Some(&request), kind);
+        self.record_timeline_event(Some(&request), kind);
         true
     }
 
@@ -268,7 +268,7 @@
             return;
         }
         let service = state.arrival.service.clone();
-        self.caps.refund(&service, &view.own.region, now);
+        self.shift_limiter.refund(&service, &view.own.region, now);
     }
 
     /// Sends to a target: directly if this host owns it, otherwise through its owner as `via`.
@@ -357,7 +357,10 @@
         });
         self.quarantine.record_start(arrival.fingerprint, &target, now);
         self.selector.record_start(&target, now);
-        self.record_event(Some(&arrival.request), EventKind::Dispatched { target: target.clone() });
+        self.record_timeline_event(
+            Some(&arrival.request),
+            EventKind::Dispatched { target: target.clone() },
+        );
         self.actions.push(Action::Dispatch { address, attempt, call, target, timeout });
     }
 
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -78,7 +78,7 @@
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
     pub(super) blocks: Arc<BlockTable>,
     pub(super) calls: BTreeMap<CallId, Call>,
-    pub(super) caps: ShiftLimiter,
+    pub(super) shift_limiter: ShiftLimiter,
     pub(super) leaving: bool,
     pub(super) ledger: Ledger,
     pub(super) last_attempt: AttemptId,
@@ -102,7 +102,7 @@
             attempts: BTreeMap::new(),
             blocks: Arc::default(),
             calls: BTreeMap::new(),
-            caps: ShiftLimiter::with_options(limits.tuning.shift, Duration::ZERO),
+            shift_limiter: ShiftLimiter::with_options(limits.tuning.shift, Duration::ZERO),
             leaving: false,
             ledger: Ledger::new(host, incarnation, limits.ledger),
             last_attempt: 0,
@@ -162,10 +162,10 @@
         self.calls.len()
     }
 
-    /// Request rates by service of this region's own callers, for the regions that serve them if
-    /// this one fails.
+    /// Requests per second that arrived at this host, by service and home region. The hosts that
+    /// serve these callers if this region fails derive their limits from it.
     pub fn baselines(&self, now: Moment) -> Vec<Baseline> {
-        self.caps.request_rates(now)
+        self.shift_limiter.request_rates(now)
     }
 
     /// The quarantine mark of a request, for the hosts that it is forwarded to or came from.
@@ -198,7 +198,7 @@
     /// other regions.
     pub fn shifted_share(&self, service: &ServiceId, now: Moment) -> Share {
         let Some(view) = &self.view else { return 0.0 };
-        self.caps.shifted_share(service, &view.own.region, now)
+        self.shift_limiter.shifted_share(service, &view.own.region, now)
     }
 
     /// Whether an attempt is in progress and not cancelled.
@@ -252,11 +252,13 @@
             Answer::Kept { kept } => EventKind::Answered { ran: Ran::Yes, status: kept.status },
             Answer::Pass => EventKind::Answered { ran: Ran::Yes, status: 0 },
         };
-        self.record_event(Some(&call_state.arrival.request), kind);
+        self.record_timeline_event(Some(&call_state.arrival.request), kind);
         self.actions.push(Action::Answer { answer, call });
     }
 
-    pub(super) fn record_event(&mut self, request: Option<&RequestId>, kind: EventKind) {
+    /// Adds an event of the request, or of this host, to the timeline. Timeline events are output;
+    /// `Event` is the router's input.
+    pub(super) fn record_timeline_event(&mut self, request: Option<&RequestId>, kind: EventKind) {
         self.actions.push(Action::Note { kind, request: request.cloned() });
     }
 
@@ -297,14 +299,14 @@
             let known: BTreeSet<&TargetId> = targets.map(|target| &target.name).collect();
             self.selector.retain(|target| known.contains(target));
             self.read_latencies.retain(|service| view.manifest.service(service).is_some());
-            self.record_event(
+            self.record_timeline_event(
                 None,
                 EventKind::ManifestInForce { sequence: view.manifest.sequence },
             );
         }
         if self.view.is_none() {
             // The windows start with the host: a restarted host has no allowance from before.
-            self.caps = ShiftLimiter::with_options(self.tuning.shift, now);
+            self.shift_limiter = ShiftLimiter::with_options(self.tuning.shift, now);
         }
         let owned = self.owned_targets(&view);
         self.slots.set_owned(&owned, now);
@@ -358,7 +360,7 @@
                 EjectionChange::Ejected(target) => EventKind::TargetEjected { target },
                 EjectionChange::Returned(target) => EventKind::TargetReturned { target },
             };
-            self.record_event(None, kind);
+            self.record_timeline_event(None, kind);
         }
     }
 
@@ -366,7 +368,7 @@
         for broken in invariant::take_violations() {
             let kind =
                 EventKind::InvariantBroken { detail: broken.detail, name: broken.name.into() };
-            self.record_event(None, kind);
+            self.record_timeline_event(None, kind);
         }
     }
 }
