--- a/src/event_log/event.rs
+++ b/src/event_log/event.rs
@@ -1,6 +1,6 @@
-//! The closed list of events, with the inputs that decided each.
+//! The events that a host logs, each with the inputs of the decision it reports.
 //!
-//! Times end in `_ms` and are whole milliseconds; ages count back from the event.
+//! Fields that end in `_ms` are whole milliseconds; ages are relative to the time of the event.
 
 use strum::{EnumDiscriminants, EnumIter, IntoStaticStr};
 
@@ -10,7 +10,7 @@
     prelude::*,
 };
 
-/// Everything that an entry host tells of.
+/// An event in the log of an entry host.
 #[derive(Clone, Debug, Deserialize, EnumDiscriminants, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 #[strum_discriminants(
@@ -20,19 +20,19 @@
     serde(rename_all = "kebab-case")
 )]
 pub enum Event {
-    /// An answer went to the caller, or began to.
+    /// The response to the caller was sent, or its streaming began.
     Answered {
-        /// The host's own reason; `None` where it is the target's answer.
+        /// The host's error; `None` if the target's response was passed on.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         error: Option<ErrorKind>,
         end: End,
-        /// Time within which the answer is worth most.
+        /// Latency objective of the request.
         objective_ms: u64,
-        /// Whether the request ran, as the answer says.
+        /// Whether the request was run, as reported to the caller.
         ran: Ran,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         retry_after_ms: Option<u64>,
-        /// Attempts that reached a target, or may have.
+        /// Number of attempts that reached a target or may have reached one.
         sent: u32,
         service: ServiceId,
         status: u16,
@@ -40,84 +40,85 @@
         target: Option<TargetId>,
         took_ms: u64,
     },
-    /// One attempt at a target ended.
+    /// An attempt at a target ended.
     AttemptEnded {
-        /// Time to the connection; `None` where one was kept or none came about.
+        /// Time to establish the connection; `None` if one was reused or none was established.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         connect_ms: Option<u64>,
-        /// What was left of the caller's time.
+        /// Time left until the caller's deadline.
         left_ms: u64,
         end: AttemptEnd,
-        /// Time to the head of the answer.
+        /// Time until the response head arrived.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         first_byte_ms: Option<u64>,
-        /// The target's status, or what went wrong.
+        /// The target's status code, or the error.
         detail: Arc<str>,
         service: ServiceId,
         target: TargetId,
         took_ms: u64,
     },
-    /// The caller left; work for it was cancelled.
+    /// The caller closed its connection; its request was cancelled.
     CallerLeft { sent: u32, service: ServiceId, took_ms: u64 },
-    /// A request that may crash targets came to a good end.
+    /// A request suspected of crashing targets completed without a crash.
     CrashCleared { fingerprint: u64 },
-    /// A target went down under a request.
+    /// A target crashed while it ran a request.
     CrashCounted { crashes: u8, fingerprint: u64, target: TargetId },
-    /// A declaration took the place of an older one.
+    /// A declaration replaced an older one.
     DeclarationInForce {
         before: DeclarationVersion,
         routes: usize,
         source: Source,
-        /// The store's version up to which declarations are known.
+        /// Store version up to which the host has read declarations.
         store_version: u64,
         version: DeclarationVersion,
     },
-    /// A declaration was not taken, since a newer one is in force.
+    /// A declaration was ignored because a newer one is in force.
     DeclarationStale { known: DeclarationVersion, source: Source, version: DeclarationVersion },
-    /// An object of the store could not be read.
+    /// A store object could not be decoded.
     EntryUnreadable { name: Arc<str>, part: StorePart, reason: Arc<str>, source: Source },
-    /// Another host was heard, first or again.
+    /// Another host was discovered, or is reachable again.
     HostHeard { peer: HostId, zone: ZoneId },
-    /// Another host fell silent.
+    /// Another host has stopped sending heartbeats.
     HostLost { peer: HostId, silent_ms: u64, zone: ZoneId },
-    /// Another host did not tell what it knows of the store.
+    /// Another host did not answer a query for its store state.
     HostUnanswering { addr: SocketAddr, reason: Arc<str> },
-    /// Lines that were dropped since the last such line, by kind of event.
+    /// Number of lines dropped since the previous event of this kind, by kind of event.
     LinesDropped { counts: BTreeMap<Arc<str>, u64> },
-    /// A line of a library or of code without a request.
+    /// A message logged through the `log` macros, by this crate or by a library.
     Note { level: Arc<str>, module: Arc<str>, text: Arc<str> },
-    /// No target was found for a request.
+    /// No target could take a request.
     NotPlaced {
-        /// Targets that the route allows and that were not tried yet.
+        /// Number of targets that the route allows and that have not been tried yet.
         candidates: usize,
-        /// Of these, how many are cold.
+        /// Number of candidates that are cold.
         cold: usize,
-        /// The target that it should have gone to, which is too crowded.
+        /// The best candidate, which could not respond in time.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         crowded: Option<TargetId>,
         declaration: DeclarationVersion,
         error: ErrorKind,
-        /// Expected time of the answer there.
+        /// Expected response time at that target.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         expected_ms: Option<u64>,
-        /// Of the candidates, how many have a free slot in regions that the request may not use.
+        /// Number of candidates with a free slot in regions that the request may not use.
         free_elsewhere: usize,
-        /// Longest expected time that was acceptable.
+        /// Longest acceptable expected response time.
         limit_ms: u64,
-        /// The region that the shares name for it.
+        /// Region that the traffic shares assign to the request.
         region: RegionId,
-        /// Expected wait for a slot there.
+        /// Expected wait for a slot at that target.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         room_in_ms: Option<u64>,
         service: ServiceId,
-        /// Of the candidates, how many take nothing now: paused, full or at their cold rate.
+        /// Number of candidates that accept no request now: paused, full or at their cold rate
+        /// limit.
         shut: usize,
-        /// Age of what is known of other hosts' requests.
+        /// Age of the data on other hosts' requests in flight.
         view_age_ms: u64,
-        /// Usual time of an answer.
+        /// Mean time that a target works on a request.
         work_ms: u64,
     },
-    /// A request was refused before a target was looked for.
+    /// A request was refused before target selection.
     Refused {
         declaration: DeclarationVersion,
         error: ErrorKind,
@@ -129,23 +130,24 @@
         team: Option<TeamId>,
         took_ms: u64,
     },
-    /// The settings were read again.
+    /// The settings file was reloaded.
     Reloaded { end: ReloadEnd, detail: Arc<str> },
-    /// A further attempt was wanted and not allowed.
+    /// A retry or hedge was suppressed by a limit.
     RetryDenied { limit: Arc<str>, sent: u32, service: ServiceId },
-    /// A request goes to a target.
+    /// A request was sent to a target.
     Sent {
-        /// Which attempt it is, from 1.
+        /// Attempt number, starting at 1.
         attempt: u32,
         cold: bool,
         declaration: DeclarationVersion,
-        /// Expected time of the answer.
+        /// Expected response time.
         expected_ms: u64,
-        /// How likely the target was taken to know the object, in percent; 100 without an object.
+        /// Estimated probability that the target has the object cached, in percent; 100 if the
+        /// request names no object.
         #[serde(default)]
         knows_percent: u8,
         left_ms: u64,
-        /// Requests in flight at the target, of all hosts, before this one.
+        /// Requests in flight at the target, from all hosts, without this one.
         load: u32,
         reason: AttemptReason,
         region: RegionId,
@@ -155,27 +157,27 @@
         view_age_ms: u64,
         zone: ZoneId,
     },
-    /// The parts of a service's requests that each region runs have moved.
+    /// The fractions of a service's requests that each region runs have changed.
     SharesMoved { service: ServiceId, shares: BTreeMap<RegionId, f64> },
-    /// The host starts.
+    /// The host started.
     Started { build: Arc<str>, region: RegionId, zone: ZoneId },
     /// The host has stopped.
     Stopped { open: usize, took_ms: u64 },
-    /// A planned stop begins.
+    /// A graceful shutdown began.
     Stopping { grace_ms: u64, open: usize },
-    /// The store does not answer.
+    /// The store stopped answering.
     StoreLost { part: StorePart, reason: Arc<str> },
-    /// The store answers again.
+    /// The store is answering again.
     StoreRegained { away_ms: u64, part: StorePart },
-    /// The host gets too little of its processor, or enough again.
+    /// The host became short of CPU time, or has enough again.
     StrainChanged { delay_ms: u64, is_strained: bool },
-    /// A large answer broke off after its head had gone out.
+    /// A streamed response broke off after its head had been sent.
     StreamBroken { reason: Arc<str>, service: ServiceId, target: TargetId },
     /// A request was accepted.
     Taken {
         body_bytes: usize,
         declaration: DeclarationVersion,
-        /// Hash of method, path and body: the same for a caller's copies.
+        /// Hash of method, path and body; equal for repeated copies of a request.
         fingerprint: u64,
         idempotent: bool,
         left_ms: u64,
@@ -185,11 +187,12 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         team: Option<TeamId>,
     },
-    /// A target's entry is gone.
+    /// A target's entry was removed.
     TargetGone { source: Source, store_version: u64, target: TargetId },
-    /// A target's entry lapsed while the store was away; it is used until it should be back.
+    /// A target's entry expired while the store was unreachable; the target stays in use for a
+    /// grace period.
     TargetKept { for_ms: u64, target: TargetId },
-    /// A target's entry is new or has changed.
+    /// A target's entry was added or changed.
     TargetKnown {
         cold_ms: u64,
         ready: bool,
@@ -200,63 +203,63 @@
         target: TargetId,
         zone: ZoneId,
     },
-    /// A target gets nothing for a while.
+    /// A target is paused: it gets no requests for `pause_ms`.
     TargetPaused { failures: u32, pause_ms: u64, reason: PauseReason, target: TargetId },
-    /// A target that was paused answered again.
+    /// A paused target answered and is in use again.
     TargetTrusted { target: TargetId },
-    /// This host follows the store itself.
+    /// This host began to watch the store.
     WatchBegun { reason: WatchReason },
-    /// This host leaves the store to other hosts.
+    /// This host stopped watching the store and relies on other hosts.
     WatchEnded,
-    /// A zone's targets are to get nothing.
+    /// A zone was evacuated: its targets get no requests.
     ZoneEvacuated { source: Source, store_version: u64, zone: ZoneId },
-    /// A zone's targets may be used again; they are taken for cold at first.
+    /// The evacuation of a zone was undone; its targets count as cold at first.
     ZoneTakenBack { source: Source, store_version: u64, zone: ZoneId },
 }
 
-/// How an answer stands to what was asked.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum End {
     /// Success within the objective.
     Served,
-    /// Success after it.
+    /// Success after the objective.
     Late,
-    /// The target's own failure.
+    /// The target's response reports a failure.
     TargetFailed,
-    /// Refused; it has not run.
+    /// Refused; the request was not run.
     Refused,
-    /// It may have run.
+    /// Failed; the request may have been run.
     Failed,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptEnd {
     Answered,
     Cancelled,
-    /// The target failed it.
+    /// The target reported a failure.
     Failed,
-    /// It may have run; the answer is lost.
+    /// The response was lost; the request may have been run.
     Lost,
-    /// The target had no room.
+    /// The target was overloaded and did not run it.
     Shed,
     Unreachable,
     /// The address belongs to another target.
     WrongTarget,
 }
 
-/// Why a request goes to a target.
+/// Why a request was sent to a target.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptReason {
     First,
-    /// The attempt before is slow.
+    /// The previous attempt is slow.
     Hedge,
-    /// The attempt before failed or did not run.
+    /// The previous attempt failed or was not run.
     Retry,
 }
 
@@ -264,39 +267,39 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PauseReason {
-    /// Failures in a row.
+    /// Consecutive failures.
     Failing,
     Unreachable,
 }
 
-/// What became of new settings.
+/// Outcome of a settings reload.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReloadEnd {
     InForce,
-    /// They can't be read; the old ones stand.
+    /// The new settings are invalid; the old ones stay in force.
     Refused,
     Unchanged,
 }
 
-/// Who told it.
+/// Where the information came from.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
     /// Another host.
     Host,
-    /// The store, by a listing.
+    /// A listing of the store.
     Listing,
-    /// The store, by a watch.
+    /// A watch on the store.
     Watch,
 }
 
-/// Why a host follows the store.
+/// Why a host watches the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WatchReason {
-    /// It is one of its region's watchers.
+    /// It was elected as one of its region's watchers.
     Elected,
-    /// Other hosts know more and do not tell.
+    /// Hosts with newer data do not answer queries.
     Unanswered,
 }
--- a/src/event_log/kind.rs
+++ b/src/event_log/kind.rs
@@ -1,23 +1,23 @@
-//! What is said of each kind of event: its meaning, its priority, the thing it is about.
+//! Name, rate-limit key, priority and description of each kind of event.
 
 use super::{End, Event, EventKind, event::AttemptEnd};
 
-/// Which lines go first when the queue is full.
+/// Decides which lines are dropped first when the queue is full.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Priority {
-    /// Steps of requests; the first to be dropped.
+    /// Steps of requests without errors; dropped first.
     Low,
-    /// Failures and what the host believes.
+    /// Failures and changes of the host's state.
     High,
 }
 
 impl Event {
-    /// Its kind.
     pub fn kind(&self) -> EventKind {
         self.into()
     }
 
-    /// What its rate is bounded by: refusals by their reason, so that one does not hide another.
+    /// Together with the kind, the key that lines are rate-limited by. Refusals are limited per
+    /// error, so that a frequent error does not hide a rare one.
     pub fn rate_key(&self) -> &'static str {
         match self {
             Event::Answered { error: Some(error), .. }
@@ -29,7 +29,6 @@
         }
     }
 
-    /// Which lines go first.
     pub fn priority(&self) -> Priority {
         match self {
             Event::Answered { end: End::Served, .. }
@@ -44,12 +43,12 @@
 }
 
 impl EventKind {
-    /// Its name in the log.
+    /// Name in the log.
     pub fn name(self) -> &'static str {
         self.into()
     }
 
-    /// One line for the operators' reference.
+    /// One-line description for the operators' reference.
     pub fn doc(self) -> &'static str {
         match self {
             EventKind::Answered => "the answer to a request, with its time and whether it ran",
--- a/src/event_log/log_bridge.rs
+++ b/src/event_log/log_bridge.rs
@@ -1,4 +1,4 @@
-//! Lines of the `log` macros, of this crate's shell and of libraries, as notes among the events.
+//! Forwards messages of the `log` macros, from this crate and from libraries, to the event log.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::{Event, EventSink};
 use crate::logging::{LogError, Result};
 
-/// Starts the `log` macros' way into `events`; it ends when the handle is dropped.
+/// Forwards messages of the `log` macros to `events` until the handle is dropped.
 pub fn start_bridge(level: &str, events: Arc<dyn EventSink>) -> Result<LoggerHandle> {
     let fail = |detail: String| LogError { detail, level: level.to_owned() };
     Logger::try_with_str(level)
--- a/src/event_log/mod.rs
+++ b/src/event_log/mod.rs
@@ -1,10 +1,10 @@
-//! The structured log of an entry host: one JSON line for each decision about a request and each
-//! change of what the host believes.
+//! The structured log of an entry host: one JSON line for each decision about a request and for
+//! each change of the host's state.
 //!
-//! On-call engineers have these lines and the metrics, nothing else. Every line says which inputs
-//! decided, how old they were and what came of it. Lines go through a bounded queue to a thread of
-//! their own, so that an output that nobody reads stops no request; what is dropped is counted and
-//! told. `crate::why` tells the story of one request from the lines of many hosts.
+//! On-call engineers have only these lines and the metrics, so each line contains the inputs of the
+//! decision, their age and the outcome. Lines pass through a bounded queue to a writer thread, so
+//! that a blocked output delays no request; dropped lines are counted and reported. `crate::why`
+//! reconstructs the history of a request from the logs of several hosts.
 
 mod event;
 mod kind;
@@ -28,18 +28,19 @@
     writer::{EventLog, LogWriterError},
 };
 
-/// Takes events. Never blocks and never fails: what can't be kept is counted as dropped.
+/// Receives events. Never blocks and never fails: events that can't be queued are counted as
+/// dropped.
 pub trait EventSink: Send + Sync {
-    /// Records one event, of a request or of the host itself.
+    /// Records an event of `request`, or of the host itself if `request` is `None`.
     fn record(&self, request: Option<&RequestKey>, event: Event);
 
-    /// Lines dropped since the start.
+    /// Number of lines dropped since the host started.
     fn dropped(&self) -> u64 {
         0
     }
 }
 
-/// Takes events and drops them.
+/// Discards all events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoEvents;
 
--- a/src/event_log/queue.rs
+++ b/src/event_log/queue.rs
@@ -1,33 +1,33 @@
-//! Lines that wait to be written, within bounds of rate and size.
+//! The queue of lines to be written, limited in rate and in size.
 //!
-//! Load pattern: an overload refuses thousands of requests a second while whoever reads the output
-//! is slow or stopped. The first lines of each second by kind and cause are kept; when the queue is
-//! full, steps of requests give way to failures and to what the host believes. What is dropped is
-//! counted by kind.
+//! In an overload a host refuses thousands of requests per second while the reader of its output
+//! may be slow or stopped. In each second the queue accepts a limited number of lines per kind and
+//! rate key. When it is full, lines about failures and about the host's state displace steps of
+//! successful requests. Dropped lines are counted by kind.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::{EventKind, EventLogSettings, kind::Priority};
 use crate::prelude::*;
 
-/// Span of the rate bound.
+/// Period that the rate limit applies to.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// One line that asks to be kept.
+/// A line to be queued.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingLine {
-    /// With `kind`, what the rate is bounded by.
+    /// Together with `kind`, the key of the rate limit.
     pub rate_key: &'static str,
     pub kind: EventKind,
     pub text: Vec<u8>,
     pub priority: Priority,
 }
 
-/// The queue; a pure state machine.
+/// The line queue, without I/O; callers pass in the time.
 #[derive(Debug)]
 pub struct LineQueue {
     bytes: usize,
-    /// Lines dropped since they were last told, by kind.
+    /// Lines dropped since the last report, by kind.
     dropped: BTreeMap<EventKind, u64>,
     lines: VecDeque<PendingLine>,
     window_counts: HashMap<(EventKind, &'static str), u32>,
@@ -36,7 +36,7 @@
 }
 
 impl LineQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: EventLogSettings) -> Self {
         Self {
             bytes: 0,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Whether a line of this kind and cause may still be written in this second; if not, it is
-    /// counted. Asked before the line is made, since that costs more.
+    /// Checks the rate limit for a line of this kind and rate key; a refused line is counted as
+    /// dropped. Called before the line is formatted, since formatting costs more.
     pub fn admit(&mut self, kind: EventKind, rate_key: &'static str, now: Moment) -> bool {
         if RATE_WINDOW <= now.saturating_sub(self.window_start) {
             self.window_start = now;
@@ -64,12 +64,14 @@
         admitted
     }
 
-    /// Keeps a line, in place of lighter ones where there is no room.
+    /// Appends a line. If the queue is full, drops the oldest lines of lower priority to make room;
+    /// if there are none, drops the new line.
     pub fn push(&mut self, pending: PendingLine) {
-        let room = self.settings.queue_bytes;
-        while room < self.bytes + pending.text.len() {
-            let light = self.lines.iter().position(|line| line.priority < pending.priority);
-            let Some(at) = light else { return self.count_dropped(pending.kind) };
+        let max_bytes = self.settings.queue_bytes;
+        while max_bytes < self.bytes + pending.text.len() {
+            let lower_priority =
+                self.lines.iter().position(|line| line.priority < pending.priority);
+            let Some(at) = lower_priority else { return self.count_dropped(pending.kind) };
             if let Some(line) = self.lines.remove(at) {
                 self.bytes -= line.text.len();
                 self.count_dropped(line.kind);
@@ -79,7 +81,7 @@
         self.lines.push_back(pending);
     }
 
-    /// Takes all lines out, oldest first, each with its line feed.
+    /// Removes and concatenates all lines, oldest first; each ends with a line feed.
     pub fn take_lines(&mut self) -> Vec<u8> {
         let mut text = Vec::with_capacity(self.bytes);
         for line in std::mem::take(&mut self.lines) {
@@ -89,7 +91,7 @@
         text
     }
 
-    /// Takes the counts of dropped lines out.
+    /// Returns the counts of dropped lines and resets them.
     pub fn take_dropped(&mut self) -> BTreeMap<EventKind, u64> {
         std::mem::take(&mut self.dropped)
     }
--- a/src/event_log/settings.rs
+++ b/src/event_log/settings.rs
@@ -1,16 +1,17 @@
-//! How much may be logged.
+//! Limits of the event log.
 
 use crate::prelude::*;
 
-/// Bounds of an entry host's log.
+/// Limits of an entry host's event log.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct EventLogSettings {
-    /// Most lines of one kind and cause in a second; more are counted. 100 are above the busiest
-    /// second that was seen of a host of a fifth of a core, 70 requests.
+    /// Maximum number of lines per second of one kind and rate key; further lines are only counted.
+    /// The default of 100 exceeds the peak of 70 requests per second at a host with a fifth of a
+    /// core.
     pub lines_per_second: u32,
-    /// Most bytes of lines that wait to be written: three seconds of the busiest log that was seen,
-    /// 78 KB a second.
+    /// Maximum size of the queued lines in bytes. The default holds three seconds of a log with a
+    /// peak rate of 78 KB per second.
     pub queue_bytes: usize,
 }
 
--- a/src/event_log/tests.rs
+++ b/src/event_log/tests.rs
@@ -20,10 +20,10 @@
     Duration::from_secs_f64(secs)
 }
 
-/// An overload refuses a thousand requests a second. The first hundred lines of each second are
-/// written, by cause, the others counted; another cause is not hidden by the first.
+/// A host refuses a thousand requests per second. Only the first hundred lines of each second and
+/// error are accepted and the others counted; a rare error is not hidden by a frequent one.
 #[test]
-fn the_rate_is_bounded_by_kind_and_cause() {
+fn rate_is_limited_by_kind_and_rate_key() {
     let settings = EventLogSettings { lines_per_second: 100, queue_bytes: 1 << 20 };
     let mut queue = LineQueue::new(settings);
     let mut admitted = 0;
@@ -34,11 +34,11 @@
     assert_eq!(admitted, 300);
     assert!(queue.admit(EventKind::Refused, "no-target", secs(12.9)));
     assert_eq!(queue.take_dropped(), [(EventKind::Refused, 2_700)].into());
-    assert!(queue.take_dropped().is_empty(), "each is told once");
+    assert!(queue.take_dropped().is_empty(), "each dropped line is reported once");
 }
 
-/// Nobody reads the output and the queue is full. Steps of requests that go well give way to what
-/// failed; what failed first stays; memory is bounded.
+/// The output is not read and the queue is full. Lines about failures displace steps of successful
+/// requests, the oldest failures stay, and the queue does not exceed its size limit.
 #[test]
 fn a_full_queue_keeps_failures() {
     let settings = EventLogSettings { lines_per_second: 1_000, queue_bytes: 100 };
@@ -59,13 +59,13 @@
     assert_eq!(dropped[&EventKind::Refused], 12 - text.lines().count() as u64);
 }
 
-/// An output that takes nothing until it is told to.
-struct Blocked {
+/// An output that blocks until a sender of `open` signals or is dropped.
+struct BlockedOutput {
     open: Mutex<Receiver<()>>,
     out: Sender<Vec<u8>>,
 }
 
-impl Write for Blocked {
+impl Write for BlockedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let _ = self.open.lock().expect("one reader").recv();
         let _ = self.out.send(buf.to_vec());
@@ -77,13 +77,13 @@
     }
 }
 
-/// Standard output is a pipe that nobody reads. Recording goes on at once, memory is bounded, and
-/// when the pipe is read again the log tells what it has dropped.
+/// Standard output is a pipe that is not read. Recording an event does not block, memory is
+/// bounded, and once the pipe is read again the log reports the dropped lines.
 #[test]
-fn a_blocked_output_stops_nobody() {
+fn blocked_output_does_not_block_recording() {
     let (unblock, open) = channel();
     let (out, written) = channel();
-    let blocked = Blocked { open: Mutex::new(open), out };
+    let blocked = BlockedOutput { open: Mutex::new(open), out };
     let settings = EventLogSettings { lines_per_second: 1_000_000, queue_bytes: 8 * 1024 };
     let log =
         EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
@@ -118,13 +118,13 @@
     assert!(whole + dropped <= 5_000 && log.dropped() == dropped, "{whole} + {dropped}");
 }
 
-/// Each write holds whole lines, and no more than a pipe takes whole.
+/// Each write consists of whole lines and fits into one atomic write to a pipe.
 #[test]
-fn writes_hold_whole_lines() {
+fn writes_consist_of_whole_lines() {
     let (unblock, open) = channel();
     let (out, written) = channel();
     drop(unblock);
-    let blocked = Blocked { open: Mutex::new(open), out };
+    let blocked = BlockedOutput { open: Mutex::new(open), out };
     let settings = EventLogSettings { lines_per_second: 1_000, queue_bytes: 1 << 20 };
     let log =
         EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
@@ -139,12 +139,12 @@
     assert_eq!(lines, 200);
 }
 
-/// Nobody ever reads the output: the end of the process does not wait for it.
+/// The output stays blocked: closing the log must not wait for it, or the process would not exit.
 #[test]
-fn the_end_does_not_wait_for_a_blocked_output() {
+fn close_does_not_wait_for_blocked_output() {
     let (unblock, open) = channel();
     let (out, _written) = channel();
-    let blocked = Blocked { open: Mutex::new(open), out };
+    let blocked = BlockedOutput { open: Mutex::new(open), out };
     let settings = EventLogSettings::default();
     let log =
         EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
@@ -155,13 +155,13 @@
     drop(unblock);
 }
 
-/// The last lines are written when the log ends.
+/// Dropping the log writes the queued lines.
 #[test]
-fn the_last_lines_are_written() {
+fn drop_writes_queued_lines() {
     let (unblock, open) = channel();
     let (out, written) = channel();
     drop(unblock);
-    let blocked = Blocked { open: Mutex::new(open), out };
+    let blocked = BlockedOutput { open: Mutex::new(open), out };
     let settings = EventLogSettings::default();
     let log =
         EventLog::start("h".into(), settings, Arc::new(BootClock), blocked).expect("a thread");
@@ -173,7 +173,7 @@
     assert_eq!((&*line.host, line.request, line.event), ("h", key, Event::WatchEnded));
 }
 
-/// Every kind has a name of its own and a line in the reference.
+/// Each kind of event has a unique name and a description.
 #[test]
 fn kinds_are_named_and_documented() {
     let names: std::collections::BTreeSet<_> = EventKind::iter().map(EventKind::name).collect();
@@ -181,7 +181,7 @@
     assert!(EventKind::iter().all(|kind| !kind.doc().is_empty()));
 }
 
-/// The name in a line is the kind's.
+/// The `event` field of a line is the name of the kind.
 #[test]
 fn a_line_names_its_kind() {
     let event = Event::StoreRegained { away_ms: 5, part: crate::entry::StorePart::Targets };
--- a/src/event_log/writer.rs
+++ b/src/event_log/writer.rs
@@ -1,4 +1,4 @@
-//! The log of one host: makes lines and hands them to a thread that writes them.
+//! The event log of a host: formats lines and queues them for a writer thread.
 
 use std::{
     io::{self, Write},
@@ -16,35 +16,36 @@
 };
 use crate::prelude::*;
 
-/// Time between two writes: few, since each costs a system call, and short enough that a killed
-/// process loses little.
+/// Time between writes. Each write costs a system call; a longer interval loses more lines when the
+/// process is killed.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two lines about dropped ones.
+/// Time between reports of dropped lines.
 const DROPPED_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest time that the end of the process waits for the last lines.
+/// Maximum time that closing the log waits for the last lines to be written.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Most bytes of one write: a pipe takes that many whole (`PIPE_BUF`), so that lines of processes
-/// that share one do not mix.
+/// Maximum size of a write. A pipe writes up to `PIPE_BUF` bytes atomically, so lines of processes
+/// that share a pipe do not interleave.
 const MAX_WRITE_BYTES: usize = 4_096;
 
-/// Stack of the writing thread, in bytes: it only copies.
+/// Stack size of the writer thread, which only copies lines.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// Bytes of most lines.
+/// Initial buffer capacity; most lines fit.
 const TYPICAL_LINE_BYTES: usize = 320;
 
-/// Result of opening a log.
+/// Result of starting a log.
 pub type Result<T> = std::result::Result<T, LogWriterError>;
 
-/// The writing thread could not be started.
+/// The writer thread could not be started.
 #[derive(Debug, thiserror::Error)]
-#[error("the log's thread could not be started: {0}")]
+#[error("starting the log writer thread failed: {0}")]
 pub struct LogWriterError(#[from] io::Error);
 
-/// A running log; its last lines are written when it is closed or dropped, if the output takes them.
+/// An event log with a running writer thread. Closing or dropping it writes the queued lines,
+/// unless the output is blocked.
 pub struct EventLog {
     shared: Arc<Shared>,
     formatter: Arc<LineFormatter>,
@@ -65,7 +66,7 @@
 }
 
 impl EventLog {
-    /// A log of `host` that writes to `out`.
+    /// Starts the log of `host`, which writes to `out`.
     pub fn start(
         host: HostId,
         settings: EventLogSettings,
@@ -78,8 +79,8 @@
             queue: Mutex::new(LineQueue::new(settings)),
             finished: AtomicBool::new(false),
         });
-        let started = clock.now();
-        let formatter = Arc::new(LineFormatter { clock, host, started });
+        let started_at = clock.now();
+        let formatter = Arc::new(LineFormatter { clock, host, started_at });
         let thread = std::thread::Builder::new().name("log".into()).stack_size(STACK_BYTES);
         let (thread_shared, thread_formatter) = (shared.clone(), formatter.clone());
         let thread =
@@ -111,28 +112,30 @@
 }
 
 impl EventLog {
-    /// Writes the last lines, and no more.
+    /// Writes the queued lines and stops the writer thread.
     ///
-    /// The `log` macros keep what they write to until the process has ended, so that it is never
-    /// dropped: without this the line of a planned stop was lost.
+    /// The logger behind the `log` macros holds a reference to the log until the process exits, so
+    /// the log is never dropped; without an explicit close the lines of a graceful shutdown are
+    /// lost.
     pub fn close(&self) {
         let thread = self.thread.lock().expect("no holder of this lock panics").take();
         let Some(thread) = thread else { return };
         self.shared.closing.store(true, Ordering::Relaxed);
         thread.thread().unpark();
-        let last = std::time::Instant::now() + CLOSE_TIMEOUT;
-        // An output that nobody reads must not hold up the end of the process.
-        while !self.shared.finished.load(Ordering::Relaxed) && std::time::Instant::now() < last {
+        let deadline = std::time::Instant::now() + CLOSE_TIMEOUT;
+        // A blocked output must not delay the exit of the process.
+        while !self.shared.finished.load(Ordering::Relaxed) && std::time::Instant::now() < deadline
+        {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// Makes lines.
+/// Formats lines.
 struct LineFormatter {
     clock: Arc<dyn Clock>,
     host: HostId,
-    started: Moment,
+    started_at: Moment,
 }
 
 impl LineFormatter {
@@ -140,7 +143,7 @@
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = Line {
             at_ms: wall.as_millis() as u64,
-            up_ms: now.saturating_sub(self.started).as_millis() as u64,
+            up_ms: now.saturating_sub(self.started_at).as_millis() as u64,
             host: self.host.clone(),
             request,
             event,
@@ -152,22 +155,22 @@
     }
 }
 
-/// Writes until the log ends. What can't be written is lost, and counted with what was dropped.
+/// Writes lines until the log is closed. Lines that can't be written are counted as dropped.
 fn write_until_closed(shared: &Shared, formatter: &LineFormatter, mut out: impl Write) {
-    let mut reported = formatter.clock.now();
+    let mut reported_at = formatter.clock.now();
     let mut unwritten = 0;
     loop {
         std::thread::park_timeout(FLUSH_INTERVAL);
         let closing = shared.closing.load(Ordering::Relaxed);
         let now = formatter.clock.now();
-        if closing || DROPPED_REPORT_INTERVAL <= now.saturating_sub(reported) {
-            reported = now;
+        if closing || DROPPED_REPORT_INTERVAL <= now.saturating_sub(reported_at) {
+            reported_at = now;
             report_dropped(shared, formatter, std::mem::take(&mut unwritten));
         }
         let text = shared.queue().take_lines();
-        for part in chunk_lines(&text) {
-            if out.write_all(part).and_then(|()| out.flush()).is_err() {
-                let lines = part.iter().filter(|byte| **byte == b'\n').count() as u64;
+        for chunk in chunk_lines(&text) {
+            if out.write_all(chunk).and_then(|()| out.flush()).is_err() {
+                let lines = chunk.iter().filter(|byte| **byte == b'\n').count() as u64;
                 unwritten += lines;
                 shared.dropped.fetch_add(lines, Ordering::Relaxed);
             }
@@ -178,22 +181,23 @@
     }
 }
 
-/// Parts of whole lines, each as large as one write may be; a longer line is a part of its own.
+/// Splits `text` into chunks of whole lines of at most `MAX_WRITE_BYTES`; a longer line forms its
+/// own chunk.
 fn chunk_lines(text: &[u8]) -> Vec<&[u8]> {
-    let mut parts = Vec::new();
-    let mut begin = 0;
+    let mut chunks = Vec::new();
+    let mut start = 0;
     let mut end = 0;
     for line in text.split_inclusive(|byte| *byte == b'\n') {
-        if begin < end && MAX_WRITE_BYTES < end + line.len() - begin {
-            parts.push(&text[begin..end]);
-            begin = end;
+        if start < end && MAX_WRITE_BYTES < end + line.len() - start {
+            chunks.push(&text[start..end]);
+            start = end;
         }
         end += line.len();
     }
-    if begin < end {
-        parts.push(&text[begin..end]);
+    if start < end {
+        chunks.push(&text[start..end]);
     }
-    parts
+    chunks
 }
 
 fn report_dropped(shared: &Shared, formatter: &LineFormatter, unwritten: u64) {
--- a/src/metrics/entry.rs
+++ b/src/metrics/entry.rs
@@ -1,8 +1,10 @@
-//! Counters, gauges and histograms of an entry host, in the text form that scrapers read.
+//! Counters, gauges and histograms of an entry host, in the Prometheus text format.
 //!
-//! Counting follows the events, so that a decision needs no second call. A scrape reads atomics and
-//! holds no lock that traffic waits for; `cadence` pushes datagrams and can't be scraped. Histograms
-//! come last: collectors that cap a scrape's size lose the longest part, not the counters.
+//! Most counters are derived from logged events, so that code that records an event needs no
+//! second call. A scrape reads atomics and holds no lock that requests wait for. `cadence` is not
+//! used here since it pushes datagrams and can't be scraped. Histograms are registered last:
+//! collectors that limit the size of a scrape then cut off histograms, which are the longest part,
+//! and not counters.
 
 use std::sync::atomic::AtomicU64;
 
@@ -17,21 +19,22 @@
     prelude::*,
 };
 
-/// Prefix of every name.
+/// Prefix of all metric names.
 const PREFIX: &str = "lavenderplank";
 
-/// Upper bounds of the histograms' buckets, in seconds: objectives are 0.3 to 0.5, deadlines 1.5 to
-/// 3, and answers that come within 10 ms tell of a target that is not asked at all.
+/// Upper bounds of the histogram buckets. Latency objectives are 0.3 to 0.5 s and deadlines 1.5 to
+/// 3 s; a response within 10 ms indicates that no target was called.
 const HISTOGRAM_BOUNDS_SECONDS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0];
 
-/// Most services that are told apart; more are counted together. Deployments have three to ten.
+/// Maximum number of services with their own label; others share `OVERFLOW_LABEL`. Deployments have
+/// three to ten services.
 const MAX_SERVICE_LABELS: usize = 64;
 
-/// Most teams with a label of their own; further teams share one.
+/// Maximum number of teams with their own label; others share `OVERFLOW_LABEL`.
 const MAX_TEAM_LABELS: usize = 128;
 
-/// Label of services and teams beyond these bounds.
+/// Label of services and teams beyond the maximum number.
 const OVERFLOW_LABEL: &str = "other";
 
 type Latencies<L> = Family<L, Histogram, fn() -> Histogram>;
@@ -80,29 +83,29 @@
     state: &'static str,
 }
 
-/// What a host is at a moment.
+/// Current values of the gauges of the control thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ControlGauges {
     pub declaration: u64,
     pub hosts: usize,
-    /// Time since the store, or another host that follows it, last told something.
+    /// Time since data last arrived from the store, directly or through another host.
     pub store_age: Duration,
     pub targets_cold: usize,
     pub targets_warm: usize,
 }
 
-/// What the traffic side is at a moment.
+/// Current values of the gauges of the traffic thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrafficGauges {
-    /// Callers' open connections.
+    /// Open connections of callers.
     pub connections: usize,
     /// Attempts in flight.
     pub in_flight: u32,
-    /// Targets that are paused.
+    /// Paused targets.
     pub paused: usize,
 }
 
-/// All metrics of one host.
+/// All metrics of an entry host.
 pub struct EntryMetrics {
     attempts: Family<ServiceLabels, Counter>,
     attempt_seconds: Latencies<StageLabels>,
@@ -215,19 +218,20 @@
         self.registry.register(name, help, metric);
     }
 
-    /// Every name, without the prefix and a counter's ending.
+    /// Names of all metrics, without the prefix and the `_total` suffix of counters.
     pub fn names(&self) -> &[&'static str] {
         &self.names
     }
 
-    /// Counts what an event stands for.
+    /// Updates the metrics that are derived from `event`.
     pub fn record_event(&self, event: &Event) {
         self.events.get_or_create(&EventLabels { event: event.kind().name() }).inc();
         match event {
             Event::Answered { error, end, service, took_ms, .. } => {
-                let by = ServiceLabels { end: (*end).into(), service: self.service_label(service) };
-                self.requests.get_or_create(&by).inc();
-                self.request_seconds.get_or_create(&by).observe(seconds(*took_ms));
+                let labels =
+                    ServiceLabels { end: (*end).into(), service: self.service_label(service) };
+                self.requests.get_or_create(&labels).inc();
+                self.request_seconds.get_or_create(&labels).observe(as_seconds(*took_ms));
                 if let Some(error) = error {
                     self.refusals.get_or_create(&ErrorLabels { error: (*error).into() }).inc();
                 }
@@ -249,40 +253,41 @@
         }
     }
 
-    /// Takes the control side's figures.
-    pub fn set_control_gauges(&self, figures: ControlGauges) {
-        self.declaration.set(figures.declaration as i64);
-        self.hosts.set(figures.hosts as i64);
-        self.store_age.set(figures.store_age.as_secs_f64());
-        self.set_target_count(figures.targets_cold, "cold");
-        self.set_target_count(figures.targets_warm, "warm");
+    /// Sets the gauges of the control thread.
+    pub fn set_control_gauges(&self, gauges: ControlGauges) {
+        self.declaration.set(gauges.declaration as i64);
+        self.hosts.set(gauges.hosts as i64);
+        self.store_age.set(gauges.store_age.as_secs_f64());
+        self.set_target_count(gauges.targets_cold, "cold");
+        self.set_target_count(gauges.targets_warm, "warm");
     }
 
-    /// Counts an answer to another host's query, for which `packed` bytes of objects were compressed.
-    pub fn record_state_response(&self, compressed: u64) {
+    /// Counts a response to a state query of another host. `compressed_bytes` is the size of the
+    /// objects that were compressed for it.
+    pub fn record_state_response(&self, compressed_bytes: u64) {
         self.state_responses.inc();
-        self.compressed_bytes.inc_by(compressed);
+        self.compressed_bytes.inc_by(compressed_bytes);
     }
 
-    /// Counts a query to another host.
+    /// Records a state query to another host.
     pub fn record_state_query(&self, took: Duration, end: &'static str) {
         self.state_queries.get_or_create(&EndLabels { end }).inc();
         self.state_query_seconds.observe(took.as_secs_f64());
     }
 
-    /// Takes the time that a tick waited for the control thread.
+    /// Records the time that a tick waited for the control thread.
     pub fn observe_control_wait(&self, wait: Duration) {
         self.control_wait_seconds.observe(wait.as_secs_f64());
     }
 
-    /// Takes the traffic side's figures.
-    pub fn set_traffic_gauges(&self, figures: TrafficGauges) {
-        self.connections.set(figures.connections as i64);
-        self.in_flight.set(i64::from(figures.in_flight));
-        self.set_target_count(figures.paused, "paused");
+    /// Sets the gauges of the traffic thread.
+    pub fn set_traffic_gauges(&self, gauges: TrafficGauges) {
+        self.connections.set(gauges.connections as i64);
+        self.in_flight.set(i64::from(gauges.in_flight));
+        self.set_target_count(gauges.paused, "paused");
     }
 
-    /// Everything, as text. `dropped` is what the log has dropped so far.
+    /// Encodes all metrics as text. `dropped` is the number of log lines dropped since the start.
     pub fn encode_text(&self, dropped: u64) -> Result<String, std::fmt::Error> {
         self.lines_dropped.set(dropped as i64);
         let mut text = String::new();
@@ -299,8 +304,8 @@
         self.attempts.get_or_create(&ServiceLabels { end, service: service.clone() }).inc();
         for (stage, millis) in ["connect", "first-byte", "whole"].into_iter().zip(stages) {
             let Some(millis) = millis else { continue };
-            let by = StageLabels { end, service: service.clone(), stage };
-            self.attempt_seconds.get_or_create(&by).observe(seconds(millis));
+            let labels = StageLabels { end, service: service.clone(), stage };
+            self.attempt_seconds.get_or_create(&labels).observe(as_seconds(millis));
         }
     }
 
@@ -314,8 +319,8 @@
     }
 }
 
-/// Returns the label for a name. Operators replace names during the lifetime of a host, so the number
-/// of distinct labels is bounded.
+/// Returns the label for a name. Operators replace names during the lifetime of a host, so the
+/// number of distinct labels is bounded.
 fn bounded_label(known: &std::sync::Mutex<Vec<Arc<str>>>, name: &Arc<str>, max: usize) -> Arc<str> {
     let mut known = known.lock().expect("no holder of this lock panics");
     if known.contains(name) {
@@ -328,14 +333,14 @@
     name.clone()
 }
 
-/// Counts events on their way to the log.
+/// Counts events and passes them on to the event log.
 pub struct MeteredEventSink {
     metrics: Arc<EntryMetrics>,
     inner: Arc<dyn EventSink>,
 }
 
 impl MeteredEventSink {
-    /// Counts into `metrics` what goes to `inner`.
+    /// Creates a sink that counts events in `metrics` and passes them on to `inner`.
     pub fn new(inner: Arc<dyn EventSink>, metrics: Arc<EntryMetrics>) -> Self {
         Self { metrics, inner }
     }
@@ -352,6 +357,6 @@
     }
 }
 
-fn seconds(millis: u64) -> f64 {
+fn as_seconds(millis: u64) -> f64 {
     millis as f64 / 1e3
 }
--- a/src/metrics/metered_sink.rs
+++ b/src/metrics/metered_sink.rs
@@ -1,4 +1,4 @@
-//! Counts events on their way to the time line.
+//! Derives metrics from timeline events.
 
 use super::{Metric, Metrics};
 use crate::{
@@ -6,15 +6,15 @@
     timeline::{EventKind, EventSink},
 };
 
-/// Passes events on and turns each into the counters it stands for, so that the decisions need no
-/// second call for metrics.
+/// Passes events on to another sink and updates the metrics that are derived from them, so that
+/// code that records an event needs no second call.
 pub struct MeteredTimelineSink {
     metrics: Arc<dyn Metrics>,
     inner: Arc<dyn EventSink>,
 }
 
 impl MeteredTimelineSink {
-    /// Counts into `metrics` what goes to `inner`.
+    /// Creates a sink that counts events in `metrics` and passes them on to `inner`.
     pub fn new(inner: Arc<dyn EventSink>, metrics: Arc<dyn Metrics>) -> Self {
         Self { metrics, inner }
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// The kind's name as callers see it, such as `cap-reached`.
+/// The name of an error kind as callers see it, such as `cap-reached`.
 fn error_name(error: ErrorKind) -> String {
     match serde_json::to_value(error) {
         Ok(serde_json::Value::String(name)) => name,
--- a/src/metrics/metric.rs
+++ b/src/metrics/metric.rs
@@ -1,17 +1,17 @@
-//! The closed list of metrics.
+//! The metrics that a host sends.
 
-/// How a metric is to be read.
+/// How the values of a metric are to be interpreted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MetricKind {
-    /// Only grows; a restart starts it from nothing.
+    /// Only increases; a restart resets it to zero.
     Counter,
-    /// The value at the moment it was sent.
+    /// The value at the time of sending.
     Gauge,
     /// Durations in milliseconds.
     Timing,
 }
 
-/// Every metric of a host.
+/// A metric of a host.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Metric {
     ConnectionsRefused,
@@ -27,7 +27,7 @@
 }
 
 impl Metric {
-    /// Every metric, for tests and for the operators' reference.
+    /// All metrics, for tests and for the operators' reference.
     pub const ALL: [Metric; 10] = [
         Metric::ConnectionsRefused,
         Metric::Events,
@@ -41,17 +41,17 @@
         Metric::TargetErrors,
     ];
 
-    /// Name on the wire, after the prefix.
+    /// Name in datagrams, without the prefix.
     pub fn name(self) -> &'static str {
         self.definition().0
     }
 
-    /// How it is to be read.
     pub fn kind(self) -> MetricKind {
         self.definition().1
     }
 
-    /// One line for the operators' reference; `label` is what tells its parts from one another.
+    /// One-line description for the operators' reference. If it names a label, the metric is split
+    /// by that label.
     pub fn doc(self) -> &'static str {
         self.definition().2
     }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,4 +1,5 @@
-//! Counters, gauges and timings, sent as statsd datagrams to an address from the settings.
+//! Metrics of a host: an entry host serves them to scrapers (`EntryMetrics`), other hosts send them
+//! as statsd datagrams to an address from the settings (`open`).
 
 mod entry;
 mod metered_sink;
@@ -16,22 +17,23 @@
 
 use std::time::Duration;
 
-/// Takes measurements. Never blocks and never fails: a full queue drops what comes.
+/// Receives measurements. Never blocks and never fails: if the queue is full, measurements are
+/// dropped.
 pub trait Metrics: Send + Sync {
-    /// Adds `by` to a counter; `label` tells its parts from one another, such as an error kind.
+    /// Adds `by` to a counter. `label` splits the counter, for example by error kind.
     fn count(&self, metric: Metric, by: u64, label: Option<&str>);
 
-    /// Sets a gauge.
+    /// Sets a gauge to `value`.
     fn gauge(&self, metric: Metric, value: f64, label: Option<&str>);
 
-    /// Adds a duration.
+    /// Records a duration.
     fn time(&self, metric: Metric, taken: Duration, label: Option<&str>);
 
-    /// Sends what is buffered; to be called about once a second.
+    /// Sends buffered measurements; to be called about once a second.
     fn flush(&self);
 }
 
-/// Takes measurements and drops them.
+/// Discards all measurements.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoMetrics;
 
--- a/src/metrics/statsd.rs
+++ b/src/metrics/statsd.rs
@@ -12,11 +12,11 @@
 use super::{Metric, Metrics, NoMetrics};
 use crate::prelude::*;
 
-/// Prefix of every name.
+/// Prefix of all metric names.
 const PREFIX: &str = "lavenderplank";
 
-/// Datagrams that wait for the sending thread; past it new ones are dropped.
-const MAX_QUEUED_DATAGRAMS: usize = 4_096;
+/// Maximum number of metrics that wait for the sender thread; further ones are dropped.
+const MAX_QUEUED_METRICS: usize = 4_096;
 
 /// Result of opening metrics.
 pub type Result<T> = std::result::Result<T, MetricsError>;
@@ -24,13 +24,16 @@
 /// Metrics could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum MetricsError {
-    #[error("no UDP socket for metrics to {address}: {source}; correct `metrics` in the settings")]
+    #[error(
+        "cannot open a UDP socket for metrics to {address}: {source}; correct `metrics` in the \
+         settings"
+    )]
     Socket { address: SocketAddr, source: io::Error },
-    #[error("metrics to {address}: {detail}; correct `metrics` in the settings")]
+    #[error("cannot send metrics to {address}: {detail}; correct `metrics` in the settings")]
     Sink { address: SocketAddr, detail: String },
 }
 
-/// What every datagram of a host carries.
+/// Tags of every datagram of a host.
 #[derive(Clone, Debug)]
 pub struct Tags {
     pub host: HostId,
@@ -38,26 +41,26 @@
     pub zone: ZoneId,
 }
 
-/// Sends to `address`, or drops everything where there is none.
+/// Returns a client that sends metrics to `address`, or discards them if it is `None`.
 pub fn open(address: Option<SocketAddr>, tags: &Tags) -> Result<Arc<dyn Metrics>> {
     let Some(address) = address else {
         return Ok(Arc::new(NoMetrics));
     };
-    let any: SocketAddr = match address {
+    let bind_address: SocketAddr = match address {
         SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
         SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
     };
-    let socket = UdpSocket::bind(any)
+    let socket = UdpSocket::bind(bind_address)
         .and_then(|socket| socket.set_nonblocking(true).map(|()| socket))
         .map_err(|source| MetricsError::Socket { address, source })?;
     let sink = BufferedUdpMetricSink::from(address, socket)
         .map_err(|error| MetricsError::Sink { address, detail: error.to_string() })?;
     let client =
-        StatsdClient::builder(PREFIX, QueuingMetricSink::with_capacity(sink, MAX_QUEUED_DATAGRAMS))
+        StatsdClient::builder(PREFIX, QueuingMetricSink::with_capacity(sink, MAX_QUEUED_METRICS))
             .with_tag("member", &tags.member)
             .with_tag("zone", &tags.zone)
             .with_tag("host", &tags.host)
-            .with_error_handler(|error| log::debug!("metric dropped: {error}"))
+            .with_error_handler(|error| log::debug!("sending a metric failed: {error}"))
             .build();
     Ok(Arc::new(Statsd { client }))
 }
@@ -81,7 +84,7 @@
 
     fn flush(&self) {
         if let Err(error) = self.client.flush() {
-            log::debug!("metrics not flushed: {error}");
+            log::debug!("flushing metrics failed: {error}");
         }
     }
 }
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -21,14 +21,15 @@
 }
 
 #[test]
-fn events_become_datagrams() {
+fn events_are_sent_as_datagrams() {
     let server = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     server.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     let metrics = open(Some(server.local_addr().unwrap()), &tags()).unwrap();
     let sink = MeteredTimelineSink::new(Arc::new(NullSink), metrics.clone());
     sink.record(None, EventKind::Refused { error: ErrorKind::CapReached });
     let (mut text, mut buf) = (String::new(), [0; 2_000]);
-    // A flush can overtake what still waits for the sending thread; hosts flush every second.
+    // A flush can run before the sender thread has handled the queued metric; hosts flush every
+    // second.
     for _ in 0..100 {
         metrics.flush();
         let len = server.recv(&mut buf).unwrap_or_default();
@@ -42,12 +43,12 @@
     assert!(text.contains("host:zg-1"), "{text}");
 }
 
-// The address of the metrics server is wrong or nobody listens there: the host must go on
-// serving, since measurements are worth less than requests.
+// If the metrics server is down or its address is wrong, the host must still serve requests:
+// recording and flushing metrics must neither fail nor block.
 #[test]
-fn a_server_that_is_away_costs_nothing() {
-    let nobody = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
-    let metrics = open(Some(nobody), &tags()).unwrap();
+fn unreachable_server_is_tolerated() {
+    let closed_port = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
+    let metrics = open(Some(closed_port), &tags()).unwrap();
     for _ in 0..1_000 {
         metrics.count(Metric::Refused, 1, None);
     }
--- a/src/why/cause.rs
+++ b/src/why/cause.rs
@@ -1,12 +1,13 @@
-//! What a request's lines come to: the verdict, the cause, and the setting or event behind it.
+//! Determines from the log lines of a request its outcome, the cause, and the contributing limits
+//! and events.
 
-use super::HistoryLine;
+use super::HistoryEntry;
 use crate::{
     event_log::{AttemptEnd, End, Event, PauseReason},
     prelude::*,
 };
 
-/// How the request ended, as far as the logs tell.
+/// Outcome of a request, as far as it was logged.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -17,16 +18,17 @@
     Refused,
     Served,
     TargetFailed,
-    /// It has no last line: the host ended, or the line was dropped.
+    /// No final line was found: the host stopped, or the line was dropped.
     Unfinished,
 }
 
-/// The cause, in a sentence each.
+/// The outcome of a request and its explanation.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Cause {
     pub verdict: Verdict,
+    /// One sentence that describes the outcome.
     pub what: String,
-    /// The settings, limits or events behind it.
+    /// The limits and events that contributed to it, one sentence each.
     pub behind: Vec<String>,
 }
 
@@ -41,64 +43,66 @@
     }
 }
 
-/// Names the cause. The last line of the request decides, since each host's part ends with one.
-pub fn determine(lines: &[HistoryLine], dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
+/// Determines the cause from the last final line of the request, since it may have reached several
+/// hosts and each logs one.
+pub fn determine(lines: &[HistoryEntry], dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
     let request: Vec<&Event> =
-        lines.iter().filter(|told| told.is_request).map(|told| &told.line.event).collect();
-    let Some(first) = request.first() else { return not_found_cause(dropped) };
+        lines.iter().filter(|entry| entry.is_request).map(|entry| &entry.line.event).collect();
+    let Some(first) = request.first() else { return not_found(dropped) };
     let ends = |event: &&&Event| {
         matches!(event, Event::Answered { .. } | Event::Refused { .. } | Event::CallerLeft { .. })
     };
     let broken = request.iter().find(|event| matches!(event, Event::StreamBroken { .. }));
     if let Some(Event::StreamBroken { reason, target, .. }) = broken {
-        let what = format!("the answer of {target} broke off on its way: {reason}");
+        let what = format!("the response of {target} broke off: {reason}");
         return Cause::new(Verdict::Failed, what).behind(target_changes(lines, target));
     }
     match request.iter().rfind(ends) {
         Some(Event::Refused { error, status, team, .. }) => {
-            let team = team.iter().map(|team| format!("made for team {team}"));
-            Cause::new(Verdict::Refused, format!("refused with {status}, {error}")).behind(team)
+            let team = team.iter().map(|team| format!("requested by team {team}"));
+            Cause::new(Verdict::Refused, format!("refused with status {status}: {error}"))
+                .behind(team)
         }
         Some(Event::CallerLeft { sent, took_ms, .. }) => {
             let what = format!("the caller closed its connection after {took_ms} ms");
-            Cause::new(Verdict::CallerLeft, what).behind([format!("attempts by then: {sent}")])
+            Cause::new(Verdict::CallerLeft, what)
+                .behind([format!("attempts sent before that: {sent}")])
         }
         Some(answered @ Event::Answered { .. }) => answer_cause(answered, &request, lines),
-        _ => unfinished_cause(first, lines, dropped),
+        _ => unfinished(first, lines, dropped),
     }
 }
 
-fn not_found_cause(dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
-    let what = "no line of these logs names the request: it reached none of these hosts, or came \
-                at another time";
+fn not_found(dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
+    let what = "the logs contain no line of this request: it did not reach these hosts, or the \
+                logs cover another time";
     let lost: u64 = dropped.values().sum();
-    let reasons = (0 < lost).then(|| format!("{lost} lines were dropped; it may be among them"));
+    let reasons =
+        (0 < lost).then(|| format!("{lost} lines were dropped; the request may be among them"));
     Cause::new(Verdict::NotFound, what).behind(reasons)
 }
 
-fn unfinished_cause(
-    first: &Event,
-    lines: &[HistoryLine],
-    dropped: &BTreeMap<Arc<str>, u64>,
-) -> Cause {
+fn unfinished(first: &Event, lines: &[HistoryEntry], dropped: &BTreeMap<Arc<str>, u64>) -> Cause {
     let what =
-        format!("the story ends without an answer; it begins with `{}`", first.kind().name());
-    let stop = lines.iter().filter(|told| !told.is_request).find_map(|told| {
-        let at = told.after_ms;
-        match &told.line.event {
-            Event::Stopping { .. } if 0 <= at => Some(format!("the host stopped {at} ms later")),
+        format!("the request has no final line; its first event is `{}`", first.kind().name());
+    let stop = lines.iter().filter(|entry| !entry.is_request).find_map(|entry| {
+        let at = entry.after_ms;
+        match &entry.line.event {
+            Event::Stopping { .. } if 0 <= at => {
+                Some(format!("the host began to stop {at} ms after the first line"))
+            }
             Event::Started { .. } if 0 <= at => {
-                Some(format!("the host started anew {at} ms later: it was killed"))
+                Some(format!("the host restarted {at} ms after the first line: it was killed"))
             }
             _ => None,
         }
     });
     let lost: u64 = dropped.values().sum();
-    let lost = (0 < lost).then(|| format!("{lost} lines were dropped meanwhile"));
+    let lost = (0 < lost).then(|| format!("{lost} lines were dropped during the request"));
     Cause::new(Verdict::Unfinished, what).behind(stop.into_iter().chain(lost))
 }
 
-fn answer_cause(answered: &Event, request: &[&Event], lines: &[HistoryLine]) -> Cause {
+fn answer_cause(answered: &Event, request: &[&Event], lines: &[HistoryEntry]) -> Cause {
     let Event::Answered { end, error, objective_ms, ran, sent, status, target, took_ms, .. } =
         answered
     else {
@@ -108,21 +112,25 @@
     match end {
         End::Served => Cause::new(
             Verdict::Served,
-            format!("{by} answered {status} after {took_ms} ms, within {objective_ms} ms"),
+            format!(
+                "{by} answered {status} after {took_ms} ms, within the objective of \
+                 {objective_ms} ms"
+            ),
         ),
         End::Late => {
             let what = format!(
-                "{by} answered {status} after {took_ms} ms; the objective is {objective_ms} ms"
+                "{by} answered {status} after {took_ms} ms, later than the objective of \
+                 {objective_ms} ms"
             );
             Cause::new(Verdict::Late, what).behind(latency_reasons(request, lines))
         }
         End::TargetFailed => {
-            let what = format!("{by} itself answered {status}; the host passed it on");
+            let what = format!("{by} answered {status}; the host passed the response on");
             Cause::new(Verdict::TargetFailed, what).behind(attempt_failures(request, lines))
         }
         End::Refused => {
             let why = error.map_or_else(String::new, |error| format!(": {error}"));
-            let what = format!("not run, refused with {status} after {took_ms} ms{why}");
+            let what = format!("not run, refused with status {status} after {took_ms} ms{why}");
             Cause::new(Verdict::Refused, what)
                 .behind(placement_failures(request))
                 .behind(attempt_failures(request, lines))
@@ -131,16 +139,17 @@
         End::Failed => {
             let why = error.map_or_else(String::new, |error| format!(": {error}"));
             let what = format!(
-                "{status} after {took_ms} ms and {sent} attempts; whether it ran: {ran}{why}"
+                "failed with status {status} after {took_ms} ms and {sent} attempts; whether it \
+                 ran: {ran}{why}"
             );
             Cause::new(Verdict::Failed, what).behind(attempt_failures(request, lines))
         }
     }
 }
 
-/// Why no target took it.
+/// Why no target could take the request.
 fn placement_failures(request: &[&Event]) -> Vec<String> {
-    let told = request.iter().filter_map(|event| match event {
+    let reasons = request.iter().filter_map(|event| match event {
         Event::NotPlaced {
             candidates,
             cold,
@@ -155,15 +164,16 @@
         } => {
             let crowded = match (crowded, expected_ms) {
                 (Some(target), Some(expected)) => format!(
-                    "{target}, which knows the object, was expected to answer after {expected} ms, \
-                     against {limit_ms} ms that an answer may take"
+                    "the best target {target} was expected to respond after {expected} ms, which \
+                     exceeds the limit of {limit_ms} ms"
                 ),
-                _ => format!("no target in {region} had room"),
+                _ => format!("no target in {region} had a free slot"),
             };
             Some(format!(
-                "{crowded}; of {candidates} targets {shut} took nothing (paused, full or at their \
-                 cold rate; {cold} cold); {free_elsewhere} had a free slot in other regions, beyond \
-                 what `max_shift` lets go there now; other hosts' load known {view_age_ms} ms ago"
+                "{crowded}; of {candidates} targets {shut} were unavailable (paused, full or at \
+                 their cold rate limit) and {cold} were cold; {free_elsewhere} had a free slot in \
+                 other regions, beyond what `max_shift` allows now; the load data of other hosts \
+                 was {view_age_ms} ms old"
             ))
         }
         Event::RetryDenied { limit, sent, .. } => {
@@ -171,11 +181,11 @@
         }
         _ => None,
     });
-    told.collect()
+    reasons.collect()
 }
 
-/// What went wrong at targets.
-fn attempt_failures(request: &[&Event], lines: &[HistoryLine]) -> Vec<String> {
+/// Failed and cancelled attempts, with the state changes of their targets.
+fn attempt_failures(request: &[&Event], lines: &[HistoryEntry]) -> Vec<String> {
     let mut reasons = Vec::new();
     for event in request {
         match event {
@@ -191,10 +201,10 @@
                         ));
                         continue;
                     }
-                    AttemptEnd::Failed => "failed it",
-                    AttemptEnd::Lost => "was lost after the request was sent",
-                    AttemptEnd::Shed => "had no room",
-                    AttemptEnd::Unreachable => "could not be reached",
+                    AttemptEnd::Failed => "reported a failure",
+                    AttemptEnd::Lost => "lost the connection after the request was sent",
+                    AttemptEnd::Shed => "was overloaded",
+                    AttemptEnd::Unreachable => "was unreachable",
                     AttemptEnd::WrongTarget => "is no longer at its address",
                 };
                 reasons.push(format!("{target} {end} after {took_ms} ms: {detail}"));
@@ -211,7 +221,7 @@
     reasons
 }
 
-/// An attempt that was given up: the caller's time was over, or another attempt was faster.
+/// Describes an attempt that was cancelled: the deadline passed, or another attempt was faster.
 fn describe_cancelled_attempt(
     request: &[&Event],
     of: &TargetId,
@@ -224,20 +234,20 @@
         {
             let cold = if *cold { ", cold" } else { "" };
             Some(format!(
-                " in {region}{cold}; expected after {expected_ms} ms of {left_ms} ms left, with \
-                 {load} requests on {slots} slots"
+                " in {region}{cold}; response expected after {expected_ms} ms with {left_ms} ms \
+                 left, {load} requests on {slots} slots"
             ))
         }
         _ => None,
     });
     let connect = connect_ms
-        .map_or_else(String::new, |took| format!("; a new connection took {took} ms of it"));
+        .map_or_else(String::new, |took| format!("; of these, connecting took {took} ms"));
     let sent = sent.unwrap_or_default();
     format!("{of} had not answered after {took_ms} ms{sent}{connect}")
 }
 
-/// Why a success was late.
-fn latency_reasons(request: &[&Event], lines: &[HistoryLine]) -> Vec<String> {
+/// Why a successful response was late.
+fn latency_reasons(request: &[&Event], lines: &[HistoryEntry]) -> Vec<String> {
     let mut reasons = attempt_failures(request, lines);
     for event in request {
         match event {
@@ -257,8 +267,8 @@
                 let reason = reason.as_str().unwrap_or_default().to_owned();
                 reasons.push(format!(
                     "{reason}: {target} in {region}{cold}, {load} requests on {slots} slots, \
-                     answer expected after {expected_ms} ms, {knows_percent} % likely to know the \
-                     object"
+                     response expected after {expected_ms} ms, {knows_percent} % probability that \
+                     it has the object cached"
                 ));
             }
             Event::AttemptEnded {
@@ -278,48 +288,49 @@
     reasons
 }
 
-/// What the hosts believed of one target around then.
-fn target_changes(lines: &[HistoryLine], of: &TargetId) -> Vec<String> {
-    let told = lines.iter().filter(|told| !told.is_request).filter_map(|told| {
-        let at = told.after_ms;
-        match &told.line.event {
+/// State changes of a target around the time of the request.
+fn target_changes(lines: &[HistoryEntry], of: &TargetId) -> Vec<String> {
+    let reasons = lines.iter().filter(|entry| !entry.is_request).filter_map(|entry| {
+        let at = entry.after_ms;
+        match &entry.line.event {
             Event::TargetGone { target, .. } if target == of => {
-                Some(format!("{target}'s entry was gone at {at} ms"))
+                Some(format!("the entry of {target} was removed at {at} ms"))
             }
             Event::TargetPaused { failures, reason, target, .. } if target == of => {
                 let why = match reason {
-                    PauseReason::Failing => "after failures in a row",
-                    PauseReason::Unreachable => "nobody answered at its address",
+                    PauseReason::Failing => "after consecutive failures",
+                    PauseReason::Unreachable => "unreachable at its address",
                 };
-                Some(format!("{target} was paused at {at} ms, {why} ({failures})"))
+                Some(format!("{target} was paused at {at} ms, {why} (failures: {failures})"))
             }
             Event::TargetKnown { ready: false, target, .. } if target == of => {
-                Some(format!("{target} was draining from {at} ms on"))
+                Some(format!("{target} was draining as of {at} ms"))
             }
             Event::CrashCounted { crashes, target, .. } if target == of => Some(format!(
-                "{target} went down at {at} ms under requests (crash {crashes} of one)"
+                "{target} crashed at {at} ms while running requests (crash {crashes} of \
+                 one of them)"
             )),
             _ => None,
         }
     });
-    told.collect()
+    reasons.collect()
 }
 
-/// Changes that left fewer targets than usual.
-fn capacity_changes(lines: &[HistoryLine]) -> Vec<String> {
-    let told = lines.iter().filter(|told| !told.is_request && told.after_ms <= 0);
-    let told = told.filter_map(|told| {
-        let at = told.after_ms;
-        match &told.line.event {
+/// State changes before the request that reduced the number of usable targets.
+fn capacity_changes(lines: &[HistoryEntry]) -> Vec<String> {
+    let reasons = lines.iter().filter(|entry| !entry.is_request && entry.after_ms <= 0);
+    let reasons = reasons.filter_map(|entry| {
+        let at = entry.after_ms;
+        match &entry.line.event {
             Event::ZoneEvacuated { zone, .. } => Some(format!("{zone} was evacuated at {at} ms")),
-            Event::ZoneTakenBack { zone, .. } => {
-                Some(format!("{zone} was taken back at {at} ms; its targets are cold at first"))
-            }
+            Event::ZoneTakenBack { zone, .. } => Some(format!(
+                "the evacuation of {zone} was undone at {at} ms; its targets are cold at first"
+            )),
             Event::StoreLost { reason, .. } => {
-                Some(format!("the store was lost at {at} ms: {reason}"))
+                Some(format!("the store stopped answering at {at} ms: {reason}"))
             }
             _ => None,
         }
     });
-    told.collect()
+    reasons.collect()
 }
--- a/src/why/mod.rs
+++ b/src/why/mod.rs
@@ -1,7 +1,8 @@
-//! The story of one request, from the log lines of many hosts.
+//! Reconstructs the history of a request from the logs of several hosts.
 //!
-//! `read` finds the lines, in two passes over files of any size and in bounded memory; `story` puts
-//! them in order and names the cause; `render` prints them. Nothing here asks a running host.
+//! `search` finds the relevant lines in two passes over the files, in bounded memory whatever their
+//! size; `history` sorts them; `cause` determines the cause of the outcome; `render` formats the
+//! result. No running host is queried.
 
 mod cause;
 mod history;
@@ -12,7 +13,7 @@
 
 pub use self::{
     cause::{Cause, Verdict},
-    history::{HistoryLine, RequestHistory},
+    history::{HistoryEntry, RequestHistory},
     render::render_text,
     search::{LogMatches, ReadError, find_request},
 };
--- a/src/why/render.rs
+++ b/src/why/render.rs
@@ -1,44 +1,46 @@
-//! The story as text for people.
+//! Formats the history of a request as text.
 
 use std::fmt::Write;
 
-use super::{HistoryLine, RequestHistory};
+use super::{HistoryEntry, RequestHistory};
 use crate::event_log::Event;
 
-/// The whole story.
-pub fn render_text(story: &RequestHistory) -> String {
-    let mut text = format!("request {}\n", story.id);
-    if !story.lines.is_empty() {
+/// Formats the whole history.
+pub fn render_text(history: &RequestHistory) -> String {
+    let mut text = format!("request {}\n", history.id);
+    if !history.lines.is_empty() {
         text.push_str("\n       ms  host\n");
     }
-    for told in &story.lines {
-        let mark = if told.is_request { ' ' } else { '~' };
+    for entry in &history.lines {
+        let mark = if entry.is_request { ' ' } else { '~' };
         let _ = writeln!(
             text,
             "{:>9} {mark}{:<18} {}",
-            told.after_ms,
-            told.line.host,
-            format_event(told)
+            entry.after_ms,
+            entry.line.host,
+            format_event(entry)
         );
     }
-    if !story.dropped.is_empty() {
+    if !history.dropped.is_empty() {
         let counts: Vec<String> =
-            story.dropped.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+            history.dropped.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
         let _ = writeln!(text, "\ndropped lines: {}", counts.join(", "));
     }
-    let _ = write!(text, "\ncause: {}\n", story.cause.what);
-    for reason in &story.cause.behind {
+    let _ = write!(text, "\ncause: {}\n", history.cause.what);
+    for reason in &history.cause.behind {
         let _ = writeln!(text, "  - {reason}");
     }
-    if story.lines.iter().any(|told| !told.is_request) {
-        text.push_str("\n~ what the host believed; times count from the request's first line\n");
+    if history.lines.iter().any(|entry| !entry.is_request) {
+        text.push_str(
+            "\n~ changes of the host's state; times are relative to the request's first line\n",
+        );
     }
     text
 }
 
-/// One event: its kind, then its fields as they are in the log.
-fn format_event(told: &HistoryLine) -> String {
-    let event: &Event = &told.line.event;
+/// Formats an event: its kind, then its fields as in the log.
+fn format_event(entry: &HistoryEntry) -> String {
+    let event: &Event = &entry.line.event;
     let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(event) else {
         return event.kind().name().to_owned();
     };
--- a/src/why/search.rs
+++ b/src/why/search.rs
@@ -1,4 +1,4 @@
-//! Finds the lines that matter for one request.
+//! Finds the log lines that are relevant to a request.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -12,21 +12,22 @@
     prelude::*,
 };
 
-/// Most lines of the request itself that are kept: one attempt has some twenty at most, and its id
-/// may be that of a caller who repeats it.
+/// Maximum number of lines of the request itself. An attempt has about twenty at most, but callers
+/// may reuse an ID.
 const MAX_REQUEST_LINES: usize = 1_000;
 
-/// Most lines about one subject, on one host, that are kept from before the request.
+/// Maximum number of lines per host and subject from before the request.
 const MAX_LINES_BEFORE: usize = 3;
 
-/// Most lines of context that are kept in all.
+/// Maximum number of context lines from during and shortly after the request, and of lines about
+/// dropped lines.
 const MAX_CONTEXT_LINES: usize = 2_000;
 
-/// Time after the request's last line in which a change of belief may still explain it: a lost
-/// target is told after a connection is tried again.
+/// Period after the last line of the request whose state changes may still explain its outcome: the
+/// loss of a target is only logged after another connection attempt.
 const CONTEXT_AFTER: Duration = Duration::from_secs(2);
 
-/// Longest line that is read; a longer one is none of ours.
+/// Maximum length of a line; no event is longer.
 const MAX_LINE_BYTES: u64 = 64 * 1024;
 
 /// Result of reading logs.
@@ -34,30 +35,30 @@
 
 /// A log could not be read.
 #[derive(Debug, thiserror::Error)]
-#[error("{path}: {source}; name files that hold the hosts' standard output", path = path.display())]
+#[error("{path}: {source}; pass files with the hosts' standard output", path = path.display())]
 pub struct ReadError {
     path: PathBuf,
     source: io::Error,
 }
 
-/// What the logs hold of one request.
+/// The log lines that are relevant to a request.
 #[derive(Debug, Default)]
 pub struct LogMatches {
-    /// What the hosts believed then: their last word before about each thing that the request
-    /// touched, and what changed while it ran.
+    /// State changes of the hosts: the last ones before the request about each subject that
+    /// concerns it, and those while it ran or shortly after.
     pub context: Vec<Line>,
-    /// Lines of the request, as they were found.
+    /// Lines of the request, in the order of the files.
     pub request: Vec<Line>,
-    /// Hosts that dropped lines while the request may have run, with what they dropped. All hosts'
-    /// where the request was not found.
+    /// `LinesDropped` events from the time that the request may have run; those of all hosts if the
+    /// request was not found.
     pub dropped: Vec<Line>,
-    /// Lines that are no events.
+    /// Number of lines that are not events.
     pub unparsed: u64,
-    /// Lines that were read.
+    /// Number of lines read.
     pub total_lines: u64,
 }
 
-/// Finds what is known of the request with this id.
+/// Searches the files for lines that are relevant to the request with this ID.
 pub fn find_request(id: &str, files: &[PathBuf]) -> Result<LogMatches> {
     let mut matches = LogMatches::default();
     for path in files {
@@ -90,10 +91,10 @@
     }
 }
 
-/// Where and when the request ran, and what it touched.
+/// The hosts, times, services and targets that the request involved.
 #[derive(Debug, Default)]
 struct RequestScope {
-    /// First and last line of each host, by its wall clock.
+    /// Times of the first and last line of each host, by its wall clock.
     hosts: BTreeMap<HostId, (u64, u64)>,
     services: BTreeSet<ServiceId>,
     targets: BTreeSet<TargetId>,
@@ -140,7 +141,8 @@
     }
 }
 
-/// What a change of belief is about; two lines about one subject replace each other.
+/// What a state change is about. Of the lines about the same subject from before the request, only
+/// the last few are kept.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Subject {
     Declaration,
@@ -153,7 +155,7 @@
 }
 
 impl RequestScope {
-    /// The subject of a change that may have mattered to the request.
+    /// The subject of a state change that may have affected the request.
     fn subject(&self, event: &Event) -> Option<Subject> {
         match event {
             Event::DeclarationInForce { .. } | Event::DeclarationStale { .. } => {
@@ -190,7 +192,7 @@
     }
 }
 
-/// Lines of context, bounded.
+/// State changes around the time of the request, limited in number.
 #[derive(Debug, Default)]
 struct ContextLines {
     before: BTreeMap<(HostId, Subject), VecDeque<Line>>,
@@ -202,11 +204,11 @@
     fn add(&mut self, line: Line, scope: &RequestScope) {
         let times = scope.hosts.get(&line.host);
         if matches!(line.event, Event::LinesDropped { .. }) {
-            let near = |(first, last): &(u64, u64)| {
+            let is_near = |(first, last): &(u64, u64)| {
                 *first <= line.at_ms && line.at_ms <= last + CONTEXT_AFTER.as_millis() as u64
             };
-            let matters = scope.hosts.is_empty() || times.is_some_and(near);
-            if matters && self.dropped.len() < MAX_CONTEXT_LINES {
+            let is_relevant = scope.hosts.is_empty() || times.is_some_and(is_near);
+            if is_relevant && self.dropped.len() < MAX_CONTEXT_LINES {
                 self.dropped.push(line);
             }
             return;
@@ -214,7 +216,7 @@
         let Some((first, last)) = times else { return };
         let Some(subject) = scope.subject(&line.event) else { return };
         if line.at_ms < *first {
-            // What a host heard of others long ago, and forgot by a new start, explains nothing.
+            // A restarted host has lost its earlier state, so earlier changes explain nothing.
             if matches!(line.event, Event::Started { .. }) {
                 self.before.retain(|(host, _), _| *host != line.host);
             }
@@ -231,11 +233,11 @@
     }
 }
 
-/// A line that is no event.
+/// A line that is not an event.
 struct NotAnEvent;
 
-/// Hands on each line. Collectors put a time or a name before a line: it is read from its first
-/// brace.
+/// Calls `f` for each line. Collectors may put a time or a name before a line, so it is parsed from
+/// its first brace.
 fn for_each_line(
     path: &Path,
     mut f: impl FnMut(std::result::Result<Line, NotAnEvent>),
--- a/src/why/tests.rs
+++ b/src/why/tests.rs
@@ -7,10 +7,10 @@
     prelude::*,
 };
 
-/// A file of log lines that goes with the test.
-struct Log(PathBuf);
+/// A temporary log file, removed on drop.
+struct LogFile(PathBuf);
 
-impl Log {
+impl LogFile {
     fn write(text: &str) -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -26,7 +26,7 @@
     }
 }
 
-impl Drop for Log {
+impl Drop for LogFile {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.0);
     }
@@ -121,16 +121,16 @@
     Event::TargetPaused { failures: 2, pause_ms: 500, reason, target: target.into() }
 }
 
-fn story(id: &str, logs: &[&Log]) -> RequestHistory {
+fn history(id: &str, logs: &[&LogFile]) -> RequestHistory {
     let files: Vec<PathBuf> = logs.iter().map(|log| log.0.clone()).collect();
     RequestHistory::new(id, &find_request(id, &files).expect("the logs can be read"))
 }
 
-/// A booking's target went down under it. Its id alone leads to the lost attempt, to the target's
-/// pause and to what the caller was told, in the order in which they came.
+/// A target crashes while it runs a booking. The history contains the lost attempt, the pause of
+/// the target and the response to the caller, in order.
 #[test]
-fn a_lost_answer_leads_to_the_target_that_went_down() {
-    let log = Log::of(&[
+fn lost_response_is_traced_to_crashed_target() {
+    let log = LogFile::of(&[
         line("a", 1_000, None, paused("t-9")),
         line("a", 5_000, Some("b-1"), taken()),
         line("a", 5_001, Some("b-1"), sent("t-1")),
@@ -140,106 +140,122 @@
         line("a", 5_040, None, paused("t-1")),
         line("a", 9_000, None, paused("t-1")),
     ]);
-    let story = story("b-1", &[&log]);
-    assert_eq!(story.cause.verdict, Verdict::Failed);
-    let kinds: Vec<&str> = story.lines.iter().map(|told| told.line.event.kind().name()).collect();
+    let history = history("b-1", &[&log]);
+    assert_eq!(history.cause.verdict, Verdict::Failed);
+    let kinds: Vec<&str> =
+        history.lines.iter().map(|entry| entry.line.event.kind().name()).collect();
     assert_eq!(kinds, ["taken", "sent", "attempt-ended", "answered", "target-paused"]);
-    assert_eq!(story.lines[4].after_ms, 40);
-    let behind = story.cause.behind.join("\n");
-    assert!(behind.contains("t-1 was lost after the request was sent"), "{behind}");
-    assert!(behind.contains("t-1 was paused at 40 ms, nobody answered at its address"), "{behind}");
-    assert!(story.cause.what.contains("whether it ran: unknown"), "{}", story.cause.what);
-    assert!(render_text(&story).contains("cause: 502"), "{}", render_text(&story));
+    assert_eq!(history.lines[4].after_ms, 40);
+    let behind = history.cause.behind.join("\n");
+    assert!(behind.contains("t-1 lost the connection after the request was sent"), "{behind}");
+    assert!(behind.contains("t-1 was paused at 40 ms, unreachable at its address"), "{behind}");
+    assert!(history.cause.what.contains("whether it ran: unknown"), "{}", history.cause.what);
+    assert!(
+        render_text(&history).contains("cause: failed with status 502"),
+        "{}",
+        render_text(&history)
+    );
 }
 
-/// A read is late since its target had to work for an object that it did not know. The host had
-/// thought it even: the story says so, with the load and the time that was expected.
+/// A read is late because its target did not have the object cached. The reasons contain the inputs
+/// of the placement: the load, the expected time and the estimated hit probability.
 #[test]
-fn a_late_answer_names_what_was_expected_of_its_target() {
-    let log = Log::of(&[
+fn late_response_names_placement_inputs() {
+    let log = LogFile::of(&[
         line("a", 5_000, Some("r-1"), taken()),
         line("a", 5_001, Some("r-1"), sent("t-1")),
         line("a", 5_900, Some("r-1"), answered(End::Late, None)),
     ]);
-    let story = story("r-1", &[&log]);
-    assert_eq!(story.cause.verdict, Verdict::Late);
-    let behind = story.cause.behind.join("\n");
+    let history = history("r-1", &[&log]);
+    assert_eq!(history.cause.verdict, Verdict::Late);
+    let behind = history.cause.behind.join("\n");
     assert!(behind.contains("2 requests on 3 slots"), "{behind}");
-    assert!(behind.contains("expected after 120 ms, 50 % likely to know the object"), "{behind}");
+    assert!(
+        behind.contains(
+            "response expected after 120 ms, 50 % probability that it has the object cached"
+        ),
+        "{behind}"
+    );
 }
 
-/// A refusal in an overload: the cause gives the inputs of the decision.
+/// A request is refused in an overload. The reasons contain the inputs of that decision.
 #[test]
-fn a_refusal_names_the_inputs_that_decided_it() {
+fn refusal_names_placement_inputs() {
     let evacuated =
         Event::ZoneEvacuated { source: Source::Watch, store_version: 7, zone: "north-b".into() };
-    let log = Log::of(&[
+    let log = LogFile::of(&[
         line("a", 900, None, evacuated),
         line("a", 5_000, Some("r-1"), taken()),
         line("a", 5_000, Some("r-1"), not_placed()),
         line("a", 5_001, Some("r-1"), answered(End::Refused, Some(ErrorKind::NoSlots))),
     ]);
-    let story = story("r-1", &[&log]);
-    assert_eq!(story.cause.verdict, Verdict::Refused);
-    let behind = story.cause.behind.join("\n");
-    assert!(behind.contains("of 4 targets 2 took nothing"), "{behind}");
-    assert!(behind.contains("t-4, which knows the object"), "{behind}");
-    assert!(behind.contains("after 1300 ms, against 900 ms"), "{behind}");
+    let history = history("r-1", &[&log]);
+    assert_eq!(history.cause.verdict, Verdict::Refused);
+    let behind = history.cause.behind.join("\n");
+    assert!(behind.contains("of 4 targets 2 were unavailable"), "{behind}");
+    assert!(behind.contains("the best target t-4 was expected to respond"), "{behind}");
+    assert!(behind.contains("after 1300 ms, which exceeds the limit of 900 ms"), "{behind}");
     assert!(behind.contains("north-b was evacuated at -4100 ms"), "{behind}");
 }
 
-/// A caller's copies of one request came to two hosts. Their files are merged by time, whatever
-/// their order, and lines that a collector put a name before are read all the same.
+/// Copies of a request reach two hosts. The files are merged by time, whatever their order, and
+/// lines that a collector has prefixed with a name are parsed.
 #[test]
-fn the_hosts_files_are_merged() {
+fn files_of_several_hosts_are_merged() {
     let refused =
         |host, at| line(host, at, Some("r-1"), answered(End::Refused, Some(ErrorKind::Shed)));
     let late = [
         line("b", 7_000, Some("r-1"), taken()),
         line("b", 7_900, Some("r-1"), answered(End::Late, None)),
     ];
-    let first = Log::of(&[line("a", 5_000, Some("r-1"), taken()), refused("a", 5_010)]);
+    let first = LogFile::of(&[line("a", 5_000, Some("r-1"), taken()), refused("a", 5_010)]);
     let prefixed: String = late
         .iter()
         .map(|line| format!("12.5 host-b | {}\n", serde_json::to_string(line).expect("a form")))
         .collect();
-    let second = Log::write(&(prefixed + "no event\n{\"half\":"));
-    let story = story("r-1", &[&second, &first]);
-    let hosts: Vec<&str> = story.lines.iter().map(|told| &*told.line.host).collect();
+    let second = LogFile::write(&(prefixed + "no event\n{\"half\":"));
+    let history = history("r-1", &[&second, &first]);
+    let hosts: Vec<&str> = history.lines.iter().map(|entry| &*entry.line.host).collect();
     assert_eq!(hosts, ["a", "a", "b", "b"]);
-    assert_eq!(story.cause.verdict, Verdict::Late);
+    assert_eq!(history.cause.verdict, Verdict::Late);
 }
 
-/// Nobody logged the id; lines were dropped meanwhile. Both are said.
+/// No line has the ID, and lines were dropped. The verdict is `NotFound`, and the dropped lines are
+/// named as a possible reason.
 #[test]
-fn an_unknown_id_is_said_to_be_unknown() {
+fn unknown_id_is_not_found() {
     let dropped = Event::LinesDropped { counts: [("answered".into(), 40)].into() };
-    let log = Log::of(&[line("a", 1_000, Some("r-1"), taken()), line("a", 1_500, None, dropped)]);
-    let story = story("nobody", &[&log]);
-    assert_eq!(story.cause.verdict, Verdict::NotFound);
-    assert!(story.cause.behind[0].starts_with("40 lines were dropped"), "{:?}", story.cause);
-    assert_eq!(story.dropped["answered"], 40);
+    let log =
+        LogFile::of(&[line("a", 1_000, Some("r-1"), taken()), line("a", 1_500, None, dropped)]);
+    let history = history("nobody", &[&log]);
+    assert_eq!(history.cause.verdict, Verdict::NotFound);
+    assert!(history.cause.behind[0].starts_with("40 lines were dropped"), "{:?}", history.cause);
+    assert_eq!(history.dropped["answered"], 40);
 }
 
-/// The host was killed while it served the request: there is no last line, and its next start says
-/// why.
+/// The host is killed while it serves a request: there is no final line, and the next start of the
+/// host explains why.
 #[test]
-fn a_killed_host_leaves_an_unfinished_story() {
+fn killed_host_leaves_request_unfinished() {
     let started =
         Event::Started { build: "1".into(), region: "north".into(), zone: "north-a".into() };
-    let log = Log::of(&[
+    let log = LogFile::of(&[
         line("a", 1_000, Some("r-1"), taken()),
         line("a", 1_001, Some("r-1"), sent("t-1")),
         line("a", 2_500, None, started),
     ]);
-    let story = story("r-1", &[&log]);
-    assert_eq!(story.cause.verdict, Verdict::Unfinished);
-    assert!(story.cause.behind[0].contains("started anew 1500 ms later"), "{:?}", story.cause);
+    let history = history("r-1", &[&log]);
+    assert_eq!(history.cause.verdict, Verdict::Unfinished);
+    assert!(
+        history.cause.behind[0].contains("the host restarted 1500 ms after the first line"),
+        "{:?}",
+        history.cause
+    );
 }
 
-/// A host's log of a million changes of belief: the memory is bounded by what the request touched.
+/// A log with thousands of state changes: the number of context lines is limited.
 #[test]
-fn context_is_bounded() {
+fn context_lines_are_limited() {
     let lost = |at| {
         let event = Event::StoreLost { part: StorePart::Targets, reason: "away".into() };
         line("a", at, None, event)
@@ -248,15 +264,15 @@
     lines.push(line("a", 5_000, Some("r-1"), taken()));
     lines.extend((5_000..6_500).map(lost));
     lines.extend((5_000..6_500).map(lost));
-    let log = Log::of(&lines);
+    let log = LogFile::of(&lines);
     let found = find_request("r-1", std::slice::from_ref(&log.0)).expect("the log can be read");
     assert_eq!(found.context.len(), 3 + 2_000);
     assert_eq!(found.total_lines, 8_001);
 }
 
-/// Every way in which a request can end has its verdict.
+/// Each outcome of a request has its verdict.
 #[test]
-fn each_end_has_its_verdict() {
+fn each_outcome_has_its_verdict() {
     let table = [
         (answered(End::Served, None), Verdict::Served),
         (answered(End::Late, None), Verdict::Late),
@@ -278,19 +294,19 @@
         (sent("t-1"), Verdict::Unfinished),
     ];
     for (event, verdict) in table {
-        let log = Log::of(&[
+        let log = LogFile::of(&[
             line("a", 1_000, Some("r-1"), taken()),
             line("a", 1_001, Some("r-1"), event),
         ]);
-        assert_eq!(story("r-1", &[&log]).cause.verdict, verdict);
+        assert_eq!(history("r-1", &[&log]).cause.verdict, verdict);
     }
 }
 
 proptest::proptest! {
-    /// Logs are cut, mixed and damaged on their way. Whatever they hold, reading them ends, counts
-    /// every line and never fails.
+    /// Collectors may truncate, interleave or corrupt logs. Reading them must neither fail nor loop
+    /// forever, whatever they contain.
     #[test]
-    fn damaged_logs_are_read(noise in proptest::collection::vec(0_u8..=255, 0..200), at in 0..400_usize) {
+    fn corrupt_logs_are_read(noise in proptest::collection::vec(0_u8..=255, 0..200), at in 0..400_usize) {
         let whole = [line("a", 1_000, Some("r-1"), taken()), line("a", 1_001, Some("r-1"), sent("t-1"))];
         let mut text: Vec<u8> = Vec::new();
         for line in &whole {
@@ -299,7 +315,7 @@
         }
         let at = at.min(text.len());
         text.splice(at..at, noise);
-        let log = Log::write("");
+        let log = LogFile::write("");
         fs::write(&log.0, &text).expect("a temporary file");
         let found = find_request("r-1", std::slice::from_ref(&log.0)).expect("the log can be read");
         proptest::prop_assert!(found.request.len() <= 2);
