--- a/src/base/binding.rs
+++ b/src/base/binding.rs
@@ -1,4 +1,4 @@
-//! The owner binding: which host's ledger a request belongs to.
+//! The binding of a request to the host whose ledger records it.
 
 use std::{fmt, str::FromStr};
 
@@ -6,8 +6,8 @@
 
 use super::{Generation, HostId, Incarnation};
 
-/// Names the one ledger generation that may run a request. Callers get it from a look-up and
-/// send it back as text: `HOST/INCARNATION/GENERATION`, the incarnation as 16 hex digits.
+/// Identifies the only ledger generation that may run a request. Callers get it from a look-up and
+/// send it back as text: `HOST/INCARNATION/GENERATION`, with the incarnation as 16 hex digits.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Binding {
@@ -16,9 +16,9 @@
     pub incarnation: Incarnation,
 }
 
-/// The text is no binding.
+/// The text is not a valid binding.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("binding must read HOST/INCARNATION/GENERATION as given by a look-up")]
+#[error("invalid binding: expected HOST/INCARNATION/GENERATION as returned by a look-up")]
 pub struct BindingError;
 
 impl fmt::Display for Binding {
@@ -43,7 +43,8 @@
             host: host.into(),
             incarnation: Incarnation::from_str_radix(incarnation, 16).map_err(|_| BindingError)?,
         };
-        // Signs, leading zeros and capitals: a binding that somebody rewrote, not one of a look-up.
+        // Only the canonical form is accepted: the number parsers also take signs, leading zeros
+        // and upper-case digits, which no look-up returns.
         if binding.to_string() == text { Ok(binding) } else { Err(BindingError) }
     }
 }
--- a/src/base/cause.rs
+++ b/src/base/cause.rs
@@ -1,8 +1,9 @@
-//! What an error of a library comes from.
+//! Root causes of library errors.
 
 use std::{error::Error, sync::Arc};
 
-/// The innermost cause of an error: the outer ones say little.
+/// Returns the text of the innermost source of an error. The outer errors of libraries are often
+/// too general to be of use.
 pub fn root_cause(error: &dyn Error) -> Arc<str> {
     let mut cause = error;
     while let Some(inner) = cause.source() {
@@ -11,7 +12,7 @@
     cause.to_string().into()
 }
 
-/// The error with its innermost cause, such as `connection error: connection reset`.
+/// Formats an error together with its root cause, such as `connection error: connection reset`.
 pub fn with_root_cause(error: &dyn Error) -> Arc<str> {
     let (outer, cause) = (error.to_string(), root_cause(error));
     if outer == *cause { cause } else { format!("{outer}: {cause}").into() }
--- a/src/base/clock.rs
+++ b/src/base/clock.rs
@@ -1,20 +1,22 @@
-//! Time as the decisions see it.
+//! The source of time for the state machines.
 //!
-//! `std::time::Instant` stops while a machine is suspended, so a host that slept past its lease
-//! would believe the lease still valid. `BootClock` reads the boot clock, which goes on counting.
+//! `std::time::Instant` does not advance while a machine is suspended, so a host that was suspended
+//! past the end of its lease would still consider the lease valid. `BootClock` reads the boot
+//! clock, which includes time in suspension.
 
 use std::{sync::Mutex, time::Duration};
 
-/// A point in time: the time since the clock's own start. Points of different hosts never compare.
+/// A point in time, as the time since the start of the clock. Values from different hosts must not
+/// be compared.
 pub type Moment = Duration;
 
 /// Source of the current time.
 pub trait Clock: Send + Sync {
-    /// The current time; never goes back.
+    /// Returns the current time, which never decreases.
     fn now(&self) -> Moment;
 }
 
-/// The machine's boot clock, which also counts the time that the machine was suspended.
+/// The boot clock of the machine, which also counts time in suspension.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
@@ -27,14 +29,14 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// A clock that advances only on request, for tests and simulations.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     now: Mutex<Moment>,
 }
 
 impl ManualClock {
-    /// Moves the clock on by `step`.
+    /// Advances the clock by `step`.
     pub fn advance(&self, step: Duration) {
         *self.now.lock().expect("no holder of this lock panics") += step;
     }
--- a/src/base/duration_text.rs
+++ b/src/base/duration_text.rs
@@ -1,11 +1,11 @@
-//! Spans of time as text: a number and its unit, `250ms` or `2.5s`.
+//! Durations as text: a number with its unit, such as `250ms` or `2.5s`.
 
 use std::time::Duration;
 
-/// Longest span that is read: a day, in seconds. A longer one is a mistake of whoever wrote it.
+/// Longest duration accepted: one day, in seconds. A longer one is taken for a mistake.
 const MAX_SECS: f64 = 86_400.0;
 
-/// Reads `250ms` or `2.5s`; `None` for everything else.
+/// Parses text such as `250ms` or `2.5s`; `None` if it is not a valid duration.
 pub fn parse(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
@@ -15,30 +15,30 @@
     (0.0..=MAX_SECS).contains(&secs).then(|| Duration::from_secs_f64(secs))
 }
 
-/// Writes whole milliseconds.
-pub fn format(span: Duration) -> String {
-    format!("{}ms", span.as_millis())
+/// Formats a duration in whole milliseconds.
+pub fn format(duration: Duration) -> String {
+    format!("{}ms", duration.as_millis())
 }
 
-/// A span as a text field, for `#[serde(with = "...")]`.
+/// A duration as a text field, for `#[serde(with = "...")]`.
 pub mod field {
     use std::time::Duration;
 
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
-    /// Reads the text of a span.
+    /// Deserializes a duration from text.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
         parse(&String::deserialize(from)?)
     }
 
     pub(super) fn parse<E: Error>(text: &str) -> Result<Duration, E> {
-        let bad = || E::custom(format!("`{text}` is no time; write 250ms or 2.5s"));
-        super::parse(text).ok_or_else(bad)
+        let invalid = || E::custom(format!("invalid duration `{text}`; write 250ms or 2.5s"));
+        super::parse(text).ok_or_else(invalid)
     }
 
-    /// Writes whole milliseconds.
-    pub fn serialize<S: Serializer>(span: &Duration, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(&super::format(*span))
+    /// Serializes a duration as text, in whole milliseconds.
+    pub fn serialize<S: Serializer>(duration: &Duration, to: S) -> Result<S::Ok, S::Error> {
+        to.serialize_str(&super::format(*duration))
     }
 }
 
@@ -48,7 +48,7 @@
 
     use serde::{Deserialize, Deserializer};
 
-    /// Reads the text of a span that is there.
+    /// Deserializes a duration from text, or `None` from null.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Duration>, D::Error> {
         let text = Option::<String>::deserialize(from)?;
         text.map(|text| super::field::parse(&text)).transpose()
--- a/src/base/error_kind.rs
+++ b/src/base/error_kind.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds and the one table from kind to answer.
+//! The closed set of error kinds and the response to callers for each of them.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use super::Ran;
 
-/// Whether, and how, the caller may send the request again.
+/// Whether and how the caller may send the request again.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resend {
-    /// Not as it stands.
+    /// The unchanged request must not be sent again.
     Never,
-    /// With the same binding and key: the owner then tells what is known.
+    /// With the same binding and key, so that the owning host can return what its ledger has.
     Same,
-    /// As a new request: after a new look-up, with its binding and a new key. Said only where the
-    /// old binding and key can never run: an earlier copy may still be on its way, and would run
-    /// beside the new one.
+    /// As a new request, after a new look-up, with the new binding and a new key. Used only where
+    /// the old binding and key can never run, because an earlier copy may still be in transit and
+    /// would run in addition to the new request.
     Fresh,
 }
 
 impl Resend {
-    /// The value of the `lavender-resend` header.
+    /// Returns the value of the `lavender-resend` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Resend::Never => "never",
@@ -31,20 +31,20 @@
     }
 }
 
-/// One row of the table: what the caller is told.
+/// What the response to the caller contains for one error kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ErrorResponse {
-    /// Whether the request ran.
+    /// Whether a target ran the request.
     pub ran: Ran,
-    /// Whether the caller may send it again.
+    /// Whether the caller may send the request again.
     pub resend: Resend,
-    /// Least time before a resend; a random spread is added to it.
+    /// Minimum delay before a resend; random jitter is added to it.
     pub retry_after: Option<Duration>,
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
 }
 
-/// Every way in which a request can end without the target's own answer.
+/// Every way in which a request can end without a response from the target.
 #[derive(
     Clone,
     Copy,
@@ -137,7 +137,7 @@
 }
 
 impl ErrorKind {
-    /// Every kind, for tests and for the operators' reference.
+    /// All kinds, in alphabetical order.
     pub const ALL: [ErrorKind; 36] = [
         ErrorKind::AnswerBroken,
         ErrorKind::AnswerNotKept,
@@ -177,7 +177,7 @@
         ErrorKind::StreamCut,
     ];
 
-    /// The row of the table for this kind.
+    /// Returns what the response to the caller contains for this kind.
     pub fn response(self) -> ErrorResponse {
         use ErrorKind::*;
         use Ran::{No, Unknown, Yes};
@@ -222,11 +222,13 @@
         }
     }
 
-    /// What a copy of a booking is told that this host refused before its ledger was asked.
+    /// Returns the kind to answer with when this host refuses a copy of a booking before its ledger
+    /// was consulted.
     ///
-    /// An earlier copy may have run, by another host or under an older manifest. Told `not run`,
-    /// the caller would book again under a new key, and the booking would run twice. No row that
-    /// this gives says `no`: only the ledger that the binding names does.
+    /// An earlier copy may have run on another host or under an older manifest. If the response
+    /// said that the request did not run, the caller would book again under a new key, and the
+    /// booking would run twice. So the response of the returned kind never has `Ran::No`; only the
+    /// ledger that the binding names can report that.
     pub fn before_ledger(self) -> ErrorKind {
         use ErrorKind::*;
         match self {
--- a/src/base/header_line.rs
+++ b/src/base/header_line.rs
@@ -1,12 +1,12 @@
-//! One line of an HTTP head, kept apart from any HTTP library.
+//! HTTP header lines, independent of any HTTP library.
 
 use std::sync::Arc;
 
 use http::{HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 
-/// A header's lower-case name and its value. Bytes of the value that are no ASCII stand as the
-/// characters U+0080 to U+00FF, one a byte, so that a line comes out as it went in.
+/// The lower-case name and the value of a header. Each non-ASCII byte of the value is stored as one
+/// of the characters U+0080 to U+00FF, so that the value is passed on byte for byte.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct HeaderLine {
     pub name: Arc<str>,
@@ -14,18 +14,18 @@
 }
 
 impl HeaderLine {
-    /// A line of the given name, in lower case, and value.
+    /// Creates a header line; `name` must be in lower case.
     pub fn new(name: impl Into<Arc<str>>, value: impl Into<Arc<str>>) -> Self {
         Self { name: name.into(), value: value.into() }
     }
 
-    /// The line as the HTTP library has it.
+    /// Converts a header of the `http` crate.
     pub fn from_http(name: &HeaderName, value: &HeaderValue) -> Self {
         let text: String = value.as_bytes().iter().copied().map(char::from).collect();
         Self::new(name.as_str(), text)
     }
 
-    /// The line for the HTTP library; `None` when it is no valid header.
+    /// Converts to a header of the `http` crate; `None` if the line is not a valid header.
     pub fn to_http(&self) -> Option<(HeaderName, HeaderValue)> {
         let name = HeaderName::from_bytes(self.name.as_bytes()).ok()?;
         let bytes: Option<Vec<u8>> = self.value.chars().map(|c| u8::try_from(c).ok()).collect();
@@ -33,7 +33,7 @@
     }
 }
 
-/// The value of the first line of that lower-case name.
+/// Returns the value of the first line whose lower-case name is `name`.
 pub fn header<'a>(lines: &'a [HeaderLine], name: &str) -> Option<&'a str> {
     lines.iter().find(|line| &*line.name == name).map(|line| &*line.value)
 }
--- a/src/base/ids.rs
+++ b/src/base/ids.rs
@@ -1,14 +1,14 @@
-//! Aliases for ids. All text ids are cheap to clone.
+//! Type aliases for identifiers. Text identifiers are cheap to clone.
 
 use std::sync::Arc;
 
-/// Number of a ledger generation within one incarnation; rises by one at each rotation.
+/// Number of a ledger generation within one incarnation; incremented at each rotation.
 pub type Generation = u32;
 
 /// Name of an entry host, unique within its member.
 pub type HostId = Arc<str>;
 
-/// Random number that a host draws at each start; a restarted host is a new incarnation.
+/// Random number chosen by a host at each start; a restarted host is a new incarnation.
 pub type Incarnation = u64;
 
 /// Name of a member of the consortium.
@@ -17,10 +17,11 @@
 /// Name of a region, unique within its member.
 pub type RegionId = Arc<str>;
 
-/// Id of one request, chosen by the caller or by the first host that sees the request.
+/// Identifier of a request, chosen by the caller or by the first host that receives the request.
 pub type RequestId = Arc<str>;
 
-/// Number of a manifest, given by the member's pipeline; in force it only rises.
+/// Number of a manifest, assigned by the member's pipeline. The number of the manifest in force
+/// only increases.
 pub type Sequence = u64;
 
 /// Name of a service, unique within its member.
--- a/src/base/mod.rs
+++ b/src/base/mod.rs
@@ -1,4 +1,4 @@
-//! Types that every slice shares: ids, time, error kinds, the owner binding.
+//! Types shared by all modules: identifiers, time, error kinds and bindings.
 
 mod binding;
 mod cause;
--- a/src/base/ran.rs
+++ b/src/base/ran.rs
@@ -1,4 +1,4 @@
-//! What is known about whether a request was run by a target.
+//! Whether a target ran a request, as far as is known.
 
 use std::fmt;
 
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// Proven: no target ran it.
+    /// It is proven that no target ran it.
     No,
     /// A target may have run it.
     Unknown,
-    /// A target ran it and its answer is the one given.
+    /// A target ran it, and the response given is its own.
     Yes,
 }
 
 impl Ran {
-    /// The value of the `lavender-ran` header.
+    /// Returns the value of the `lavender-ran` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Ran::No => "no",
--- a/src/base/tests.rs
+++ b/src/base/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn broken_bindings_are_refused() {
+fn invalid_bindings_are_rejected() {
     for text in [
         "",
         "a",
@@ -27,24 +27,24 @@
 }
 
 #[test]
-fn every_kind_has_one_name_and_a_consistent_row() {
+fn every_kind_has_a_unique_name_and_a_consistent_response() {
     let mut names = ErrorKind::ALL.map(|kind| serde_json::to_string(&kind).unwrap()).to_vec();
     names.dedup();
     assert_eq!(names.len(), ErrorKind::ALL.len());
     for kind in ErrorKind::ALL {
-        let row = kind.response();
-        assert!((400..600).contains(&row.status), "{kind:?}");
-        let fresh_after_doubt = row.ran != Ran::No && row.resend == Resend::Fresh;
-        assert!(!fresh_after_doubt, "{kind:?}: a new binding after doubt could run it twice");
+        let response = kind.response();
+        assert!((400..600).contains(&response.status), "{kind:?}");
+        let unsafe_fresh = response.ran != Ran::No && response.resend == Resend::Fresh;
+        assert!(!unsafe_fresh, "{kind:?}: it may have run, and a new binding could run it twice");
     }
 }
 
-/// A clerk's terminal gives up on a booking while a host holds it, and sends it again. The second
-/// copy is refused. If the terminal then took a new binding, the first copy could still come to
-/// the old owner and run beside the new one: two seats sold. So a new binding is offered only
-/// where the old one can never run that key.
+/// Guards against a booking that runs twice. A caller times out and sends a booking again while a
+/// host still holds the first copy, and the second copy is refused. If the caller then took a new
+/// binding, the first copy could still reach the old owner and run as well. So a new binding is
+/// offered only where the old one can never run that key.
 #[test]
-fn a_new_binding_is_offered_only_where_the_old_one_is_closed_for_good() {
+fn fresh_resend_is_offered_only_if_the_old_key_can_never_run() {
     let fresh = ErrorKind::ALL.into_iter().filter(|kind| kind.response().resend == Resend::Fresh);
     let closed = [
         ErrorKind::BindingClosed,
@@ -56,18 +56,18 @@
     assert_eq!(fresh.collect::<Vec<_>>(), closed);
 }
 
-/// A terminal books, hears nothing and sends the booking again; a host refuses the second copy
-/// before it has asked the ledger, while the first one ran elsewhere. `no` would be untrue, and a
-/// new key would sell the seat twice: whatever the reason, only the ledger says `no`.
+/// Guards against a false `Ran::No`. A caller gets no response to a booking and sends it again; a
+/// host refuses the second copy before consulting the ledger, although the first one ran on another
+/// host. With `Ran::No` the caller would use a new key, and the booking would run twice.
 #[test]
-fn nothing_is_known_of_a_booking_before_its_ledger_is_asked() {
+fn before_ledger_never_says_that_a_booking_did_not_run() {
     for kind in ErrorKind::ALL {
-        let told = kind.before_ledger();
-        assert_ne!(told.response().ran, Ran::No, "{kind:?}");
-        assert_ne!(told.response().resend, Resend::Fresh, "{kind:?}");
-        assert_eq!(told.before_ledger(), told, "{kind:?}");
+        let returned = kind.before_ledger();
+        assert_ne!(returned.response().ran, Ran::No, "{kind:?}");
+        assert_ne!(returned.response().resend, Resend::Fresh, "{kind:?}");
+        assert_eq!(returned.before_ledger(), returned, "{kind:?}");
         if kind.response().ran != Ran::No {
-            assert_eq!(told, kind);
+            assert_eq!(returned, kind);
         }
     }
     let refused = [
@@ -77,15 +77,16 @@
         (ErrorKind::KeyMissing, ErrorKind::BookingIncomplete),
         (ErrorKind::OtherMember, ErrorKind::BookingMisdirected),
     ];
-    for (cause, told) in refused {
-        assert_eq!(cause.before_ledger(), told);
-        assert_eq!(cause.response().status, told.response().status, "{cause:?}");
+    for (kind, expected) in refused {
+        assert_eq!(kind.before_ledger(), expected);
+        assert_eq!(kind.response().status, expected.response().status, "{kind:?}");
     }
 }
 
-/// A library hides what went wrong below its own words; a log line needs both.
+/// Guards against log lines without the root cause: libraries wrap it in general errors of their
+/// own.
 #[test]
-fn an_error_is_told_with_its_cause() {
+fn errors_are_formatted_with_their_root_cause() {
     #[derive(Debug, thiserror::Error)]
     #[error("connection error")]
     struct Outer(#[source] std::io::Error);
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -1,27 +1,28 @@
-//! One request to one target.
+//! A request to a single target.
 
 use bytes::Bytes;
 use http::Method;
 
 use crate::{base::HeaderLine, prelude::*};
 
-/// What is sent, where to, and for how long.
+/// A request to a target or another host, with its limits.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub address: SocketAddr,
     pub body: Bytes,
-    /// Most connections to this address at the same time.
+    /// Maximum number of concurrent connections to this address.
     pub max_connections: u32,
-    /// Time left for the whole exchange.
+    /// Time left for the request, including the wait for a connection and the response.
     pub timeout: Duration,
-    /// Lines of the caller's head; those that concern one connection only are left out.
+    /// Headers of the caller's request; connection-specific ones are not sent.
     pub headers: Vec<HeaderLine>,
     pub method: Method,
     /// Path and query, with the leading slash.
     pub path: Arc<str>,
-    /// Whether it may run twice. If not, it goes over a connection of its own.
+    /// Whether the request may run twice. If not, it is sent over a new connection.
     pub is_idempotent: bool,
     pub request: RequestId,
-    /// Whether the answer is held whole before it is given back; else its body is a stream.
+    /// Whether the response is read completely before it is returned; otherwise its body is a
+    /// stream.
     pub buffer_response: bool,
 }
--- a/src/forward/connect_tracking.rs
+++ b/src/forward/connect_tracking.rs
@@ -1,10 +1,10 @@
-//! Notes whether a connection was made for the exchange at hand.
+//! Records whether a connection was established for a request.
 //!
-//! An error that comes after the connection stands leaves it open whether the request ran; one
-//! that comes before is proof that it did not. The client library tells the two apart only by its
-//! error values, and not at all when a timeout drops its future. So a layer around the connector
-//! sets a flag that belongs to the exchange. It refuses to connect where no flag is in reach: a
-//! connection that nobody knows of is never made.
+//! An error before the connection is established proves that the request did not run; after an
+//! error later on, it may have run. The client library distinguishes the two only by its error
+//! values, and not at all when a timeout drops its future. So a layer around the connector sets a
+//! flag that belongs to the request. Without such a flag in the task-local scope the connector
+//! fails, so that no connection is established without being recorded.
 
 use std::{
     pin::Pin,
@@ -20,14 +20,14 @@
     static CONNECTED: Arc<AtomicBool>;
 }
 
-/// Runs `exchange` and gives its output together with whether a connection was made in it.
-pub(super) async fn track_connect<T>(exchange: impl Future<Output = T>) -> (T, bool) {
+/// Runs a request and returns its output and whether a connection was established for it.
+pub(super) async fn track_connect<T>(request: impl Future<Output = T>) -> (T, bool) {
     let connected = Arc::new(AtomicBool::new(false));
-    let output = CONNECTED.scope(connected.clone(), exchange).await;
+    let output = CONNECTED.scope(connected.clone(), request).await;
     (output, connected.load(Ordering::Acquire))
 }
 
-/// Adds the note to a connector.
+/// Wraps a connector in a [`ConnectTracker`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectTrackingLayer;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A connector that sets the flag of its exchange.
+/// A connector that sets the flag of its request once it is connected.
 #[derive(Clone, Debug)]
 pub(super) struct ConnectTracker<S> {
     inner: S,
@@ -61,7 +61,9 @@
 
     fn call(&mut self, req: Req) -> Self::Future {
         let Ok(connected) = CONNECTED.try_with(Arc::clone) else {
-            return Box::pin(async { Err("no exchange asked for this connection".into()) });
+            return Box::pin(async {
+                Err("connection requested outside of `track_connect`".into())
+            });
         };
         let connecting = self.inner.call(req);
         Box::pin(async move {
--- a/src/forward/connection_limits.rs
+++ b/src/forward/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Bounds the connections to each address.
+//! Limits the number of concurrent connections to each address.
 
 use std::sync::Mutex;
 
@@ -6,10 +6,10 @@
 
 use crate::prelude::*;
 
-/// The right to one connection; given back on drop.
+/// Permit for one connection; released on drop.
 pub(super) type Permit = OwnedSemaphorePermit;
 
-/// One semaphore an address.
+/// One semaphore for each address.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionLimits {
     by_address: Mutex<BTreeMap<SocketAddr, AddressLimit>>,
@@ -22,7 +22,8 @@
 }
 
 impl ConnectionLimits {
-    /// Waits for a connection to `address` to be allowed, of at most `most` at the same time.
+    /// Waits for a permit for a connection to `address`, with at most `limit` permits in use at
+    /// once.
     pub(super) async fn acquire(&self, address: SocketAddr, limit: u32) -> Permit {
         let permits = self.semaphore(address, limit.max(1));
         permits.acquire_owned().await.expect("the semaphore is never closed")
--- a/src/forward/error.rs
+++ b/src/forward/error.rs
@@ -1,31 +1,31 @@
-//! How an attempt fails.
+//! Errors of a forwarded request.
 
 use crate::prelude::*;
 
-/// Result of an attempt.
+/// Result of forwarding a request.
 pub type Result<T> = std::result::Result<T, ForwardError>;
 
-/// Why there is no whole answer. `Connect`, `Shed` and `Timeout { sent: false }` prove that the
-/// target did not run the request.
+/// Why there is no complete response. `ConnectFailed`, `Shed` and `Timeout { sent: false }` prove
+/// that the target did not run the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ForwardError {
-    #[error("the target's answer was not whole, or not for this request")]
+    #[error("the target's response was incomplete or did not belong to this request")]
     InvalidResponse,
-    #[error("no connection to the target could be made")]
+    #[error("could not connect to the target")]
     ConnectFailed,
     #[error("the connection to the target was lost after the request was sent")]
     ConnectionLost,
     #[error("the target shed the request")]
     Shed { retry_after: Option<Duration> },
-    #[error("the target did not answer in time")]
+    #[error("the target did not respond within the time limit")]
     Timeout {
-        /// Whether a byte may have been written.
+        /// Whether any byte may have been written.
         sent: bool,
     },
 }
 
 impl ForwardError {
-    /// The error kind for the caller.
+    /// Returns the error kind to report to the caller.
     pub fn kind(self) -> ErrorKind {
         match self {
             ForwardError::InvalidResponse => ErrorKind::AnswerBroken,
--- a/src/forward/head.rs
+++ b/src/forward/head.rs
@@ -1,21 +1,21 @@
-//! Heads of requests to targets and of their answers.
+//! Headers of requests to targets and of their responses.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method, header};
 
 use super::{Attempt, ForwardError, Result};
 use crate::base::{self, HeaderLine};
 
-/// Time left for the target, in milliseconds.
+/// Header with the time left for the target, in milliseconds.
 const DEADLINE: &str = "lavender-deadline-ms";
 
-/// Id of the request; a target that echoes it must echo this one.
+/// Header with the request id. A target may return it in the response, but only unchanged.
 const REQUEST_ID: &str = "lavender-request-id";
 
-/// Set to `1` beside status 503 by a target that did not run the request.
+/// Header that a target sets to `1` with status 503 if it did not run the request.
 const SHED: &str = "lavender-shed";
 
-/// Lines that concern one connection only (RFC 9110, 7.6.1), or that the client sets itself.
-const CONNECTION_LINES: [&str; 13] = [
+/// Headers that apply to a single connection (RFC 9110, 7.6.1) or that the HTTP client sets itself.
+const CONNECTION_HEADERS: [&str; 13] = [
     "connection",
     "content-length",
     "expect",
@@ -31,10 +31,10 @@
     DEADLINE,
 ];
 
-/// The head that goes to the target.
+/// Returns the headers to send to the target.
 pub(super) fn request_headers(attempt: &Attempt) -> HeaderMap {
     let mut head = HeaderMap::new();
-    for line in forwarded(&attempt.headers) {
+    for line in forwardable(&attempt.headers) {
         if &*line.name == REQUEST_ID {
             continue;
         }
@@ -50,36 +50,38 @@
     head
 }
 
-/// The lines of the answer that go on to the caller. A streamed body's length goes with them, so
-/// that the caller, too, sees when it is cut short.
+/// Returns the headers of the response that are passed on to the caller. They include the length of
+/// a streamed body, so that the caller can detect a truncated one.
 pub(super) fn response_headers(attempt: &Attempt, head: &HeaderMap) -> Vec<HeaderLine> {
     let lines: Vec<_> =
         head.iter().map(|(name, value)| HeaderLine::from_http(name, value)).collect();
-    let mut kept: Vec<_> = forwarded(&lines).cloned().collect();
+    let mut headers: Vec<_> = forwardable(&lines).cloned().collect();
     if !attempt.buffer_response {
         let length = lines.into_iter().find(|line| &*line.name == "content-length");
-        kept.extend(length);
+        headers.extend(length);
     }
-    kept
+    headers
 }
 
-/// Refuses a head that is not for this request, that sheds it, or whose body has no certain end.
+/// Checks that the response belongs to this request, does not shed it, and has a body whose end can
+/// be detected.
 pub(super) fn check(attempt: &Attempt, status: u16, head: &HeaderMap) -> Result<()> {
-    let mut echoes = head.get_all(REQUEST_ID).iter();
-    if echoes.any(|echo| echo.as_bytes() != attempt.request.as_bytes()) {
+    let mut returned_ids = head.get_all(REQUEST_ID).iter();
+    if returned_ids.any(|id| id.as_bytes() != attempt.request.as_bytes()) {
         return Err(ForwardError::InvalidResponse);
     }
     if status == 503 && head.get(SHED).is_some_and(|value| value == "1") {
         return Err(ForwardError::Shed { retry_after: retry_after(head) });
     }
-    if status < 200 || !has_certain_end(attempt, status, head) {
+    if status < 200 || !has_detectable_end(attempt, status, head) {
         return Err(ForwardError::InvalidResponse);
     }
     Ok(())
 }
 
-/// A body that ends when the connection does can be cut without anyone noticing.
-fn has_certain_end(attempt: &Attempt, status: u16, head: &HeaderMap) -> bool {
+/// Whether the end of the body can be told from a lost connection. A body that is delimited only by
+/// the end of the connection may be truncated without any error.
+fn has_detectable_end(attempt: &Attempt, status: u16, head: &HeaderMap) -> bool {
     let without_body = attempt.method == Method::HEAD || status == 204 || status == 304;
     let chunked = head.get(header::TRANSFER_ENCODING).is_some_and(|value| {
         value.to_str().is_ok_and(|text| text.trim().eq_ignore_ascii_case("chunked"))
@@ -92,11 +94,12 @@
     text.trim().parse().ok().map(std::time::Duration::from_secs)
 }
 
-/// Leaves out the lines of one connection and those that its `connection` line names.
-fn forwarded(lines: &[HeaderLine]) -> impl Iterator<Item = &HeaderLine> {
+/// Returns the headers to forward: all but the connection-specific ones and those that the
+/// `connection` header names.
+fn forwardable(lines: &[HeaderLine]) -> impl Iterator<Item = &HeaderLine> {
     let named = base::header(lines, "connection").unwrap_or_default().to_ascii_lowercase();
     lines.iter().filter(move |line| {
-        let own = CONNECTION_LINES.contains(&&*line.name);
-        !own && !named.split(',').any(|name| name.trim() == &*line.name)
+        let is_connection_specific = CONNECTION_HEADERS.contains(&&*line.name);
+        !is_connection_specific && !named.split(',').any(|name| name.trim() == &*line.name)
     })
 }
--- a/src/forward/http_upstream.rs
+++ b/src/forward/http_upstream.rs
@@ -1,4 +1,4 @@
-//! Targets over HTTP/1.1.
+//! Sends requests over HTTP/1.1.
 
 use std::time::Instant;
 
@@ -15,11 +15,11 @@
 };
 use crate::prelude::*;
 
-/// Client to all targets and to other hosts. Nothing is repeated or redirected, no proxy is used.
+/// Client for all targets and other hosts. It does not retry, follow redirects or use a proxy.
 ///
-/// Requests that may not be repeated go over a connection of their own: a kept one may be closed
-/// by the target at the moment of writing, and whether the request was read is then unknown. It
-/// costs one connection each, about 1 ms, and spares the caller the doubt.
+/// Each request that is not idempotent is sent over a new connection. The target may close a pooled
+/// connection at the moment of writing, and then it is unknown whether the request was read. A new
+/// connection costs about 1 ms and avoids this ambiguity.
 #[derive(Debug)]
 pub struct HttpUpstream {
     unpooled: Client,
@@ -29,7 +29,7 @@
 }
 
 impl HttpUpstream {
-    /// Opens the client. It connects on first use.
+    /// Creates the client. Connections are opened on first use.
     pub fn new(limits: ForwardLimits) -> reqwest::Result<Self> {
         let unpooled =
             builder(&limits).pool_max_idle_per_host(0).connector_layer(ConnectTrackingLayer);
@@ -112,7 +112,7 @@
         .tcp_nodelay(true)
 }
 
-/// Only an error of the connector proves that no byte was written.
+/// Maps an error of the client. Only an error of the connector proves that no byte was written.
 fn send_error(error: &reqwest::Error) -> ForwardError {
     if error.is_connect() || error.is_builder() {
         return ForwardError::ConnectFailed;
@@ -131,7 +131,8 @@
     Ok(body.freeze())
 }
 
-/// The chunks of a body; holds the connection's permit until the last. After an error it ends.
+/// Returns the chunks of a body and holds the connection permit until the last one. The stream ends
+/// after an error.
 fn read_stream(
     response: Response,
     idle_timeout: Duration,
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -1,20 +1,20 @@
-//! Bounds of the client to targets.
+//! Limits of the client for targets.
 
 use crate::prelude::*;
 
-/// How long and how much, for every target alike.
+/// Limits that apply to each target.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ForwardLimits {
-    /// Longest time for a connection to be made.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// Unused connections kept to one address.
+    /// Maximum number of idle connections for each address.
     pub idle_connections: usize,
-    /// How long an unused connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Longest silence in a streamed body.
+    /// Maximum time between two chunks of a streamed body.
     pub stream_silence: Duration,
-    /// Largest answer that is held whole, in bytes.
+    /// Maximum size of a buffered response body, in bytes.
     pub whole_bytes: usize,
 }
 
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,8 +1,8 @@
-//! Sends requests to targets and says exactly what is known when one fails.
+//! Sends requests to targets and reports, for each failure, whether the request may have run.
 //!
-//! The shell around the dispatch decision: no choice of target and no second attempt is made here.
-//! A failure is `Connect` only when no byte was written, which is proof that the request did not
-//! run; every failure after that leaves it open.
+//! This module only performs the I/O: it neither selects targets nor retries. An error is
+//! `ConnectFailed` only if no byte was written, which proves that the request did not run. After a
+//! later error the request may have run, unless the target shed it.
 
 mod attempt;
 mod connect_tracking;
--- a/src/forward/response.rs
+++ b/src/forward/response.rs
@@ -1,4 +1,4 @@
-//! A target's answer.
+//! Responses of targets.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 use super::Result;
 use crate::base::HeaderLine;
 
-/// The head of an answer, and its body or the way to it.
+/// A response whose body is either complete or a stream.
 #[derive(Debug)]
 pub struct TargetResponse {
     pub body: TargetBody,
@@ -16,9 +16,9 @@
     pub status: u16,
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub enum TargetBody {
-    /// Ends with an error unless it came whole. Dropping it closes the target's connection.
+    /// Ends with an error unless it is complete. Dropping it closes the connection to the target.
     Stream(BoxStream<'static, Result<Bytes>>),
     Whole(Bytes),
 }
--- a/src/forward/resume.rs
+++ b/src/forward/resume.rs
@@ -1,9 +1,9 @@
-//! Goes on with an interrupted file from another target.
+//! Resumes an interrupted file download from another target.
 //!
-//! Two targets may hold different editions of a file. Joining parts of both gives a file that
-//! never was, and a dome would run it. So a part is joined only when the other target proves that
-//! it is of the same version: an equal strong ETag, and exactly the range that is missing. Else the
-//! stream ends with an error, and the caller's connection is ended uncleanly.
+//! Two targets may have different versions of a file, and a file joined from parts of both would be
+//! corrupt. So a part is appended only if the other target proves that it has the same version: an
+//! equal strong ETag, and exactly the missing range. Otherwise the stream ends with an error, and
+//! the caller's connection is aborted.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -16,11 +16,11 @@
     prelude::*,
 };
 
-/// Where an interrupted file may go on.
+/// Targets from which an interrupted file may be resumed.
 #[async_trait]
 pub trait FallbackTargets: Send {
-    /// The answer of another target to the same request with these headers added, or `None` when no
-    /// target may be asked any more. `error` is why the answer before it was of no use.
+    /// Returns the response of another target to the same request with `headers` added, or `None`
+    /// if no target is left. `error` tells why the previous response could not be used.
     async fn next_response(
         &mut self,
         error: ForwardError,
@@ -28,13 +28,14 @@
     ) -> Option<TargetResponse>;
 }
 
-/// Whether a request asks for a whole file. Only its answer can be told from a part: the rest of a
-/// part that the caller asked for would need another range than the missing one.
+/// Whether a request is for a whole file. Only such a response can be resumed: if the caller itself
+/// asked for a range, the request for the missing bytes would need another range than the one
+/// computed here.
 pub fn requests_whole_file(method: &Method, headers: &HeaderMap) -> bool {
     method == Method::GET && !headers.contains_key(http::header::RANGE)
 }
 
-/// What names one version of a file.
+/// Identifies one version of a file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FileVersion {
     etag: Arc<str>,
@@ -42,20 +43,20 @@
 }
 
 impl FileVersion {
-    /// The version of a whole file with a strong validator.
+    /// Returns the version of a whole file, if the response has a strong ETag.
     pub fn from_response(status: u16, headers: &[HeaderLine]) -> Option<Self> {
         let etag = strong_etag(header(headers, "etag")?)?;
         let length = header(headers, "content-length")?.parse().ok()?;
         (status == 200).then(|| Self { etag: etag.into(), length })
     }
 
-    /// The headers that ask for the rest of this version from `start` on.
+    /// Returns the headers that request the remainder of this version from `start` on.
     fn range_request(&self, start: u64) -> [HeaderLine; 2] {
         let range = HeaderLine::new("range", format!("bytes={start}-"));
         [range, HeaderLine::new("if-range", self.etag.clone())]
     }
 
-    /// Whether the response is the rest of this version from `start` on.
+    /// Whether the response is the remainder of this version from `start` on.
     fn is_remainder(&self, response: &TargetResponse, start: u64) -> bool {
         let range = format!("bytes {start}-{}/{}", self.length.saturating_sub(1), self.length);
         response.status == 206
@@ -64,12 +65,12 @@
     }
 }
 
-/// An ETag that promises equal bytes; a weak one does not.
+/// Returns the ETag if it is a strong one. A weak ETag does not guarantee equal bytes.
 fn strong_etag(etag: &str) -> Option<&str> {
     (etag.starts_with('"') && etag.ends_with('"') && 2 < etag.len()).then_some(etag)
 }
 
-/// The body of a streamed answer; it goes on from other targets where its version allows it.
+/// The body of a streamed response that is resumed from other targets if its version is known.
 pub struct ResumableBody<A> {
     fallbacks: A,
     chunks: BoxStream<'static, Result<Bytes>>,
@@ -78,7 +79,7 @@
 }
 
 impl<A: FallbackTargets> ResumableBody<A> {
-    /// A body that has not begun; without an version it never goes on elsewhere.
+    /// Creates a body of which nothing has been read. Without a version it is never resumed.
     pub fn new(
         chunks: BoxStream<'static, Result<Bytes>>,
         version: Option<FileVersion>,
@@ -87,12 +88,13 @@
         Self { fallbacks, chunks, version, received: 0 }
     }
 
-    /// What the body goes on from.
+    /// Returns the targets from which the body is resumed.
     pub fn fallbacks(&mut self) -> &mut A {
         &mut self.fallbacks
     }
 
-    /// The next chunk; `None` only behind the last byte of a whole body. An error is final.
+    /// Returns the next chunk; `None` only after the last byte of a complete body. An error is
+    /// final.
     pub async fn next_chunk(&mut self) -> Option<Result<Bytes>> {
         loop {
             let error = match self.chunks.next().await {
@@ -108,7 +110,8 @@
         }
     }
 
-    /// A target that sends more than it announced is not to be trusted with the rest either.
+    /// Counts the bytes of a chunk. More bytes than the announced length are an error, because then
+    /// the rest of the response can't be trusted either.
     fn record_chunk(&mut self, chunk: Bytes) -> Result<Bytes> {
         self.received += chunk.len() as u64;
         match &self.version {
@@ -117,12 +120,13 @@
         }
     }
 
-    /// Without an version the upstream alone tells a whole body from a short one.
+    /// Whether all bytes were received. Without a version only the upstream detects a truncated
+    /// body.
     fn is_complete(&self) -> bool {
         self.version.as_ref().is_none_or(|version| version.length == self.received)
     }
 
-    /// The missing rest from the first target that has the same version.
+    /// Returns the missing remainder from the first target that has the same version.
     async fn resume(
         &mut self,
         mut error: ForwardError,
--- a/src/forward/upstream.rs
+++ b/src/forward/upstream.rs
@@ -1,13 +1,13 @@
-//! The border to targets.
+//! The interface to targets.
 
 use async_trait::async_trait;
 
 use super::{Attempt, Result, TargetResponse};
 
-/// Sends one request to one target, once.
+/// Sends a request to a single target, without retries.
 #[async_trait]
 pub trait Upstream: Send + Sync {
-    /// Gives the target's answer. Dropping the future cancels the request, which may then have
-    /// run or not.
+    /// Returns the response of the target. Dropping the future cancels the request, which may or
+    /// may not have run by then.
     async fn send(&self, attempt: Attempt) -> Result<TargetResponse>;
 }
--- a/src/ingress/connections.rs
+++ b/src/ingress/connections.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections within their bounds.
+//! Accepts and serves connections of callers, up to a limit.
 
 use std::convert::Infallible;
 
@@ -17,17 +17,17 @@
     prelude::*,
 };
 
-/// Pause after a connection could not be accepted, for want of descriptors most likely.
+/// Delay after a failed accept, which is most likely due to a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Who is at the other end of a connection; an extension of each of its requests.
+/// Remote address of a connection, attached to each of its requests as an extension.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RemoteAddr(pub SocketAddr);
 
-/// Serves the connections of a listener until it is dropped.
+/// Serves the connections of a listener until the future is dropped.
 ///
-/// One beyond the limit is closed at once. Left in the backlog, its caller would wait for its own
-/// timeout; closed, it goes on to the next host of its look-up.
+/// A connection beyond the limit is closed at once, so that its caller tries the next host of its
+/// look-up. Left in the backlog, the caller would wait until its own timeout.
 pub async fn serve<S>(
     listener: TcpListener,
     app: S,
@@ -38,13 +38,13 @@
     S: Clone + Send + 'static,
     S::Future: Send,
 {
-    let room = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     loop {
         let Ok((stream, remote)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             metrics.count(Metric::ConnectionsRefused, 1, None);
             continue;
         };
@@ -66,20 +66,21 @@
         S: Clone + Send + 'static,
         S::Future: Send,
     {
-        // A caller waits for each answer: held back to fill a packet, it would only come late.
+        // Callers wait for each response, so Nagle's algorithm would only add latency.
         let _ = self.stream.set_nodelay(true);
         let remote = RemoteAddr(self.remote);
         let service = service_fn(move |mut req: http::Request<Incoming>| {
             req.extensions_mut().insert(remote);
             app.clone().call(req)
         });
-        // The time for a head counts from the last answer on, so it also ends idle connections.
+        // The timeout for a request head starts at the end of the last response, so it also closes
+        // idle connections.
         let served = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.idle_timeout())
             .serve_connection(TokioIo::new(self.stream), service);
         if let Err(error) = served.await {
-            log::debug!("connection of {}: {error}", self.remote);
+            log::debug!("connection from {} failed: {error}", self.remote);
         }
     }
 }
--- a/src/ingress/limits.rs
+++ b/src/ingress/limits.rs
@@ -1,22 +1,22 @@
-//! Bounds of what callers may take up.
+//! Limits on the resources used by callers.
 
 use crate::prelude::*;
 
-/// Bounds of one host, for all of its callers together but where it says otherwise.
+/// Limits of a host, for all of its callers together unless stated otherwise.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct IngressLimits {
-    /// Memory for request bodies that are being read or served, in bytes.
+    /// Maximum memory for the bodies of requests being read or served, in bytes.
     pub body_bytes: u64,
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Longest silence of one caller in the middle of a request, and of a connection between two,
-    /// in milliseconds.
+    /// Maximum time without data from a caller, within a request or between two requests of a
+    /// connection, in milliseconds.
     pub silence_ms: u64,
 }
 
 impl IngressLimits {
-    /// Longest silence of one caller.
+    /// Returns the idle timeout of a connection.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
--- a/src/ingress/mod.rs
+++ b/src/ingress/mod.rs
@@ -1,8 +1,8 @@
-//! What callers may take up of a host: connections, memory for request bodies, time in silence.
+//! Limits what callers may use of a host: connections, memory for request bodies and idle time.
 //!
-//! A host is small and stands open to every caller of its member. Without bounds, callers that
-//! connect and say nothing, or send bodies that never end, use up its descriptors and memory, and
-//! it fails for all others.
+//! A host has few resources and accepts every caller of its member. Without limits, callers that
+//! connect and send nothing, or send bodies that never end, would use up its file descriptors and
+//! memory, and the host would fail for all other callers.
 
 mod body;
 mod connections;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! Traffic steering for members that share one platform.
+//! Traffic routing for the members of a consortium that share one platform.
 //!
-//! Two halves that never mix: the decisions (pure state machines, no I/O and no clock) and the
-//! shell (sockets, timers, actors) that feeds them. `docs/DESIGN.md` holds the module map.
+//! The code has two separate layers: state machines that make all decisions, without I/O or a
+//! clock, and the I/O layer (sockets, timers, actors) that feeds them with events and carries out
+//! their actions. `docs/DESIGN.md` has the module map.
 
 pub mod admission;
 pub mod base;
@@ -43,7 +44,7 @@
 pub mod why;
 pub mod yaml;
 
-/// Parses the arguments, runs the subcommand and maps its result to an exit code.
+/// Parses the command line, runs the subcommand and returns its exit code.
 pub fn run() -> std::process::ExitCode {
     let cli = match <cmd::Cli as clap::Parser>::try_parse() {
         Ok(cli) => cli,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,30 +1,30 @@
-//! Logs to standard error; hosts have no disk.
+//! Logging to standard error, because hosts have no disk.
 
 use flexi_logger::{Logger, LoggerHandle};
 
 use crate::settings::{LogFormat, LogSettings};
 
-/// Result of starting the log.
+/// Result of starting the logger.
 pub type Result<T> = std::result::Result<T, LogError>;
 
-/// The log could not be started.
+/// The logger could not be started.
 #[derive(Debug, thiserror::Error)]
-#[error("log level `{level}`: {detail}; use error, warn, info, debug or trace")]
+#[error("invalid log level `{level}`: {detail}; use error, warn, info, debug or trace")]
 pub struct LogError {
     pub detail: String,
     pub level: String,
 }
 
-/// How a line of the log is written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LineFormat {
-    /// One JSON object a line, for programs.
+    /// One JSON object per line, for programs.
     Json,
-    /// Aligned text, for people.
+    /// Aligned text, for human readers.
     Text,
 }
 
-/// Starts the log that a host's settings ask for.
+/// Starts the logger as configured in the settings of a host.
 pub fn start_with_settings(settings: &LogSettings) -> Result<LoggerHandle> {
     let format = match settings.format {
         LogFormat::Json => LineFormat::Json,
@@ -33,8 +33,8 @@
     start(settings.level.as_str(), format)
 }
 
-/// Starts the log; it ends when the handle is dropped. `level` may also name modules, such as
-/// `info, lavenderplank::ledger=debug`.
+/// Starts the logger; it stops when the handle is dropped. `level` may also set the levels of
+/// single modules, as in `info, lavenderplank::ledger=debug`.
 pub fn start(level: &str, format: LineFormat) -> Result<LoggerHandle> {
     let fail = |detail: String| LogError { detail, level: level.to_owned() };
     let line = match format {
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The imports that almost every module needs.
+//! Imports that almost every module needs.
 
 pub use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
--- a/src/settings/log.rs
+++ b/src/settings/log.rs
@@ -1,8 +1,8 @@
-//! What is logged, and how.
+//! Settings of the log.
 
 use serde::{Deserialize, Serialize};
 
-/// Shape of a log line.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
@@ -11,7 +11,7 @@
     Text,
 }
 
-/// Least severity that is logged.
+/// Minimum severity of logged messages.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
@@ -24,7 +24,7 @@
 }
 
 impl LogLevel {
-    /// The level as the log library's specification has it.
+    /// Returns the level as spelled in the specification of the log library.
     pub fn as_str(self) -> &'static str {
         match self {
             LogLevel::Debug => "debug",
@@ -36,7 +36,7 @@
     }
 }
 
-/// Logs go to stderr, since hosts have no disk.
+/// Settings of the log, which is written to standard error because hosts have no disk.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! Settings of one host: who it is, where it listens, where the platform and its first peers are.
+//! Settings of a host: its identity, its listen addresses, and the addresses of the platform and of
+//! the first peers to contact.
 //!
-//! Secrets never stand in the settings file or on the command line: they come from the environment
-//! or from a file that the settings name.
+//! Secrets are never part of the settings file or the command line. They are read from environment
+//! variables or from files that the settings name.
 
 mod check;
 mod log;
--- a/src/settings/secret.rs
+++ b/src/settings/secret.rs
@@ -1,21 +1,21 @@
-//! A secret that neither logs nor comparisons give away.
+//! Secrets that are not revealed by logs or by the timing of comparisons.
 
 use std::{fmt, sync::Arc};
 
 use subtle::ConstantTimeEq;
 
-/// Key or token. `Debug` hides it, and equality takes the same time wherever two values differ, so
-/// that a caller can't find it byte by byte from the time of the answer.
+/// Key or token. `Debug` hides it, and comparison takes constant time, so that a caller can't guess
+/// it byte by byte from response times.
 #[derive(Clone)]
 pub struct Secret(Arc<[u8]>);
 
 impl Secret {
-    /// Takes over the bytes, without the white space around them that editors and shells leave.
+    /// Creates a secret, without the surrounding white space that editors and shells often add.
     pub fn new(text: &str) -> Self {
         Self(text.trim().as_bytes().into())
     }
 
-    /// The bytes, for the one place that sends or hashes them.
+    /// Returns the bytes, only to be sent or hashed.
     pub fn expose(&self) -> &[u8] {
         &self.0
     }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const GOOD: &str = "\
+const VALID: &str = "\
 host: kt-1
 member: himalaya-tara
 region: bagmati
@@ -12,15 +12,15 @@
 ";
 
 #[test]
-fn good_settings_are_read() {
-    let settings = Settings::parse(GOOD, "h.yaml").unwrap();
+fn valid_settings_are_parsed() {
+    let settings = Settings::parse(VALID, "h.yaml").unwrap();
     assert_eq!(&*settings.zone, "bagmati-a");
     assert_eq!(settings.log, LogSettings::default());
     assert!(settings.verifying_key().is_ok());
 }
 
 #[test]
-fn each_mistake_names_line_field_and_remedy() {
+fn each_problem_reports_line_field_and_fix() {
     let table = [
         ("colour: red\n", "h.yaml:9: colour: unknown field `colour`; expected one of"),
         ("http: 127.0.0.1:1\n", "h.yaml:1: duplicate field `http`; give it once"),
@@ -32,13 +32,13 @@
         ("peers: 7\n", "h.yaml:9: peers: invalid type: integer `7`; expected a sequence"),
     ];
     for (added, expected) in table {
-        let problem = Settings::parse(&format!("{GOOD}{added}"), "h.yaml").unwrap_err();
+        let problem = Settings::parse(&format!("{VALID}{added}"), "h.yaml").unwrap_err();
         assert!(problem.to_string().starts_with(expected), "{problem}");
     }
 }
 
 #[test]
-fn secrets_stay_hidden_and_compare_whole() {
+fn secrets_are_hidden_and_trimmed() {
     let secret = Secret::new("open sesame\n");
     assert_eq!(format!("{secret:?}"), "Secret(hidden)");
     assert_eq!(secret, Secret::new("open sesame"));
--- a/src/timer/mod.rs
+++ b/src/timer/mod.rs
@@ -1,19 +1,20 @@
-//! The timer service: parts subscribe to be called at an interval.
+//! A timer that calls subscribers at regular intervals.
 
 use tokio::{runtime::Handle, task::AbortHandle, time::MissedTickBehavior};
 
 use crate::prelude::*;
 
-/// What is called at each tick. It must not block.
+/// Callback of a subscription. It must not block.
 pub type Job = Box<dyn FnMut() + Send>;
 
-/// Calls subscribers at their intervals.
+/// Calls subscribers at regular intervals.
 pub trait Timer: Send + Sync {
-    /// Calls `job` every `period`, first after one period, until the subscription is dropped.
+    /// Calls `job` once every `period`, starting one period from now, until the subscription is
+    /// dropped.
     fn every(&self, period: Duration, job: Job) -> Subscription;
 }
 
-/// Ends the calls when dropped.
+/// A registered job; dropping it stops the calls.
 #[derive(Debug)]
 pub struct Subscription {
     task: AbortHandle,
@@ -25,15 +26,15 @@
     }
 }
 
-/// Timer on a tokio runtime. Ticks that were missed are skipped: a host that was paused must not
-/// catch up on a hundred exchanges at once.
+/// Timer on a tokio runtime. Missed ticks are skipped, so that a host that was paused does not
+/// start a hundred exchanges with other hosts at once.
 #[derive(Clone, Debug)]
 pub struct TokioTimer {
     runtime: Handle,
 }
 
 impl TokioTimer {
-    /// A timer whose jobs run on `runtime`.
+    /// Creates a timer whose jobs run on `runtime`.
     pub fn new(runtime: Handle) -> Self {
         Self { runtime }
     }
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! The immutable snapshot that the control thread publishes to the traffic threads.
+//! The immutable snapshot of the system state that the control thread publishes to the traffic
+//! threads.
 
 use std::collections::BTreeSet;
 
@@ -7,44 +8,44 @@
     prelude::*,
 };
 
-/// What a host knows of the system at one moment.
+/// State of the system as known to one host at one point in time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct View {
-    /// Traffic that each home region last had, as its own hosts reported it.
+    /// Latest traffic of each home region, as reported by the hosts of that region.
     pub baselines: Vec<Baseline>,
-    /// Operators' drains that no manifest has settled yet.
+    /// Drains requested by operators that are not yet part of a manifest.
     pub drains: BTreeSet<DrainScope>,
-    /// All live hosts of this member, this one included, sorted by name.
+    /// All live hosts of this member, including this one, sorted by name.
     pub hosts: Vec<HostView>,
     pub manifest: Arc<Manifest>,
     pub own: HostView,
-    /// Regions that this host has not heard from for the suspicion time.
+    /// Regions from which this host has received nothing for the suspicion time.
     pub silent_regions: BTreeSet<RegionId>,
-    /// This host's right to its targets.
+    /// The lease of this host on its targets.
     pub tenure: Tenure,
 }
 
-/// One host as its peers see it.
+/// A host as seen by its peers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostView {
-    /// Where callers and peers reach it.
+    /// HTTP address for callers and peers.
     pub address: SocketAddr,
-    /// Stopped incarnations whose sealed ledgers it took over, and for which it answers.
+    /// Stopped incarnations whose sealed ledgers the host took over and whose requests it answers.
     #[serde(default)]
     pub adopted: Vec<Incarnation>,
-    /// Ledger generation that new bindings on this host name.
+    /// Ledger generation of new bindings on this host.
     pub generation: Generation,
     pub id: HostId,
     pub incarnation: Incarnation,
-    /// Told its peers that it is stopping: no new work.
+    /// Whether the host announced that it is stopping; it then gets no new work.
     pub leaving: bool,
     pub region: RegionId,
-    /// Where peers reach its RPC server.
+    /// Address of its RPC server for peers.
     pub rpc: SocketAddr,
     pub zone: ZoneId,
 }
 
-/// Requests a second of a service from callers at home in a region.
+/// Requests per second for a service from callers whose home region is `home`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Baseline {
     pub home: RegionId,
@@ -52,20 +53,21 @@
     pub service: ServiceId,
 }
 
-/// The right to send to the targets that this host owns.
+/// The lease that entitles a host to send to the targets it owns.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tenure {
-    /// Hosts of the zone that share its targets: owners are computed over these.
+    /// Hosts of the zone among which its targets are divided; owners are computed from this list.
     pub owners: Vec<HostId>,
-    /// Hosts whose targets this one only stands in for, at reduced concurrency.
+    /// Hosts whose targets this host serves only provisionally, at reduced concurrency.
     pub provisional: BTreeSet<HostId>,
-    /// By this host's own clock; past it nothing may be sent at full concurrency.
+    /// End of the lease by this host's own clock; after it nothing may be sent at full concurrency.
     pub valid_until: Moment,
 }
 
 impl Tenure {
-    /// Whether a target falls to a host that is only stood in for, so that whoever sends to it does
-    /// so at reduced concurrency. Tells the same at each call: it looks at no earlier tenure.
+    /// Whether the target belongs to a host whose targets are served only provisionally, so that it
+    /// may be used only at reduced concurrency. The result depends on this tenure alone, not on
+    /// earlier ones.
     pub fn is_provisional(&self, target: &TargetId) -> bool {
         let mut all: Vec<HostId> = self.owners.clone();
         all.extend(self.provisional.iter().filter(|host| !self.owners.contains(host)).cloned());
--- a/src/yaml/mod.rs
+++ b/src/yaml/mod.rs
@@ -1,5 +1,5 @@
-//! Reading YAML files of people and pipelines: size, encoding, unknown fields, and for each mistake
-//! the file, line, field, what is wrong and what would be right.
+//! Reads YAML files written by people and pipelines. Checks size, encoding and unknown fields, and
+//! reports for each problem the file, the line, the field, what is wrong and how to fix it.
 
 mod finding;
 mod locate;
--- a/src/yaml/problem.rs
+++ b/src/yaml/problem.rs
@@ -1,26 +1,27 @@
-//! One mistake in a file.
+//! A problem in a file.
 
 use std::{fmt, sync::Arc};
 
 use serde::Serialize;
 
-/// What is wrong at one place of a file, and what would be right.
+/// What is wrong at one location of a file, and how to fix it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, thiserror::Error)]
 pub struct Problem {
-    /// From 1; 0 when the place is not known.
+    /// 1-based column; 0 if not known.
     pub column: usize,
-    /// Path of the field, such as `regions[0].reserve`; empty for the whole file.
+    /// Path of the field, such as `regions[0].reserve`; empty for the file as a whole.
     pub field: Arc<str>,
     pub file: Arc<str>,
-    /// What would be right.
+    /// How to fix it.
     pub fix: Arc<str>,
-    /// From 1; 0 when the place is not known.
+    /// 1-based line; 0 if not known.
     pub line: usize,
+    /// What is wrong.
     pub wrong: Arc<str>,
 }
 
 impl Problem {
-    /// A problem of the file as a whole.
+    /// Creates a problem of the file as a whole.
     pub fn for_file(file: &str, wrong: impl Into<Arc<str>>, fix: impl Into<Arc<str>>) -> Self {
         Self {
             column: 0,
--- a/src/yaml/read.rs
+++ b/src/yaml/read.rs
@@ -1,4 +1,4 @@
-//! From a file to decoded data, or to one clear problem.
+//! Reads and decodes a file, or returns the problem in it.
 
 use std::{fs::File, io::Read, path::Path, sync::Arc};
 
@@ -6,7 +6,8 @@
 
 use super::{Problem, Result};
 
-/// Largest YAML file, in bytes. Lists longer than that do not belong into one (see `sign --blocks`).
+/// Maximum size of a YAML file, in bytes. Longer lists have their own file format, see
+/// `sign --blocks`.
 pub const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Reads a text file of at most `limit` bytes.
@@ -21,7 +22,8 @@
     };
     let file = File::open(path).map_err(unreadable)?;
     let mut buf = Vec::new();
-    // One byte past the limit tells a file that is too large from one that just fits.
+    // Reads one byte past the limit to distinguish a file that is too large from one that just
+    // fits.
     file.take(limit + 1).read_to_end(&mut buf).map_err(unreadable)?;
     if limit < buf.len() as u64 {
         let fix = format!("keep it to {limit} bytes");
@@ -46,21 +48,27 @@
     }
     match serde_norway::from_str(text) {
         Ok(data) => Ok(data),
-        Err(err) => Err(explain::<T>(&err, text, file)),
+        Err(err) => Err(decode_problem::<T>(&err, text, file)),
     }
 }
 
-/// Reads the text again, now with the path tracked, to name the field.
-fn explain<T: DeserializeOwned>(err: &serde_norway::Error, text: &str, file: &str) -> Problem {
+/// Converts a decoder error to a problem. Decodes the text again with path tracking to find the
+/// field.
+fn decode_problem<T: DeserializeOwned>(
+    err: &serde_norway::Error,
+    text: &str,
+    file: &str,
+) -> Problem {
     let decoder = serde_norway::Deserializer::from_str(text);
     let path =
         serde_path_to_error::deserialize::<_, T>(decoder).err().map(|err| err.path().to_string());
     let field = path.filter(|path| path != ".").unwrap_or_default();
-    let (line, column) = err.location().map_or((0, 0), |place| (place.line(), place.column()));
+    let (line, column) =
+        err.location().map_or((0, 0), |location| (location.line(), location.column()));
     let message = err.to_string();
     let message =
         message.strip_suffix(&format!(" at line {line} column {column}")).unwrap_or(&message);
-    // The decoder names the field, or what the unknown field stands in.
+    // The decoder prefixes the message with the field, or with the parent of an unknown field.
     let parent = field.rsplit_once('.').map_or("", |(parent, _)| parent);
     let message = [field.as_str(), parent]
         .iter()
@@ -70,7 +78,7 @@
     Problem { column, field: field.into(), file: file.into(), fix, line, wrong }
 }
 
-/// Parts the decoder's sentence into what is wrong and what would be right.
+/// Splits the decoder's message into what is wrong and how to fix it.
 fn split_message(message: &str) -> (Arc<str>, Arc<str>) {
     if let Some((wrong, expected)) = message.split_once(", expected ") {
         return (wrong.into(), format!("expected {expected}").into());
--- a/src/yaml/tests.rs
+++ b/src/yaml/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn files_that_are_no_settings_get_one_clear_problem() {
+fn unreadable_files_are_reported() {
     let dir = std::env::temp_dir().join(format!("lavenderplank-yaml-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join("x.yaml");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn empty_text_is_told() {
+fn empty_text_is_reported() {
     for text in ["", "\n  \n", "# nothing\n"] {
         let problem = decode::<serde_norway::Value>(text, "x.yaml").unwrap_err();
         assert_eq!(&*problem.wrong, "is empty", "{text:?}");
