--- a/src/daemon/attempt.rs
+++ b/src/daemon/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: sent to a target or another host, and its answer taken in.
+//! One attempt at a request: sends it to a target or another host and handles the reply.
 
 use super::{
     headers,
@@ -15,7 +15,7 @@
     routing::{AttemptId, CallId, Outcome, Via},
 };
 
-/// One attempt to be carried out.
+/// An attempt that the router has ordered.
 pub(super) struct AttemptCommand {
     pub address: SocketAddr,
     pub attempt: AttemptId,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The head of an answer whose body is streamed.
+/// The head of a response whose body is streamed.
 pub(super) struct ResponseHead {
     pub headers: Vec<HeaderLine>,
     pub status: u16,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Sends the request, with the lines that ask for a file's rest in place of its own.
+    /// Sends the request. `range_headers`, which request the remainder of a file, replace the
+    /// request's own headers of the same names.
     pub(super) async fn send(
         &self,
         cmd: &AttemptCommand,
@@ -86,7 +87,7 @@
 
     fn headers_for(&self, cmd: &AttemptCommand, range_headers: &[HeaderLine]) -> Vec<HeaderLine> {
         let mut lines = cmd.incoming.forwarded_headers();
-        lines.retain(|line| range_headers.iter().all(|ours| ours.name != line.name));
+        lines.retain(|line| range_headers.iter().all(|range| range.name != line.name));
         lines.extend_from_slice(range_headers);
         let Some(via) = cmd.hop else { return lines };
         lines.extend(cmd.incoming.hop_headers());
@@ -129,7 +130,7 @@
     }
 }
 
-/// The error kind that another host answered with, if it did.
+/// The error kind that another host responded with, if any.
 pub(super) fn refusal(cmd: &AttemptCommand, reply: &Reply) -> Option<ErrorKind> {
     cmd.hop?;
     let line = reply.headers.iter().find(|line| &*line.name == headers::ERROR)?;
--- a/src/daemon/control/actor.rs
+++ b/src/daemon/control/actor.rs
@@ -1,4 +1,4 @@
-//! The actor's state and its start.
+//! The control actor's state and start.
 
 use rand_chacha::ChaCha8Rng;
 use xtra::{Actor, Address, Mailbox, WeakAddress};
@@ -20,10 +20,10 @@
     view::View,
 };
 
-/// Messages that may wait for the actor; past it senders wait.
+/// Messages that may be queued for the actor; when it is full, senders wait.
 const MAILBOX_CAPACITY: usize = 1024;
 
-/// What the control side is built from.
+/// What the control actor is built from.
 pub struct ControlDependencies {
     pub clock: Arc<dyn Clock>,
     pub link: Arc<dyn PeerLink>,
@@ -32,13 +32,13 @@
     pub platform: Arc<dyn Platform>,
     pub recorder: Arc<Recorder>,
     pub rng: ChaCha8Rng,
-    /// RPC addresses to start from.
+    /// RPC addresses of the hosts to contact first.
     pub seeds: Vec<SocketAddr>,
     pub store: ManifestStore,
     pub traffic: Arc<TrafficHandler>,
 }
 
-/// The control state of one host.
+/// The control actor of one host, with its state.
 pub struct ControlActor {
     pub(super) baselines: Baselines,
     pub(super) drains: DrainSet,
@@ -47,12 +47,12 @@
     pub(super) bootstrap: Bootstrap,
     pub(super) deps: ControlDependencies,
     pub(super) platform_answered_at: Option<Moment>,
-    /// Whether the last call to the platform failed; further ones are spaced out.
+    /// Whether the last call to the platform failed; this is shown as an open breaker.
     pub(super) platform_fails: bool,
     pub(super) progress: ProgressTracker,
-    /// Highest sequence that a pull is under way for.
+    /// Sequence of the manifest that is being fetched from a peer.
     pub(super) fetching: Option<Sequence>,
-    /// Whether a write of the drains to the platform is under way.
+    /// Whether a sync of the drains with the platform is in progress.
     pub(super) syncing_drains: bool,
     pub(super) published: Option<Arc<View>>,
     pub(super) tenure: TenureManager,
@@ -61,7 +61,8 @@
 impl ControlActor {
     /// Starts the actor on the current runtime.
     pub fn spawn(mut deps: ControlDependencies) -> Address<Self> {
-        // Also for later: after a long cut these addresses may be all that is left.
+        // The seeds are also kept for later: after a long network partition they may be the only
+        // addresses left.
         deps.membership.add_seeds(deps.seeds.iter().copied());
         let own = deps.membership.own().clone();
         let control = Self {
@@ -92,7 +93,7 @@
         self.deps.recorder.record(None, kind);
     }
 
-    /// Puts what happened among the hosts on the time line.
+    /// Records membership events on the time line.
     pub(super) fn record_membership_events(&mut self, events: Vec<MembershipEvent>) {
         for event in events {
             let kind = match event {
@@ -101,9 +102,11 @@
                 MembershipEvent::Returned(host) => EventKind::HostJoined { host },
                 MembershipEvent::Superseded => {
                     let host = self.deps.membership.own().id.clone();
-                    log::error!("another process runs as host {host}: this one takes no more work");
-                    // Peers no longer list this process; what callers still send here would be sent
-                    // on without a right to any target.
+                    log::error!(
+                        "another process runs as host {host}: this one accepts no more requests"
+                    );
+                    // Peers no longer list this process. Without leaving, it would still forward
+                    // callers' requests although it holds no lease on any target.
                     self.deps.membership.leave();
                     self.deps.traffic.handle_event(crate::routing::Event::Leave);
                     EventKind::HostLeft { host }
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Runs a call beside the actor and sends it what came of it.
+    /// Runs a call in a separate task and sends its result, if any, to the actor.
     pub(super) fn spawn_call<M>(
         address: WeakAddress<Self>,
         call: impl Future<Output = Option<M>> + Send + 'static,
@@ -130,7 +133,7 @@
     }
 }
 
-/// Passes new suspicions on until the actor is gone.
+/// Notifies the actor of each new quarantine mark until the actor is gone.
 async fn forward_marks(traffic: Arc<TrafficHandler>, control: WeakAddress<ControlActor>) {
     loop {
         traffic.wait_for_mark().await;
@@ -167,11 +170,11 @@
 impl xtra::Handler<PlatformCallResult> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, heard: PlatformCallResult, _cx: &mut xtra::Context<Self>) {
-        if heard.answered {
+    async fn handle(&mut self, result: PlatformCallResult, _cx: &mut xtra::Context<Self>) {
+        if result.answered {
             self.platform_answered_at = Some(self.now());
         }
-        let open = !heard.answered;
+        let open = !result.answered;
         if std::mem::replace(&mut self.platform_fails, open) != open {
             self.record(EventKind::BreakerMoved { open });
         }
--- a/src/daemon/control/drains.rs
+++ b/src/daemon/control/drains.rs
@@ -1,4 +1,4 @@
-//! Operators' drains: ordered here or heard of, in force, settled on the platform.
+//! Operators' drains: ordered here or received from peers, applied, and synced with the platform.
 
 use xtra::WeakAddress;
 
@@ -14,12 +14,13 @@
     prelude::*,
 };
 
-/// What the platform holds of the drains; nothing if it did not answer.
+/// The platform's copy of the drains after a sync; `None` if the sync failed.
 #[derive(Debug)]
 pub struct DrainsSynced(pub Option<Vec<DrainRecord>>);
 
 impl ControlActor {
-    /// Starts what waited, looks how far drains have come, and settles them on the platform.
+    /// Starts waiting drains that may start, updates their progress, and syncs them with the
+    /// platform.
     pub(super) fn tick_drains(&mut self, address: &WeakAddress<Self>) {
         self.drains.purge_tombstones(unix_time_ms());
         self.start_drains();
@@ -29,14 +30,15 @@
         }
     }
 
-    /// Relays settle drains for their zones, and the host that took an order does so at once: if all
-    /// hosts did, one drain would cost the platform a read and a write of each host of the fleet.
+    /// Only the platform watchers of each zone and the host that accepted an order sync drains. If
+    /// all hosts did, one drain would cost the platform a read and a write for each host of the
+    /// fleet.
     fn should_sync_drains(&self) -> bool {
         let own = &self.deps.membership.own().id;
         self.is_platform_watcher() || self.drains.active().any(|record| record.taken_by == *own)
     }
 
-    /// Takes the manifest in force into account and starts the drains that may start.
+    /// Reconciles the drains with the manifest in force and starts those that may start.
     pub(super) fn start_drains(&mut self) {
         let Some((manifest, _)) = self.deps.store.current() else { return };
         let at = self.deps.recorder.stamp();
@@ -49,21 +51,21 @@
 
     fn observe_drains(&mut self) {
         let Some(view) = self.published.clone() else { return };
-        let busy = self.deps.traffic.with_router(|router, _| router.in_flight_by_target());
-        let drained = |scope: &DrainScope, target: &TargetId| {
+        let in_flight = self.deps.traffic.with_router(|router, _| router.in_flight_by_target());
+        let covers = |scope: &DrainScope, target: &TargetId| {
             let targets = view.manifest.services.iter().flat_map(|service| &service.targets);
             let found = targets.into_iter().find(|known| known.name == *target);
             found.is_some_and(|known| scope.covers(known, &view.manifest))
         };
         let active = self.drains.active().filter(|record| record.is_in_force());
-        let seen: Vec<(&DrainRecord, u64)> = active
+        let counts: Vec<(&DrainRecord, u64)> = active
             .map(|record| {
-                let on = busy.iter().filter(|busy| drained(&record.scope, &busy.target));
-                (record, on.map(|busy| u64::from(busy.requests)).sum())
+                let affected = in_flight.iter().filter(|row| covers(&record.scope, &row.target));
+                (record, affected.map(|row| u64::from(row.requests)).sum())
             })
             .collect();
         let now = self.now();
-        for kind in self.progress.observe(seen, now) {
+        for kind in self.progress.observe(counts, now) {
             self.record(kind);
         }
     }
@@ -78,7 +80,7 @@
         });
     }
 
-    /// Tells everybody at once of what was ordered here.
+    /// Publishes an order accepted here to the request handler, the peers and the platform.
     fn announce_drains(&mut self, address: &WeakAddress<Self>) {
         self.update_payload();
         self.publish();
@@ -90,9 +92,9 @@
 impl xtra::Handler<DrainsSynced> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, settled: DrainsSynced, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, synced: DrainsSynced, _cx: &mut xtra::Context<Self>) {
         self.syncing_drains = false;
-        let Some(platform_copy) = settled.0 else { return };
+        let Some(platform_copy) = synced.0 else { return };
         if self.drains.record_platform_copy(platform_copy, unix_time_ms()) {
             self.start_drains();
             self.update_payload();
--- a/src/daemon/control/exchange.rs
+++ b/src/daemon/control/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with peers: who is alive, and what travels along.
+//! Exchanges with peers, which carry membership and the state attached to it.
 
 use xtra::WeakAddress;
 
@@ -17,7 +17,8 @@
 };
 
 impl ControlActor {
-    /// Begins this second's exchanges. A host that knows nobody asks the addresses of its settings.
+    /// Starts one round of exchanges. A host that knows no other contacts the seeds in its
+    /// settings.
     pub(super) fn start_exchanges(&mut self, address: WeakAddress<Self>) {
         let now = self.now();
         let partners = self.deps.membership.choose_partners(now, &mut self.deps.rng);
@@ -43,12 +44,12 @@
         let link = self.deps.link.clone();
         let sent = self.now();
         Self::spawn_call(address, async move {
-            let answer = link.exchange(to, &digest).await;
-            Some(ExchangeResult { result: answer, sent, round })
+            let result = link.exchange(to, &digest).await;
+            Some(ExchangeResult { result, sent, round })
         });
     }
 
-    /// Sets what this host's digests tell the others.
+    /// Updates the state that this host's digests carry.
     pub(super) fn update_payload(&mut self) {
         let traffic = self.deps.traffic.clone();
         let (marks, rates, binding, adopted) = traffic.with_router(|router, now| {
@@ -73,15 +74,15 @@
         });
     }
 
-    /// Gives what came along with exchanges to those it is for.
+    /// Applies the state received with exchanges.
     pub(super) fn apply_received(&mut self, address: WeakAddress<Self>) {
         let received = self.deps.membership.take_received();
-        for note in received.baselines {
-            self.baselines.apply(note, unix_time_ms());
+        for entry in received.baselines {
+            self.baselines.apply(entry, unix_time_ms());
         }
         if let Some(list) = received.tenure {
             self.handle_tenure_event(tenure::Event::ListReceived(list), &address);
-            // Answers until the next tick would still ask for the list that has just come.
+            // Otherwise responses until the next tick would still request the list just received.
             self.update_payload();
         }
         if self.drains.merge(&received.drains, unix_time_ms()) {
@@ -90,10 +91,10 @@
             self.start_exchanges(address.clone());
         }
         if !received.marks.is_empty() {
-            let known = self.deps.membership.marks_hash();
+            let old_hash = self.deps.membership.marks_hash();
             self.deps.traffic.handle_event(Event::Marked { marks: received.marks });
             self.update_payload();
-            if received.marks_from_other_zone && known != self.deps.membership.marks_hash() {
+            if received.marks_from_other_zone && old_hash != self.deps.membership.marks_hash() {
                 self.push_to_zone(&address);
             }
         }
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Whether something of the own region is being emptied, so that its traffic says little.
+    /// Whether hosts or zones of the own region are drained or leaving, so that its request rates
+    /// are not representative.
     fn is_region_unsteady(&self, own: &HostView) -> bool {
         let hosts = self.deps.membership.hosts(self.now());
         let of_region =
@@ -127,10 +129,10 @@
 
     async fn handle(&mut self, request: ExchangeRequest, cx: &mut xtra::Context<Self>) -> Digest {
         let now = self.now();
-        let answer = self.deps.membership.receive(&request.0, now);
+        let response = self.deps.membership.receive(&request.0, now);
         self.apply_received(cx.mailbox().address());
         self.publish();
-        answer
+        response
     }
 }
 
@@ -150,9 +152,9 @@
             let acknowledged = tenure::Event::Acknowledged { fence, host, sent: response.sent };
             self.handle_tenure_event(acknowledged, &cx.mailbox().address());
         }
-        // A peer whose answer goes on asking, since it can't take what it is given, would otherwise
-        // be asked again as fast as it answers: some thousand exchanges a second between two hosts.
-        // One follow-up saves the wait for the next tick; whatever is left waits for that.
+        // A peer that cannot apply what it receives keeps requesting it. With unlimited follow-ups
+        // two such hosts would make some thousand exchanges a second. One follow-up saves the wait
+        // for the next tick; the remainder waits for that.
         if response.round == ExchangeRound::First && self.deps.membership.has_request_from(&from.id)
         {
             let digest = self.deps.membership.digest_for(&from, now);
@@ -169,8 +171,8 @@
     async fn handle(&mut self, _leave: Leave, cx: &mut xtra::Context<Self>) {
         self.deps.membership.leave();
         self.handle_tenure_event(tenure::Event::Leave, &cx.mailbox().address());
-        // The view goes first: by the old one, queued requests would still be sent to targets that
-        // this host has just given up its right to.
+        // Publish the view first: with the old one, queued requests would still be sent to targets
+        // whose lease this host has just given up.
         self.publish();
         self.deps.traffic.handle_event(Event::Leave);
         self.record(EventKind::HostLeft { host: self.deps.membership.own().id.clone() });
@@ -188,9 +190,10 @@
 }
 
 impl ControlActor {
-    /// Tells the whole zone and one host of each other zone now: with the next heartbeats alone,
-    /// a stopping host or a drained target would get new work for another second or two, and a
-    /// request that crashes targets would be run by the next host before it is known there.
+    /// Pushes this host's state to its whole zone and one host of each other zone. With the next
+    /// heartbeats alone, a stopping host or a drained target would receive requests for another
+    /// second or two, and the next host would run a request that crashes targets before its mark
+    /// arrives there.
     pub(super) fn push_to_peers(&mut self, address: &WeakAddress<Self>) {
         let now = self.now();
         let own = self.deps.membership.own().clone();
@@ -203,8 +206,9 @@
         }
     }
 
-    /// Tells the zone what came from another one. Only the host that another zone told does so: if
-    /// each passed it on to each, the messages would grow with the square of the zone.
+    /// Pushes this host's state to its zone. Only the host that received news from another zone
+    /// does this: if every host forwarded it, the messages would grow with the square of the zone's
+    /// size.
     fn push_to_zone(&mut self, address: &WeakAddress<Self>) {
         let now = self.now();
         let own = self.deps.membership.own().zone.clone();
@@ -222,7 +226,7 @@
     }
 }
 
-/// Wall-clock time in milliseconds; compared between hosts only to find the newer of two notes.
+/// Wall-clock time in milliseconds; compared between hosts only to find the newer of two entries.
 pub(super) fn unix_time_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
--- a/src/daemon/control/handler.rs
+++ b/src/daemon/control/handler.rs
@@ -1,4 +1,4 @@
-//! Calls from peers and operators, handed to the actor.
+//! Passes RPC calls from peers and operators to the control actor.
 
 use std::sync::OnceLock;
 
@@ -24,8 +24,10 @@
     timeline::{Event, Filter, Recorder},
 };
 
-/// Answers the RPC server's calls from the control actor and the time line. The server has to be
-/// bound before the actor, which tells its address to the peers; until then calls are put off.
+/// Serves RPC calls with the control actor and the time line.
+///
+/// The server is bound before the actor exists, as the actor publishes the server's address. Until
+/// `connect` is called, calls fail with `PeerError::Unavailable`.
 #[derive(Default)]
 pub struct ControlHandler {
     backend: OnceLock<Backend>,
@@ -37,9 +39,9 @@
 }
 
 impl ControlHandler {
-    /// From now on calls are answered.
+    /// Sets the actor and the time line that serve calls from now on.
     pub fn connect(&self, control: Address<ControlActor>, recorder: Arc<Recorder>) {
-        // A second call would find the same actor: there is one for a server.
+        // A second call would pass the same actor, since there is one per server.
         let _ = self.backend.set(Backend { control, recorder });
     }
 
--- a/src/daemon/control/handover.rs
+++ b/src/daemon/control/handover.rs
@@ -1,4 +1,4 @@
-//! Takes over the sealed ledger of a host of this zone that stops.
+//! Adopts the sealed ledgers of stopping hosts.
 
 use super::{
     actor::ControlActor,
@@ -10,7 +10,7 @@
     view::HostView,
 };
 
-/// Ledgers that may arrive at the same time.
+/// Ledgers that may be received at the same time.
 const MAX_HANDOVERS: usize = 8;
 
 impl ControlActor {
@@ -20,7 +20,7 @@
             self.handovers.pop_first();
         }
         let parts = self.handovers.entry(digest.clone()).or_default();
-        parts.retain(|held| held.index != index);
+        parts.retain(|part| part.index != index);
         parts.push(part);
         if parts.len() < usize::try_from(of).unwrap_or(usize::MAX) {
             return Ok(HandoverAck { complete: false, index });
@@ -53,14 +53,14 @@
 
     async fn handle(
         &mut self,
-        _ask: GetSuccessors,
+        _request: GetSuccessors,
         _cx: &mut xtra::Context<Self>,
     ) -> Vec<HostView> {
         let own = self.deps.membership.own().clone();
         let hosts = self.deps.membership.hosts(self.now());
-        let able = hosts.into_iter().filter(|host| host.id != own.id && !host.leaving);
-        let mut able: Vec<HostView> = able.collect();
-        able.sort_by_key(|host| (host.zone != own.zone, host.region != own.region));
-        able
+        let successors = hosts.into_iter().filter(|host| host.id != own.id && !host.leaving);
+        let mut successors: Vec<HostView> = successors.collect();
+        successors.sort_by_key(|host| (host.zone != own.zone, host.region != own.region));
+        successors
     }
 }
--- a/src/daemon/control/manifest.rs
+++ b/src/daemon/control/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests arrive from the platform or from peers, and only ever move up.
+//! Receives manifests from the platform or from peers; the sequence in force never decreases.
 
 use std::{
     collections::BTreeSet,
@@ -23,45 +23,45 @@
     timeline::EventKind,
 };
 
-/// Hosts of a zone that watch the platform; the others learn from them.
+/// Hosts of a zone that watch the platform; the others receive changes from them.
 const WATCHERS_PER_ZONE: usize = 2;
 
-/// How long one watch waits for a change.
+/// Longest time that one watch call waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause of a host that is no relay, and after a failed call.
+/// Pause of a host that does not watch the platform, and of any host after a failed call.
 const POLL_PAUSE: Duration = Duration::from_millis(500);
 
-/// How often a host that watches nothing reads the platform for itself, in pauses: peers may know
-/// of nothing newer because they are cut off together with it.
+/// Number of pauses after which a host that does not watch the platform checks it by itself: its
+/// peers may know of no newer manifest because they are in the same network partition.
 const MAX_IDLE_PAUSES: u32 = 20;
 
-/// Ticks for which a host with nothing in force waits for the word of a peer before it takes what
-/// the platform holds.
+/// Ticks for which a host without a manifest waits for a peer's response before it accepts the
+/// platform's manifest.
 const PEER_WAIT_TICKS: u32 = 5;
 
-/// What a host that has just started does with the platform's manifest before a peer has spoken.
+/// State of a host that has just started and defers the platform's manifest until peers respond.
 #[derive(Debug, Default)]
 pub(super) struct Bootstrap {
-    /// Peers that answered that they have no manifest either.
+    /// Peers that responded that they have no manifest either.
     peers_without_manifest: BTreeSet<HostId>,
     deferred: Option<ManifestOffer>,
     ticks: u32,
 }
 
 impl ControlActor {
-    /// Whether the platform's manifest has to wait for the word of a peer.
+    /// Whether the platform's manifest has to wait for the response of a peer.
     ///
-    /// A rival who can write to the platform may have put an older manifest of the member's own back,
-    /// signature and all. Without the wait a new host would serve by it until its first exchange.
-    /// The peers of its settings know what was in force, so their answer is enough; where none
-    /// answers, only the platform is left.
+    /// Anyone who can write to the platform may have restored an older manifest of this member,
+    /// whose signature is valid. Without the wait a new host would use it until its first exchange.
+    /// The peers in its settings know what was in force, so their response is sufficient; if none
+    /// responds, the platform is the only source.
     fn waits_for_peers(&self) -> bool {
         let is_new = self.deps.store.sequence().is_none();
         is_new && !self.deps.seeds.is_empty() && self.bootstrap.ticks < PEER_WAIT_TICKS
     }
 
-    /// Counts the ticks of the wait.
+    /// Counts the ticks of the wait and ends it after `PEER_WAIT_TICKS`.
     pub(super) fn tick_bootstrap(&mut self, address: &WeakAddress<Self>) {
         self.bootstrap.ticks = self.bootstrap.ticks.saturating_add(1);
         if !self.waits_for_peers() {
@@ -69,8 +69,8 @@
         }
     }
 
-    /// As many peers without a manifest as the settings name end the wait: one alone may have just
-    /// started as well, next to others that know what was in force.
+    /// Ends the wait once as many peers as the settings list have responded without a manifest. A
+    /// single one may have just started as well, while others know what was in force.
     pub(super) fn record_peer_without_manifest(
         &mut self,
         peer: &Digest,
@@ -87,12 +87,12 @@
     }
 
     fn release_deferred(&mut self, address: &WeakAddress<Self>) {
-        if let Some(offered) = self.bootstrap.deferred.take() {
-            Self::spawn_call(address.clone(), async move { Some(offered) });
+        if let Some(offer) = self.bootstrap.deferred.take() {
+            Self::spawn_call(address.clone(), async move { Some(offer) });
         }
     }
 
-    /// Fetches the manifest that a peer holds.
+    /// Fetches the manifest from a peer that has a newer one.
     pub(super) fn fetch_manifest(
         &mut self,
         address: WeakAddress<Self>,
@@ -140,25 +140,25 @@
         });
     }
 
-    /// Whether this host is one of those that watch the platform for its zone.
+    /// Whether this host is one of the `WATCHERS_PER_ZONE` that watch the platform for its zone.
     pub(super) fn is_platform_watcher(&self) -> bool {
         let own = self.deps.membership.own();
         let hosts = self.deps.membership.hosts(self.now());
-        let near = hosts.iter().filter(|host| host.zone == own.zone && !host.leaving);
-        let mut left: BTreeSet<HostId> = near.map(|host| host.id.clone()).collect();
+        let in_zone = hosts.iter().filter(|host| host.zone == own.zone && !host.leaving);
+        let mut remaining: BTreeSet<HostId> = in_zone.map(|host| host.id.clone()).collect();
         for _ in 0..WATCHERS_PER_ZONE {
-            let ids: Vec<HostId> = left.iter().cloned().collect();
+            let ids: Vec<HostId> = remaining.iter().cloned().collect();
             let Some(watcher) = owner_of(&own.zone, &ids) else { return true };
             if *watcher == own.id {
                 return true;
             }
-            left.remove(watcher);
+            remaining.remove(watcher);
         }
         false
     }
 }
 
-/// A pull brought nothing; the next exchange may start another.
+/// A fetch from a peer returned no manifest; the next exchange may start another.
 #[derive(Clone, Copy, Debug)]
 pub struct FetchEnded;
 
@@ -173,24 +173,25 @@
 impl xtra::Handler<ManifestOffer> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, offered: ManifestOffer, cx: &mut xtra::Context<Self>) {
-        if matches!(offered.from, ManifestSource::Platform) && self.waits_for_peers() {
-            self.bootstrap.deferred = Some(offered);
+    async fn handle(&mut self, offer: ManifestOffer, cx: &mut xtra::Context<Self>) {
+        if matches!(offer.from, ManifestSource::Platform) && self.waits_for_peers() {
+            self.bootstrap.deferred = Some(offer);
             return;
         }
         self.fetching = None;
-        for part in offered.parts {
+        for part in offer.parts {
             self.deps.store.add_part(part);
         }
-        match self.deps.store.offer(offered.signed.clone()) {
+        match self.deps.store.offer(offer.signed.clone()) {
             OfferOutcome::Missing(ids) => {
-                self.fetch_parts_for(cx.mailbox().address(), ids, offered.from, offered.signed);
+                self.fetch_parts_for(cx.mailbox().address(), ids, offer.from, offer.signed);
             }
             OfferOutcome::Newer(manifest) => {
                 log::info!("manifest {} is in force", manifest.sequence);
                 self.update_payload();
                 self.publish();
-                // Told on at once: with the next heartbeats alone, each hop would add up to a second.
+                // Exchange at once: with the next heartbeats alone, each hop would add up to a
+                // second.
                 self.start_exchanges(cx.mailbox().address());
             }
             OfferOutcome::Older | OfferOutcome::Same => {}
@@ -207,7 +208,11 @@
 impl xtra::Handler<GetManifest> for ControlActor {
     type Return = ManifestReply;
 
-    async fn handle(&mut self, _ask: GetManifest, _cx: &mut xtra::Context<Self>) -> ManifestReply {
+    async fn handle(
+        &mut self,
+        _request: GetManifest,
+        _cx: &mut xtra::Context<Self>,
+    ) -> ManifestReply {
         let current = self.deps.store.current();
         ManifestReply { signed: current.map(|(_, signed)| (*signed).clone()) }
     }
@@ -216,20 +221,21 @@
 impl xtra::Handler<GetPart> for ControlActor {
     type Return = PartReply;
 
-    async fn handle(&mut self, ask: GetPart, _cx: &mut xtra::Context<Self>) -> PartReply {
-        PartReply { part: self.deps.store.part(&ask.0).cloned() }
+    async fn handle(&mut self, request: GetPart, _cx: &mut xtra::Context<Self>) -> PartReply {
+        PartReply { part: self.deps.store.part(&request.0).cloned() }
     }
 }
 
 impl xtra::Handler<IsPlatformWatcher> for ControlActor {
     type Return = bool;
 
-    async fn handle(&mut self, _ask: IsPlatformWatcher, _cx: &mut xtra::Context<Self>) -> bool {
+    async fn handle(&mut self, _request: IsPlatformWatcher, _cx: &mut xtra::Context<Self>) -> bool {
         self.is_platform_watcher()
     }
 }
 
-/// Reads the platform once, then watches it while this host is a relay, until `stop` is set.
+/// Reads the platform once, then watches it while this host is a platform watcher, until `stop` is
+/// set.
 pub async fn follow_platform(
     control: Address<ControlActor>,
     platform: Arc<dyn Platform>,
@@ -248,23 +254,23 @@
             continue;
         }
         idle = 0;
-        let heard = match version {
+        let result = match version {
             None => read_head(&control, &*platform, &key, &mut head).await,
             Some(from) if watcher => watch_head(&control, &*platform, &key, from, &mut head).await,
             Some(from) => read_if_changed(&control, &*platform, &key, from, &mut head).await,
         };
-        let answered = heard.is_ok();
+        let answered = result.is_ok();
         if control.send(PlatformCallResult { answered }).await.is_err() {
             return;
         }
-        match heard {
-            Ok(seen) => version = Some(seen),
+        match result {
+            Ok(read) => version = Some(read),
             Err(PlatformError::TooOld { .. }) => version = None,
             Err(error) => {
-                // A watch that failed may have missed a change, or may stay silent each time: only
-                // a full read finds out what is accepted now.
+                // A failed watch may have missed a change, or may never report one. Only a full
+                // read shows the manifest that the platform has accepted.
                 version = None;
-                log::warn!("platform: {error}");
+                log::warn!("platform call failed: {error}");
                 tokio::time::sleep(POLL_PAUSE).await;
             }
         }
@@ -284,7 +290,7 @@
     Ok(listing.version)
 }
 
-/// Reads the head if it is not the one that is in force here.
+/// Reads the head if it may differ from the one in force here.
 async fn read_if_changed(
     control: &Address<ControlActor>,
     platform: &dyn Platform,
@@ -292,11 +298,11 @@
     from: Version,
     head: &mut Option<CachedHead>,
 ) -> crate::store::Result<Version> {
-    let Some(heard) = head.as_ref() else { return read_head(control, platform, key, head).await };
+    let Some(cached) = head.as_ref() else { return read_head(control, platform, key, head).await };
     let keys = platform.keys(key).await?;
     let object = keys.iter().find(|found| &*found.key == key).map(|found| found.version);
     let in_force = control.send(GetManifest).await.ok().and_then(|reply| reply.signed);
-    if heard.is_current(object, in_force.as_ref()) {
+    if cached.is_current(object, in_force.as_ref()) {
         return Ok(from);
     }
     read_head(control, platform, key, head).await
@@ -320,13 +326,13 @@
 
 async fn offer_head(control: &Address<ControlActor>, object: &Versioned) -> Option<CachedHead> {
     let Some(head) = Head::decode(&object.value) else {
-        log::warn!("the member's object on the platform is no manifest");
+        log::warn!("cannot decode the member's manifest object on the platform");
         return None;
     };
     let signed = head.signed.clone();
-    let offered =
+    let offer =
         ManifestOffer { from: ManifestSource::Platform, parts: Vec::new(), signed: head.signed };
     // A failed send means that the host is stopping.
-    let _ = control.send(offered).await;
+    let _ = control.send(offer).await;
     Some(CachedHead { signed, version: object.version })
 }
--- a/src/daemon/control/messages.rs
+++ b/src/daemon/control/messages.rs
@@ -9,32 +9,32 @@
     prelude::*,
 };
 
-/// Once a second: heartbeat, exchanges, suspicion, a new view.
+/// Sent once a second; triggers heartbeats, exchanges, failure detection and a new view.
 #[derive(Clone, Copy, Debug)]
 pub struct Tick;
 
-/// A peer asks for an exchange; the answer is what it lacks.
+/// A peer's digest; the response holds what the peer lacks.
 #[derive(Debug)]
 pub struct ExchangeRequest(pub Digest);
 
-/// An exchange that this host began has ended.
+/// The result of an exchange that this host started.
 #[derive(Debug)]
 pub struct ExchangeResult {
     pub result: crate::peer::Result<Digest>,
-    /// By this host's clock, right before the question was sent.
+    /// By this host's clock, right before the request was sent.
     pub sent: Moment,
     pub round: ExchangeRound,
 }
 
-/// Which exchange of a row it was.
+/// Whether an exchange was the first or a follow-up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExchangeRound {
     First,
-    /// Begun at once, because the answer to the first asked for more.
+    /// Started at once because the response to the first requested more.
     FollowUp,
 }
 
-/// A manifest came from the platform or from a peer, with the parts that came along.
+/// A manifest received from the platform or a peer, with those parts that have been fetched.
 #[derive(Debug)]
 pub struct ManifestOffer {
     pub from: ManifestSource,
@@ -42,74 +42,75 @@
     pub signed: SignedManifest,
 }
 
-/// Where a manifest came from, and so where its parts are.
+/// Where a manifest came from; its parts are fetched from there.
 #[derive(Clone, Copy, Debug)]
 pub enum ManifestSource {
     Peer(SocketAddr),
     Platform,
 }
 
-/// The platform answered, or failed to.
+/// Whether a call to the platform succeeded.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformCallResult {
     pub answered: bool,
 }
 
-/// Whether this host watches the platform for its zone.
+/// Asks whether this host watches the platform for its zone.
 #[derive(Clone, Copy, Debug)]
 pub struct IsPlatformWatcher;
 
-/// The signed manifest in force.
+/// Reads the signed manifest in force.
 #[derive(Clone, Copy, Debug)]
 pub struct GetManifest;
 
-/// A part of the manifest in force.
+/// Reads a part of the manifest in force.
 #[derive(Clone, Debug)]
 pub struct GetPart(pub PartId);
 
-/// A part of a stopping host's ledger.
+/// Delivers a part of a stopping host's ledger.
 #[derive(Debug)]
 pub struct ReceiveHandover(pub HandoverChunk);
 
-/// A request came under suspicion on this host: told to all at once.
+/// A request was quarantined on this host; its mark is pushed to peers at once.
 #[derive(Clone, Copy, Debug)]
 pub struct MarkAdded;
 
-/// Begin of a planned stop: told to all peers at once.
+/// A planned stop begins; this is pushed to peers at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Leave;
 
-/// Hosts of the zone that may take over this host's ledger, best first.
+/// Lists the hosts of the member that may adopt this host's ledger: those of its zone first, then
+/// those of its region.
 #[derive(Clone, Copy, Debug)]
 pub struct GetSuccessors;
 
-/// What an operator is shown.
+/// Reads the host's status for an operator.
 #[derive(Clone, Copy, Debug)]
 pub struct GetStatus;
 
-/// Why a request would go where it goes.
+/// Explains where a request would be routed and why.
 #[derive(Debug)]
 pub struct GetExplanation(pub ExplainRequest);
 
-/// An operator drains.
+/// An operator's order to drain a scope.
 #[derive(Debug)]
 pub struct StartDrain(pub DrainOrder);
 
-/// An operator takes drains back.
+/// An operator's order to undo drains.
 #[derive(Debug)]
 pub struct UndoDrains(pub UndrainOrder);
 
-/// Answer to `TakeHandover`.
+/// Response to `ReceiveHandover`.
 pub type HandoverResult = crate::peer::Result<HandoverAck>;
 
-/// Answer to `AskStatus`.
+/// Response to `GetStatus`.
 pub type StatusResult = crate::peer::Result<HostStatus>;
 
-/// Answer to `AskExplain`.
+/// Response to `GetExplanation`.
 pub type ExplainResult = crate::peer::Result<Explanation>;
 
-/// Answer to `OrderDrain`.
+/// Response to `StartDrain`.
 pub type DrainResult = crate::peer::Result<DrainRecord>;
 
-/// Answer to `OrderUndrain`.
+/// Response to `UndoDrains`.
 pub type UndrainResult = crate::peer::Result<Vec<DrainRecord>>;
--- a/src/daemon/control/mod.rs
+++ b/src/daemon/control/mod.rs
@@ -1,8 +1,8 @@
-//! The control side of a host: one actor on a thread of its own.
+//! The control actor of a host, on a thread of its own.
 //!
-//! It keeps membership, manifest, drains and tenure, and publishes what follows from them as an
-//! immutable view to the traffic side. Calls to the platform and to peers run beside it and come
-//! back as messages, so that a slow answer never holds up a heartbeat.
+//! It keeps membership, manifest, drains and tenure, and publishes the resulting state to the
+//! request handler as an immutable view. Calls to the platform and to peers run as separate tasks
+//! and return their results as messages, so that a slow response never delays a heartbeat.
 
 mod actor;
 mod drains;
--- a/src/daemon/control/operator.rs
+++ b/src/daemon/control/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a host.
+//! Operators' queries to a host.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -33,10 +33,10 @@
             slots: u64::from(usage.slots),
         });
         let drains = self.drains.records().into_iter().map(|record| {
-            let seen = self.progress.get(&record.id);
+            let progress = self.progress.get(&record.id);
             DrainStatus {
-                in_flight: seen.map_or(0, |seen| seen.in_flight),
-                took_ms: seen.and_then(|seen| seen.elapsed()).map(millis),
+                in_flight: progress.map_or(0, |progress| progress.in_flight),
+                took_ms: progress.and_then(|progress| progress.elapsed()).map(millis),
                 waits: self.drains.wait_reason(&record.id).cloned(),
                 record,
             }
@@ -68,10 +68,10 @@
         let Some(view) = &self.published else {
             return Err(PeerError::Unavailable("no manifest is in force here yet".into()));
         };
-        let ask = ExplainRequest { caller: Some(caller), service: service.clone() };
+        let request = ExplainRequest { caller: Some(caller), service: service.clone() };
         let (mut explanation, options) = self.deps.traffic.with_router(|router, now| {
             let home = router.blocks().home_region(caller).unwrap_or(&view.own.region).clone();
-            let explanation = explain(view, router.blocks(), &ask, now);
+            let explanation = explain(view, router.blocks(), &request, now);
             (explanation, router.target_statuses(service, &home, now))
         });
         for option in &options {
@@ -84,7 +84,7 @@
 impl xtra::Handler<GetStatus> for ControlActor {
     type Return = StatusResult;
 
-    async fn handle(&mut self, _ask: GetStatus, _cx: &mut xtra::Context<Self>) -> StatusResult {
+    async fn handle(&mut self, _query: GetStatus, _cx: &mut xtra::Context<Self>) -> StatusResult {
         self.status()
     }
 }
@@ -94,10 +94,10 @@
 
     async fn handle(
         &mut self,
-        ask: GetExplanation,
+        query: GetExplanation,
         _cx: &mut xtra::Context<Self>,
     ) -> ExplainResult {
-        let caller = ask.0.caller.unwrap_or(IpAddr::V4(Ipv4Addr::LOCALHOST));
-        self.explain(&ask.0.service, caller)
+        let caller = query.0.caller.unwrap_or(IpAddr::V4(Ipv4Addr::LOCALHOST));
+        self.explain(&query.0.service, caller)
     }
 }
--- a/src/daemon/control/publish.rs
+++ b/src/daemon/control/publish.rs
@@ -1,10 +1,10 @@
-//! What follows from the control state, as one view.
+//! Publishes the control state to the request handler as one view.
 
 use super::actor::ControlActor;
 use crate::{prelude::*, view::View};
 
 impl ControlActor {
-    /// Gives the traffic side a new view if anything in it changed.
+    /// Passes a new view to the request handler if anything in it has changed.
     pub(super) fn publish(&mut self) {
         let Some((manifest, _)) = self.deps.store.current() else { return };
         let now = self.now();
--- a/src/daemon/decision_recorder.rs
+++ b/src/daemon/decision_recorder.rs
@@ -1,4 +1,4 @@
-//! Recording of the decisions for replay.
+//! Records the router's inputs and decisions for replay.
 
 use crate::{
     ledger::SealedLedger,
@@ -7,12 +7,12 @@
     trace::SteerTrack,
 };
 
-/// Takes down what the decisions were told and what they ordered.
+/// Records the inputs of the router and the actions that it returned.
 pub trait DecisionRecorder: Send + Sync {
-    /// Whether anything is taken down; if not, events need not be cloned.
+    /// Whether anything is recorded; if not, events need not be cloned.
     fn is_enabled(&self) -> bool;
 
-    /// Takes down that a sealed ledger was taken over, or why not.
+    /// Records that a sealed ledger was adopted, or why not.
     fn record_adopted(
         &self,
         now: Moment,
@@ -20,14 +20,14 @@
         result: &crate::ledger::Result<()>,
     );
 
-    /// Takes down one event and what it led to.
+    /// Records one event and the actions that followed.
     fn record_event(&self, now: Moment, event: &Event, actions: &[Action]);
 
-    /// Takes down that the own ledger was sealed.
+    /// Records that this host's ledger was sealed.
     fn record_sealed(&self, now: Moment, sealed: &SealedLedger);
 }
 
-/// Takes nothing down.
+/// Records nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoRecorder;
 
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -1,4 +1,4 @@
-//! Start and stop of a host.
+//! Starts and stops a host.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -33,17 +33,17 @@
 /// Longest time that a planned stop waits for requests in flight.
 const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often a planned stop looks whether requests are still in flight.
+/// How often a planned stop checks whether requests are still in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for peers and callers to learn that this host leaves, before it closes its sockets.
+/// Time for peers and callers to learn that this host is leaving, before it closes its sockets.
 const LEAVE_NOTICE_TIME: Duration = Duration::from_millis(1500);
 
-/// Time for the last answers to leave the sockets: a request counts as ended once its answer is
-/// handed to the HTTP server, and a host that went at once would cut that answer off.
+/// Time for the last responses to be written: a request counts as ended once its response is handed
+/// to the HTTP server, and an immediate exit would truncate that response.
 const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(250);
 
-/// Bytes of one part of a sealed ledger.
+/// Largest part of a sealed ledger that is sent at once.
 const HANDOVER_PART_BYTES: usize = 512 * 1024;
 
 /// Result of a start.
@@ -56,7 +56,7 @@
     Bind { address: SocketAddr, source: std::io::Error },
     #[error("{0}")]
     Metrics(#[from] metrics::MetricsError),
-    #[error("no threads could be started: {0}")]
+    #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
     #[error("{0}")]
     Settings(#[from] crate::settings::Problem),
@@ -68,35 +68,35 @@
 pub struct DaemonConfig {
     pub clock: Arc<dyn Clock>,
     pub limits: RouterLimits,
-    /// The way to other hosts' RPC servers.
+    /// Calls other hosts' RPC servers.
     pub link: Arc<dyn PeerLink>,
     pub operator_token: Secret,
     pub peer_key: Secret,
-    /// The way to other hosts' HTTP servers.
+    /// Sends requests to other hosts' HTTP servers.
     pub peers: Arc<dyn Upstream>,
     pub platform: Arc<dyn Platform>,
-    /// Makes this incarnation's number and the decisions' random choices.
+    /// Seeds this incarnation's number and the random choices of the router and the control actor.
     pub seed: u64,
     pub settings: Settings,
-    /// Where the decisions are recorded for replay, if they are.
+    /// Records the router's decisions for replay, if set.
     pub trace_recorder: Option<SteerRecorder>,
     pub targets: Arc<dyn Upstream>,
-    /// Events that the time line keeps.
+    /// Number of events that the time line keeps.
     pub timeline_capacity: usize,
-    /// Threads for traffic.
+    /// Number of threads that handle requests.
     pub traffic_threads: usize,
 }
 
-/// What a planned stop left.
+/// What a planned stop left unfinished.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopReport {
-    /// Requests that were still running when the time was over.
+    /// Requests that were still in flight after `STOP_TIMEOUT`.
     pub interrupted: usize,
-    /// Ledger entries that no other host took over.
+    /// Ledger entries that no other host adopted.
     pub entries_lost: usize,
 }
 
-/// A running host. Dropping the handle ends it at once, as a crash would.
+/// A running host. Dropping the handle ends it immediately, like a crash.
 pub struct Daemon {
     control: Address<ControlActor>,
     http: SocketAddr,
@@ -104,14 +104,14 @@
     link: Arc<dyn PeerLink>,
     own: HostView,
     recorder: Arc<Recorder>,
-    /// Held for its drop, which ends every task of the host.
+    /// Held because dropping it ends every task of the host.
     _runtimes: Runtimes,
     server: Option<PeerServer>,
     subscriptions: Vec<Subscription>,
     traffic: Arc<TrafficHandler>,
 }
 
-/// One thread for control state, others for traffic.
+/// One thread for the control actor, the others for requests.
 struct Runtimes {
     control: Option<Runtime>,
     traffic: Option<Runtime>,
@@ -126,7 +126,8 @@
 }
 
 impl Daemon {
-    /// Starts a host: binds its sockets, asks platform and peers for the manifest, serves.
+    /// Starts a host: binds its sockets, fetches the manifest from the platform or from peers, and
+    /// serves.
     pub async fn spawn(config: DaemonConfig) -> Result<Self> {
         let runtimes = Runtimes {
             control: Some(start::build_runtime("control", 1)?),
@@ -165,8 +166,9 @@
             let _context = traffic_rt.enter();
             start::build_traffic(&config, &own, sink, rng.random())
         };
-        // The boot clock may stand at days: the ledger opens a generation of now, and only that one
-        // may be told to anybody. Bookings bound to one of the clock's start would all be dropped.
+        // The boot clock may already show days, so this tick makes the ledger open the generation
+        // of the current time before any is published. Bookings bound to the generation of time
+        // zero would all be dropped.
         traffic.handle_event(Event::Tick);
         let generation = traffic.with_router(|router, _| router.binding().generation);
         let own = HostView { generation, ..own };
@@ -200,17 +202,17 @@
         })
     }
 
-    /// Where callers are served.
+    /// The address of the HTTP server for callers.
     pub fn http_addr(&self) -> SocketAddr {
         self.http
     }
 
-    /// Where peers and operators are served.
+    /// The address of the RPC server for peers and operators.
     pub fn rpc_addr(&self) -> SocketAddr {
         self.own.rpc
     }
 
-    /// The host as its peers see it at the start.
+    /// The host as its peers see it after its start.
     pub fn view(&self) -> &HostView {
         &self.own
     }
@@ -220,32 +222,33 @@
         &self.recorder
     }
 
-    /// The traffic side, for those that watch a host from within its process.
+    /// The request handler, for observers in the same process.
     pub(crate) fn traffic(&self) -> &Arc<TrafficHandler> {
         &self.traffic
     }
 
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub fn pending_requests(&self) -> usize {
         self.traffic.with_router(|router, _| router.pending_calls())
     }
 
-    /// Sequence of the manifest in force; `None` while the host does not serve.
+    /// Sequence of the manifest in force; `None` until one is.
     pub fn sequence(&self) -> Option<Sequence> {
         self.traffic.view().map(|view| view.manifest.sequence)
     }
 
-    /// A planned stop: no new work, requests in flight end, a successor takes over the ledger.
+    /// Stops the host gracefully: refuses new requests, waits for those in flight, and hands the
+    /// ledger over to a successor.
     pub async fn stop(mut self) -> StopReport {
         self.leaving.store(true, Ordering::Relaxed);
-        // Failed sends here and below mean that the control thread is gone; the rest goes on.
+        // Failed sends here and below mean that the control actor is gone; the stop continues.
         let _ = self.control.send(Leave).await;
         let notice = tokio::time::sleep(LEAVE_NOTICE_TIME);
         let interrupted = self.wait_for_requests().await;
         let sealed = self.traffic.seal();
         let entries = sealed.entry_count();
-        // An empty ledger is handed over too: that it holds no entry is proof that nothing ran. A
-        // booking that was on its way to this host would otherwise be `unknown` to all others.
+        // An empty ledger is handed over too, since it proves that nothing ran here. Otherwise all
+        // other hosts would report a booking that was in transit to this host as `unknown`.
         let handed_over = self.hand_over(&sealed).await || entries == 0;
         notice.await;
         tokio::time::sleep(RESPONSE_FLUSH_TIME).await;
@@ -253,7 +256,9 @@
         if !handed_over {
             let entries = entries as u64;
             self.recorder.record(None, EventKind::HandoverLost { entries });
-            log::error!("{entries} ledger entries are lost: no host of the member took them");
+            log::error!(
+                "{entries} ledger entries lost: no host of the member accepted the handover"
+            );
         }
         self.recorder.record(None, EventKind::Stopped);
         self.subscriptions.clear();
@@ -272,7 +277,7 @@
         if waited.await.is_ok() { 0 } else { self.pending_requests() }
     }
 
-    /// Offers the sealed ledger to one host after the other until one has it whole.
+    /// Sends the sealed ledger to one host after the other until one has received all of it.
     async fn hand_over(&self, sealed: &SealedLedger) -> bool {
         let successors = self.control.send(GetSuccessors).await.unwrap_or_default();
         let parts = sealed.split(HANDOVER_PART_BYTES);
@@ -298,7 +303,7 @@
             match self.link.handover(host.rpc, &chunk).await {
                 Ok(ack) => complete = ack.complete,
                 Err(error) => {
-                    log::warn!("{} did not take the ledger: {error}", host.id);
+                    log::warn!("ledger handover to host {} failed: {error}", host.id);
                     return false;
                 }
             }
--- a/src/daemon/http.rs
+++ b/src/daemon/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers and for requests that other hosts carry on.
+//! The HTTP routes for callers and for requests that other hosts forward.
 
 use std::net::IpAddr;
 
@@ -22,14 +22,14 @@
     prelude::*,
 };
 
-/// Largest body that is read whatever the service takes, in bytes: a booking that is too large for
-/// its service goes to its ledger, which can say `not run`.
+/// Bodies up to this size are read even if the service allows less: a booking that is too large for
+/// its service then reaches its ledger, which can answer `not run`.
 const MIN_BODY_LIMIT_BYTES: u64 = 64 * 1024;
 
 const LOOKUP_PATH: &str = "/v1/lookup";
 const SERVICES_PATH: &str = "/v1/services/";
 
-/// One request as the server hands it over.
+/// One request as received, without its body.
 struct RawRequest {
     headers: HeaderMap,
     method: Method,
@@ -38,7 +38,7 @@
     remote: Option<SocketAddr>,
 }
 
-/// What a look-up is asked with, in the query string.
+/// The query string of a look-up.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct LookupQuery {
@@ -92,7 +92,7 @@
     let service: ServiceId = service.into();
     let limit = body_limit(&traffic, &service);
     let (received, time) = (traffic.now(), incoming::parse_time_limit(&raw.headers));
-    // A limit that cannot be read is refused with its name, once the request is whole.
+    // An invalid time limit is reported by `IncomingRequest::arrival`, once the body is read.
     let time = time.unwrap_or(DEFAULT_DEADLINE);
     let (body, body_memory) = match read_body(body, limit, time, &memory).await {
         Ok(read) => read,
@@ -115,8 +115,8 @@
 
 fn body_limit(traffic: &TrafficHandler, service: &ServiceId) -> u64 {
     let view = traffic.view();
-    let known = view.as_ref().and_then(|view| view.manifest.service(service));
-    known.map_or(MIN_BODY_LIMIT_BYTES, |service| service.max_body.max(MIN_BODY_LIMIT_BYTES))
+    let known_service = view.as_ref().and_then(|view| view.manifest.service(service));
+    known_service.map_or(MIN_BODY_LIMIT_BYTES, |service| service.max_body.max(MIN_BODY_LIMIT_BYTES))
 }
 
 fn lookup_response(traffic: &TrafficHandler, member: &MemberId, raw: &RawRequest) -> Response {
@@ -153,7 +153,7 @@
     res
 }
 
-/// The JSON of a look-up's answer.
+/// The JSON body of a look-up response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LookupBody {
     /// For requests that may run at most once: binds them to the first host's ledger.
@@ -162,13 +162,13 @@
     pub home: Option<RegionId>,
     /// Best first.
     pub hosts: Vec<LookupHost>,
-    /// Seconds that the answer may be kept.
+    /// Seconds for which the response may be cached.
     pub max_age: u64,
-    /// Sequence of the manifest that it follows from.
+    /// Sequence of the manifest that the response is based on.
     pub sequence: Sequence,
 }
 
-/// One host of a look-up's answer.
+/// One host of a look-up response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LookupHost {
     pub address: SocketAddr,
--- a/src/daemon/incoming.rs
+++ b/src/daemon/incoming.rs
@@ -1,4 +1,4 @@
-//! A request as the HTTP server got it, and its way to an `Arrival`.
+//! A received request and its conversion to an `Arrival`.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -16,13 +16,13 @@
     settings::Secret,
 };
 
-/// Time limit of a request whose caller names none.
+/// Time limit of a request without a deadline header.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// Longest time limit that a caller may ask for.
+/// Longest time limit; longer ones are shortened to it.
 const MAX_DEADLINE: Duration = Duration::from_secs(120);
 
-/// Longest id or key, in bytes.
+/// Longest value of a header that is read here.
 const MAX_VALUE_BYTES: usize = 128;
 
 /// A header that cannot be read, and what it should hold.
@@ -36,24 +36,24 @@
 /// Result of reading the head of a request.
 pub type Result<T> = std::result::Result<T, BadHeader>;
 
-/// One request for a service, read and whole.
+/// One request for a service whose body has been read completely.
 #[derive(Debug)]
 pub struct IncomingRequest {
     pub body: Bytes,
     pub headers: HeaderMap,
-    /// The memory that the body takes.
+    /// Reserves the memory that the body takes.
     pub body_memory: BodyHold,
     pub method: Method,
     /// Path and query behind the service's name, with the leading slash.
     pub path: Arc<str>,
-    /// When its head was there: the time that its body took counts.
+    /// When the head was received; the deadline includes the time to read the body.
     pub received: Moment,
     pub remote: Option<SocketAddr>,
     pub service: ServiceId,
 }
 
 impl IncomingRequest {
-    /// What the decisions need to know of it.
+    /// Parses the headers into what the router needs to know of the request.
     pub fn arrival(&self, call: CallId, member: &MemberId, key: &Secret) -> Result<Arrival> {
         let via = parse_via(&self.headers, key)?;
         let method = self.method.as_str();
@@ -74,7 +74,7 @@
         })
     }
 
-    /// The headers that a target gets: all that are neither ours nor of one connection only.
+    /// The headers that a target receives: all but those of this protocol and hop-by-hop ones.
     pub fn forwarded_headers(&self) -> Vec<HeaderLine> {
         let names = self.headers.iter().filter(|(name, _)| {
             !name.as_str().starts_with(headers::PREFIX) && !is_hop_by_hop(name.as_str())
@@ -82,20 +82,20 @@
         names.filter_map(|(name, value)| header_line(name.as_str(), value)).collect()
     }
 
-    /// The headers of ours that another host needs to see as the caller sent them.
+    /// The headers of this protocol that are passed to another host as the caller sent them.
     pub fn hop_headers(&self) -> Vec<HeaderLine> {
         let kept = [headers::BINDING, headers::CLIENT, headers::MEMBER];
         let lines = kept.iter().filter_map(|name| header_line(name, self.headers.get(*name)?));
         lines.collect()
     }
 
-    /// What the host that sent the request knows of it as one that crashes targets.
+    /// The quarantine mark that the forwarding host attached to this request.
     pub fn quarantine_mark(&self, fingerprint: Fingerprint) -> Option<QuarantineMark> {
         let text = self.headers.get(headers::MARK)?.to_str().ok()?;
         decode_mark(text, fingerprint)
     }
 
-    /// The caller's address: as a gateway names it, else the connection's.
+    /// The caller's address: the one that a gateway names, or else that of the connection.
     pub fn client(&self) -> Result<IpAddr> {
         let invalid = BadHeader { expected: "an IP address", header: headers::CLIENT };
         match self.text(headers::CLIENT)? {
@@ -122,7 +122,8 @@
     }
 }
 
-/// A mark on that very request; hosts tell of others by exchange.
+/// Decodes a quarantine mark; `None` if it is for another request. Marks of other requests travel
+/// in exchanges only.
 pub fn decode_mark(text: &str, fingerprint: Fingerprint) -> Option<QuarantineMark> {
     let mark: QuarantineMark = serde_json::from_str(text).ok()?;
     (mark.fingerprint == fingerprint).then_some(mark)
@@ -133,7 +134,7 @@
     serde_json::to_string(mark).unwrap_or_default()
 }
 
-/// Time that the caller gives the request, from its head on.
+/// Time limit that the caller sets, counted from the receipt of the head.
 pub fn parse_time_limit(headers: &HeaderMap) -> Result<Duration> {
     let invalid = BadHeader { expected: "whole milliseconds above 0", header: headers::DEADLINE };
     let Some(text) = header_text(headers, headers::DEADLINE)? else { return Ok(DEFAULT_DEADLINE) };
@@ -144,16 +145,17 @@
     Ok(Duration::from_millis(millis).min(MAX_DEADLINE))
 }
 
-/// Whether a request, read or not, may be a copy of a booking that ran. A slot hop comes from the
-/// holder of the booking's entry and asks for one attempt only.
+/// Whether a request may be a copy of a booking that has run, judged by its headers alone. A slot
+/// hop does not count: it comes from the host that holds the booking's ledger entry and requests a
+/// single attempt.
 pub fn may_have_run(headers: &HeaderMap, key: &Secret) -> bool {
     let is_attempt = matches!(parse_via(headers, key), Ok(Via::SlotHop));
     let named = [headers::BINDING, headers::IDEMPOTENCY_KEY];
     !is_attempt && named.into_iter().any(|name| headers.contains_key(name))
 }
 
-/// A caller that called itself a host could pass by the ledger and have a booking run twice;
-/// so a hop counts only with the member's secret.
+/// Accepts a hop only with the member's secret: a caller that poses as a host could bypass the
+/// ledger and run a booking twice.
 fn parse_via(headers: &HeaderMap, key: &Secret) -> Result<Via> {
     let Some(hop) = header_text(headers, headers::VIA)? else { return Ok(Via::Caller) };
     let proof = header_text(headers, headers::PEER_AUTH)?.unwrap_or_else(|| "".into());
--- a/src/daemon/link.rs
+++ b/src/daemon/link.rs
@@ -1,4 +1,4 @@
-//! The border to other hosts' RPC servers.
+//! The interface to other hosts' RPC servers.
 
 use async_trait::async_trait;
 
@@ -11,16 +11,16 @@
 /// The calls that hosts make to each other.
 #[async_trait]
 pub trait PeerLink: Send + Sync {
-    /// Tells a peer what this host knows; the answer is what it lacks.
+    /// Sends this host's digest to a peer; the response holds what this host lacks.
     async fn exchange(&self, to: SocketAddr, digest: &Digest) -> Result<Digest>;
 
-    /// Gives a peer a part of this host's sealed ledger.
+    /// Sends a part of this host's sealed ledger to a peer.
     async fn handover(&self, to: SocketAddr, chunk: &HandoverChunk) -> Result<HandoverAck>;
 
-    /// The signed manifest in force at a peer.
+    /// Reads the signed manifest in force at a peer.
     async fn manifest(&self, to: SocketAddr) -> Result<ManifestReply>;
 
-    /// A part of the manifest in force at a peer.
+    /// Reads a part of the manifest in force at a peer.
     async fn part(&self, to: SocketAddr, request: &PartRequest) -> Result<PartReply>;
 }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,5 @@
-//! The shell of one host: sockets, timers, the control actor and the traffic side.
+//! The I/O layer of one host: sockets, timers, the control actor and the request handling. The
+//! decisions themselves are made by `routing`, `membership`, `drain` and `tenure`.
 
 mod attempt;
 mod control;
--- a/src/daemon/outgoing.rs
+++ b/src/daemon/outgoing.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use http::{HeaderName, HeaderValue, StatusCode};
 use warp::reply::{Reply as _, Response};
@@ -8,7 +8,7 @@
     base::HeaderLine, base::Resend, ledger::KeptAnswer, prelude::*, quarantine::QuarantineMark,
 };
 
-/// The answer of the table's row for an error kind.
+/// The response for an error kind, with status and advice from its `ErrorKind::row`.
 pub fn error_response(
     error: ErrorKind,
     request: &str,
@@ -31,8 +31,8 @@
     res
 }
 
-/// Advises a new key where the old one was told `not run`: the ledger refuses that key from then
-/// on, so that a copy still under way cannot run after all, and the same key would be sent in vain.
+/// Advises a new idempotency key if the request is reported as not run. The ledger refuses the old
+/// key from then on, so that a copy in transit cannot run after all; a resend would fail with it.
 pub fn advise_new_key(res: &mut Response, error: ErrorKind) {
     let row = error.row();
     if row.ran == Ran::No && row.resend == Resend::Same {
@@ -41,12 +41,12 @@
     }
 }
 
-/// Tells the host that sent the request what is known of it.
+/// Adds the quarantine mark of the request, for the host that forwarded it.
 pub fn add_mark(res: &mut Response, mark: &QuarantineMark) {
     add_header(res, headers::MARK, &encode_mark(mark));
 }
 
-/// The whole answer of a target, now or from the ledger.
+/// The complete response of a target, from a new attempt or from the ledger.
 pub fn full_response(answer: &KeptAnswer, request: &str) -> Response {
     let mut res = Response::new(answer.body.clone().into());
     *res.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -55,7 +55,7 @@
     res
 }
 
-/// The head of a target's answer whose body is still on its way.
+/// A target's response whose body is streamed as it arrives.
 pub fn streamed_response<S>(status: u16, lines: &[HeaderLine], body: S, request: &str) -> Response
 where
     S: futures::Stream<Item = std::result::Result<bytes::Bytes, std::io::Error>>
--- a/src/daemon/probe.rs
+++ b/src/daemon/probe.rs
@@ -1,4 +1,4 @@
-//! Asks this host's own targets for their load.
+//! Reads the load reports of the targets that this host owns.
 
 use bytes::Bytes;
 
@@ -14,10 +14,10 @@
 /// Path of a target's load report.
 const LOAD_PATH: &str = "/load";
 
-/// Longest time for one report; a later one would be of no use.
+/// Shorter than `PROBE_INTERVAL`, after which the next report is requested.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks every target that this host owns, once.
+/// Requests a load report from each target that this host owns.
 pub(super) fn probe_all(traffic: &Arc<TrafficHandler>, targets: &Arc<dyn Upstream>) {
     let Some(view) = traffic.view() else { return };
     let services = &view.manifest.services;
@@ -43,7 +43,7 @@
         request: "load".into(),
         whole: true,
     };
-    // No answer changes nothing: the last report loses its weight with time.
+    // A failed probe is ignored: the weight of the last report decays with time.
     let Ok(Reply { body: ReplyBody::Whole(body), status: 200, .. }) = targets.send(attempt).await
     else {
         return;
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -1,4 +1,4 @@
-//! The steps of a host's start.
+//! Builds the parts of a host and starts its timers.
 
 use rand_chacha::ChaCha8Rng;
 use tokio::{net::TcpListener, runtime::Runtime};
@@ -24,16 +24,16 @@
     view::HostView,
 };
 
-/// Time between two heartbeats.
+/// Time between two ticks of the control actor.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two rounds over waiting requests.
+/// Time between two ticks of the router.
 const ROUTER_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two load reports of one target.
+/// Time between two probes of one target.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two rounds of gauges.
+/// Time between two updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Opens the metrics of a host.
@@ -43,7 +43,8 @@
     Ok(crate::metrics::open(settings.metrics, &tags)?)
 }
 
-/// Builds the traffic side; `seed` is that of its random choices alone, so that they replay.
+/// Builds the request handler. `seed` is for the router's random choices alone, so that a recording
+/// can be replayed.
 pub(super) fn build_traffic(
     config: &DaemonConfig,
     own: &HostView,
@@ -151,7 +152,7 @@
             HEARTBEAT_INTERVAL,
             Box::new(move || {
                 let control = control.clone();
-                // A tick that finds the actor gone has nothing left to do.
+                // A failed send means that the host is stopping.
                 tokio::spawn(async move { drop(control.send(Tick).await) });
             }),
         ),
@@ -161,7 +162,7 @@
     ]
 }
 
-/// Sends the host's gauges once a second.
+/// Sends the host's gauges every `GAUGE_INTERVAL`.
 pub(super) fn start_gauges(
     control_rt: &Runtime,
     traffic: &Arc<TrafficHandler>,
@@ -170,9 +171,9 @@
     let traffic = traffic.clone();
     let timer = TokioTimer::open(control_rt.handle().clone());
     let send = move || {
-        let (busy, usage) =
+        let (in_flight, usage) =
             traffic.with_router(|router, _| (router.pending_calls(), router.slot_usage()));
-        metrics.gauge(Metric::InFlight, busy as f64, None);
+        metrics.gauge(Metric::InFlight, in_flight as f64, None);
         for row in usage {
             let free = row.slots.saturating_sub(row.busy);
             metrics.gauge(Metric::SlotsFree, f64::from(free), Some(&row.service));
--- a/src/daemon/stream.rs
+++ b/src/daemon/stream.rs
@@ -1,4 +1,5 @@
-//! Files on their way to callers: the head at once, the body as it comes, from one target or more.
+//! Streams files to callers: the head at once, the body as it arrives. If a target fails midway,
+//! another one may deliver the remainder.
 
 use std::{
     collections::HashMap,
@@ -31,22 +32,22 @@
 #[cfg(test)]
 mod tests;
 
-/// Chunks of a streamed answer that may wait for a slow caller.
+/// Chunks of a streamed response that are buffered for a slow caller.
 const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// The files whose callers have got the head and not yet the end.
+/// The files whose callers have received the head and not yet the end.
 #[derive(Default)]
 pub(super) struct FileTransfers {
     by_call: Mutex<HashMap<CallId, FileTransfer>>,
 }
 
-/// Where the decisions' orders for one file go.
+/// The task that streams one file, and its channel for the router's commands.
 struct FileTransfer {
     commands: mpsc::UnboundedSender<ResumeCommand>,
     task: AbortHandle,
 }
 
-/// An attempt at the rest of a file.
+/// An attempt at the remainder of a file.
 #[derive(Debug)]
 pub(super) struct ResumeCommand {
     pub address: SocketAddr,
@@ -56,17 +57,17 @@
 }
 
 impl FileTransfers {
-    /// Passes an order on to the task that streams the file, and gives that task; `None` for a call
-    /// whose caller has no part of a file yet.
+    /// Sends a command to the task that streams the file and returns that task; `None` for a call
+    /// whose caller has not received the head of a file.
     pub fn resume(&self, call: CallId, resume: ResumeCommand) -> Option<AbortHandle> {
         let files = lock(&self.by_call);
         let file = files.get(&call)?;
-        // The task may have just ended; the decisions then hear of the caller that left.
+        // The task may have just ended; `FileGuard` then cancels the call.
         let _ = file.commands.send(resume);
         Some(file.task.clone())
     }
 
-    /// No order comes any more; false if that was known.
+    /// Removes the file of a call, which ends its command channel; false if there was none.
     pub fn close(&self, call: CallId) -> bool {
         lock(&self.by_call).remove(&call).is_some()
     }
@@ -79,8 +80,8 @@
 }
 
 impl TrafficHandler {
-    /// Gives the head to the caller at once and the body as it comes. The attempt ends with the
-    /// body, or with its part of it; until then its slot is in use.
+    /// Sends the head to the caller at once and the body as it arrives. The attempt keeps its slot
+    /// until its body, or its part of the body, has ended.
     pub(super) async fn stream(
         self: &Arc<Self>,
         cmd: AttemptCommand,
@@ -88,8 +89,8 @@
         body: BoxStream<'static, crate::forward::Result<Bytes>>,
         latency: Duration,
     ) {
-        // Of two attempts whose heads come at the same time, the decisions let one go on. Were the
-        // other's body passed, it would break off when its attempt is aborted.
+        // If two attempts receive their heads at the same time, the router lets one continue. The
+        // other's body must not be used, as it is truncated when its attempt is aborted.
         self.handle_event(Event::Begun { attempt: cmd.attempt });
         if !self.is_running(cmd.attempt) {
             return;
@@ -101,7 +102,8 @@
         let guard = FileGuard { call, traffic: self.clone() };
         let file = FileBody { guard, is_finished: false, rx };
         let res = outgoing::streamed_response(head.status, &head.headers, file, &cmd.request);
-        // A failed send means that the caller is gone; the file that is dropped with it says so.
+        // A failed send means that the caller has disconnected; dropping the response then cancels
+        // the call through its `FileGuard`.
         if let Some(caller) = self.take_response_sender(call) {
             let _ = caller.send(res);
         }
@@ -114,7 +116,7 @@
             .await;
     }
 
-    /// The caller of a file is gone.
+    /// Cancels the call of a file whose caller has disconnected.
     fn cancel_transfer(self: &Arc<Self>, call: CallId) {
         if self.files.close(call) {
             self.handle_event(Event::Cancelled { call });
@@ -122,11 +124,11 @@
     }
 }
 
-/// Carries a body to its caller and ends its last attempt.
+/// Copies a body to its caller and ends the last attempt.
 ///
-/// A caller that stops reading, and stays connected, would keep one of the target's few slots for
-/// ever, and three of them the whole target. After `silence` it counts as gone: the target's
-/// connection is closed, which frees the slot there as well.
+/// A caller that stops reading but stays connected would hold one of the target's few slots
+/// forever, and three such callers could block the whole target. After `stall_timeout` it counts as
+/// disconnected: the target's connection is closed, which frees the slot there as well.
 async fn copy_body(
     mut body: ResumedBody<FileAlternatives>,
     status: u16,
@@ -154,20 +156,20 @@
         BodyItem::Error(failure) => failed_after_head(failure.kind(), latency),
         BodyItem::Chunk(_) | BodyItem::End => Outcome::Answered { kept: None, latency, status },
     });
-    // A failed send means that the caller is gone.
+    // A failed send means that the caller has disconnected.
     let _ = tx.send_timeout(last, stall_timeout).await;
 }
 
-/// The answer broke off behind its head, and nothing may follow.
+/// The response failed after its head was sent, so no other response may follow.
 fn failed_after_head(error: ErrorKind, latency: Duration) -> Outcome {
     Outcome::Failed { error, latency, passed: true }
 }
 
-/// The other targets for one file, as the decisions give them.
+/// The other targets for the remainder of one file, as the router chooses them.
 struct FileAlternatives {
-    /// Whether the decisions know that the attempt of `order` has ended.
+    /// Whether the end of the attempt of `cmd` has been reported to the router.
     ended: bool,
-    /// Time until the head of the attempt's answer came.
+    /// Time until the head of the attempt's response arrived.
     latency: Duration,
     cmd: AttemptCommand,
     commands: mpsc::UnboundedReceiver<ResumeCommand>,
@@ -175,14 +177,14 @@
 }
 
 impl FileAlternatives {
-    /// Tells the decisions, once, how the attempt under way ended.
+    /// Reports the outcome of the current attempt to the router, once.
     fn finish(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.traffic.finish_attempt(self.cmd.attempt, outcome);
         }
     }
 
-    /// Gives the file up as its caller's leave would.
+    /// Gives up the file as if its caller had disconnected.
     fn abandon(&self) {
         self.traffic.cancel_transfer(self.cmd.call);
     }
@@ -220,20 +222,20 @@
     }
 }
 
-/// A piece of a body on its way to the caller.
+/// An item of the channel that carries a body to the HTTP server.
 #[derive(Debug)]
 enum BodyItem {
     Chunk(Bytes),
     Error(Failure),
-    /// Every byte came before it.
+    /// The body is complete.
     End,
 }
 
 /// The body as the HTTP server reads it.
 ///
-/// A task that ends early drops its end of the channel, which reads like the end of a body. The
-/// caller would take the part for the whole where the body has no length. So a body ends well with
-/// the word `End` alone.
+/// A task that ends early closes the channel, which by itself looks like the end of the body. A
+/// caller of a body without a known length would take the part for the whole. So only
+/// `BodyItem::End` ends a body without an error.
 struct FileBody<G> {
     #[expect(dead_code, reason = "held for its drop")]
     guard: G,
@@ -254,13 +256,15 @@
             Some(BodyItem::Chunk(chunk)) => Some(Ok(chunk)),
             Some(BodyItem::Error(failure)) => Some(Err(io::Error::other(failure))),
             Some(BodyItem::End) => None,
-            None => Some(Err(io::Error::other("the file's task ended early"))),
+            None => {
+                Some(Err(io::Error::other("the streaming task ended before the end of the file")))
+            }
         })
     }
 }
 
-/// Tells the decisions when the caller leaves before the end of its file: a target that is silent
-/// would keep its slot, and a rest that waits for a slot would be sent to nobody.
+/// Cancels the call if the caller disconnects before the end of its file. Otherwise a silent target
+/// would keep its slot, and a remainder that waits for a slot would be fetched for nobody.
 struct FileGuard {
     call: CallId,
     traffic: Arc<TrafficHandler>,
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic threads' side: feeds the decisions and carries out what they order.
+//! Request handling on the traffic threads: passes events to the router and executes its actions.
 
 use std::{
     collections::HashMap,
@@ -39,29 +39,29 @@
     view::View,
 };
 
-/// What the traffic side is built from.
+/// What a `TrafficHandler` is built from.
 pub struct TrafficDependencies {
     pub clock: Arc<dyn Clock>,
     pub member: MemberId,
     pub peer_key: Secret,
-    /// The way to other hosts.
+    /// Sends requests to other hosts.
     pub peers: Arc<dyn Upstream>,
     pub seed: u64,
-    /// Longest time that the caller of a file takes nothing of it.
+    /// Longest time that the caller of a file may read none of it.
     pub stall_timeout: Duration,
     pub sink: Arc<dyn EventSink>,
     pub router: Router,
     pub decision_recorder: Arc<dyn DecisionRecorder>,
-    /// The way to targets.
+    /// Sends requests to targets.
     pub targets: Arc<dyn Upstream>,
 }
 
-/// The requests of one host.
+/// Handles the requests of one host.
 pub struct TrafficHandler {
     attempt_tasks: Mutex<HashMap<AttemptId, AbortHandle>>,
     router_state: Mutex<RouterState>,
     pub(super) files: FileTransfers,
-    /// A request came under suspicion here.
+    /// Notified when a request is quarantined on this host.
     mark_added: Notify,
     next_call: AtomicU64,
     pub(super) deps: SharedDependencies,
@@ -70,7 +70,7 @@
     active_view: ArcSwapOption<ActiveView>,
 }
 
-/// The view in force, with what look-ups need of it.
+/// The view in force, with the indexes that look-ups use.
 struct ActiveView {
     blocks: Arc<BlockTable>,
     index: HostIndex,
@@ -93,18 +93,18 @@
     router: Router,
 }
 
-/// A request whose caller waits.
+/// A request whose caller waits for the response.
 pub(super) struct PendingRequest {
     fingerprint: Fingerprint,
     incoming: Arc<IncomingRequest>,
-    /// The whole answer of the attempt that has just ended.
+    /// The complete response of the attempt that has just ended.
     pub reply: Option<Arc<KeptAnswer>>,
     request: RequestId,
     tx: oneshot::Sender<Response>,
 }
 
 impl TrafficHandler {
-    /// Starts with no view: every request is refused until the control side publishes one.
+    /// Starts without a view: every request is refused until the control actor publishes one.
     pub fn new(deps: TrafficDependencies) -> Arc<Self> {
         let state = RouterState { rng: ChaCha8Rng::seed_from_u64(deps.seed), router: deps.router };
         Arc::new(Self {
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Serves one request to its final answer.
+    /// Serves one request and returns its final response.
     pub async fn serve(self: &Arc<Self>, incoming: IncomingRequest) -> Response {
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
         let arrival = match incoming.arrival(call, &self.deps.member, &self.deps.peer_key) {
@@ -154,15 +154,17 @@
         lock(&self.pending).insert(call, pending);
         let guard = CallGuard { call, traffic: self.clone() };
         self.handle_event(Event::Arrived(arrival));
-        let answer = rx.await;
+        let response = rx.await;
         drop(guard);
-        // The sender is dropped without an answer only if the host is torn down around the call.
-        answer.unwrap_or_else(|_| {
+        // The sender is dropped without a response only while the host shuts down.
+        response.unwrap_or_else(|_| {
             outgoing::error_response(ErrorKind::DispatchLost, &request, None, None)
         })
     }
 
-    /// What a request is told that is refused before the decisions saw it.
+    /// The error to return for a request that is refused before the router has seen it. A request
+    /// that may be a copy of a booking gets the error's `before_ledger` variant, since the ledger
+    /// was not consulted.
     pub(super) fn error_before_ledger(
         &self,
         error: ErrorKind,
@@ -170,9 +172,9 @@
         service: &ServiceId,
     ) -> ErrorKind {
         let view = self.view();
-        let known = view.as_ref().and_then(|view| view.manifest.service(service));
-        let repeatable = known.is_some_and(|service| service.kind.is_idempotent());
-        let booking = !repeatable && may_have_run(headers, &self.deps.peer_key);
+        let known_service = view.as_ref().and_then(|view| view.manifest.service(service));
+        let idempotent = known_service.is_some_and(|service| service.kind.is_idempotent());
+        let booking = !idempotent && may_have_run(headers, &self.deps.peer_key);
         if booking { error.before_ledger() } else { error }
     }
 
@@ -180,15 +182,15 @@
     pub fn lookup(&self, client: IpAddr, service: &ServiceId) -> Option<LookupResponse> {
         let active_view = self.active_view.load_full()?;
         active_view.view.manifest.service(service)?;
-        let ask = LookupRequest { client, service: service.clone() };
-        let lookup = active_view.index.rank(&active_view.blocks, &ask);
+        let request = LookupRequest { client, service: service.clone() };
+        let lookup = active_view.index.rank(&active_view.blocks, &request);
         if self.deps.sink.is_on() {
             self.deps.sink.record(None, EventKind::LookedUp { service: service.clone() });
         }
         Some(lookup)
     }
 
-    /// This host's clock.
+    /// The time by this host's clock.
     pub fn now(&self) -> Moment {
         self.deps.clock.now()
     }
@@ -206,7 +208,7 @@
         self.active_view.store(Some(Arc::new(ActiveView { blocks, index, view })));
     }
 
-    /// Closes the ledger for a successor.
+    /// Seals the ledger for the handover to a successor.
     pub fn seal(&self) -> SealedLedger {
         let mut state = lock(&self.router_state);
         let now = self.deps.clock.now();
@@ -215,7 +217,7 @@
         sealed
     }
 
-    /// Takes over the sealed ledger of a host that stops.
+    /// Adopts the sealed ledger of a stopping host.
     pub fn adopt(&self, sealed: SealedLedger) -> crate::ledger::Result<()> {
         let mut state = lock(&self.router_state);
         let now = self.deps.clock.now();
@@ -224,26 +226,26 @@
         result
     }
 
-    /// Reads the decisions, for the control side.
+    /// Calls `f` with the locked router and the current time.
     pub fn with_router<T>(&self, f: impl FnOnce(&Router, Moment) -> T) -> T {
         let now = self.deps.clock.now();
         f(&lock(&self.router_state).router, now)
     }
 
-    /// Waits until a request has come under suspicion here since the last time.
+    /// Waits until a request has been quarantined on this host since the last call.
     pub async fn wait_for_mark(&self) {
         self.mark_added.notified().await;
     }
 
-    /// Takes in what a host at the other end of a hop knows of the request that it carries. By the
-    /// exchanges alone the suspicion comes later than the request, which then crashes another target.
+    /// Merges the quarantine mark that the other host of a hop attached. With the exchanges alone
+    /// the mark would arrive after the request, which would crash another target.
     pub(super) fn merge_mark(self: &Arc<Self>, mark: Option<QuarantineMark>) {
         if let Some(mark) = mark {
             self.handle_event(Event::Marked { marks: vec![mark] });
         }
     }
 
-    /// Gives one event to the decisions and carries out what they order.
+    /// Passes one event to the router and executes the actions that it returns.
     pub fn handle_event(self: &Arc<Self>, event: Event) {
         let actions = self.decide(event);
         for action in actions {
@@ -306,7 +308,8 @@
         {
             outgoing::add_mark(&mut res, &mark);
         }
-        // A failed send means that the caller is gone; the ledger keeps what it has to.
+        // A failed send means that the caller has disconnected; the ledger keeps the response if it
+        // has to.
         let _ = pending.tx.send(res);
     }
 
@@ -340,8 +343,8 @@
         let task = self.runtime.spawn(async move { traffic.run(cmd).await });
         attempts.insert(attempt, task.abort_handle());
         drop(attempts);
-        // Another thread may have ordered the cancellation before the task was there to be
-        // aborted: the target would run it for nobody, in a slot that the decisions gave back.
+        // Another thread may have cancelled the attempt before its task was registered. Without
+        // this check the target would still run it, in a slot that the router has already released.
         if !self.is_running(attempt) {
             self.abort(attempt);
         }
@@ -361,17 +364,17 @@
         self.with_router(|router, now| router.mark(fingerprint, now))
     }
 
-    /// The caller's way to its answer, if it still waits for one.
+    /// Takes the sender of the response, if the caller still waits for one.
     pub(super) fn take_response_sender(&self, call: CallId) -> Option<oneshot::Sender<Response>> {
         lock(&self.pending).remove(&call).map(|pending| pending.tx)
     }
 
-    /// Longest time that the caller of a file takes nothing of it.
+    /// Longest time that the caller of a file may read none of it.
     pub(super) fn stall_timeout(&self) -> Duration {
         self.deps.stall_timeout
     }
 
-    /// The task that carries out an attempt.
+    /// The task that executes an attempt.
     pub(super) fn attempt_task(&self, attempt: AttemptId) -> Option<AbortHandle> {
         lock(&self.attempt_tasks).get(&attempt).cloned()
     }
@@ -382,7 +385,7 @@
     }
 }
 
-/// Tells the decisions when the caller leaves before its answer.
+/// Cancels the call if the caller disconnects before the response.
 struct CallGuard {
     call: CallId,
     traffic: Arc<TrafficHandler>,
@@ -396,7 +399,7 @@
     }
 }
 
-/// A panic while a lock is held must not take the host's other requests with it.
+/// Ignores poisoning: a panic while a lock is held must not fail the host's other requests.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
