--- a/src/daemon/attempt.rs
+++ b/src/daemon/attempt.rs
@@ -45,10 +45,10 @@
 }
 
 impl TrafficHandler {
-    pub(super) async fn run(self: Arc<Self>, cmd: AttemptCommand) {
+    pub(super) async fn run_attempt(self: Arc<Self>, cmd: AttemptCommand) {
         let started = self.deps.clock.now();
         let attempt = cmd.attempt;
-        let sent = self.send(&cmd, &[]).await;
+        let sent = self.send_attempt(&cmd, &[]).await;
         let latency = self.deps.clock.now().saturating_sub(started);
         match sent {
             Ok(reply) => self.handle_reply(cmd, reply, latency).await,
@@ -58,7 +58,7 @@
 
     /// Sends the request. `range_headers`, which request the remainder of a file, replace the
     /// request's own headers of the same names.
-    pub(super) async fn send(
+    pub(super) async fn send_attempt(
         &self,
         cmd: &AttemptCommand,
         range_headers: &[HeaderLine],
--- a/src/daemon/control/exchange.rs
+++ b/src/daemon/control/exchange.rs
@@ -139,9 +139,9 @@
 impl xtra::Handler<ExchangeResult> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, response: ExchangeResult, cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, exchange: ExchangeResult, cx: &mut xtra::Context<Self>) {
         let now = self.now();
-        let Ok(digest) = response.result else { return };
+        let Ok(digest) = exchange.result else { return };
         let from = digest.from.view.clone();
         let fence = digest.tenure_fence;
         self.record_peer_without_manifest(&digest, &cx.mailbox().address());
@@ -149,13 +149,13 @@
         self.record_membership_events(events);
         if from.zone == self.deps.membership.own().zone {
             let host = from.id.clone();
-            let acknowledged = tenure::Event::Acknowledged { fence, host, sent: response.sent };
+            let acknowledged = tenure::Event::Acknowledged { fence, host, sent: exchange.sent };
             self.handle_tenure_event(acknowledged, &cx.mailbox().address());
         }
         // A peer that cannot apply what it receives keeps requesting it. With unlimited follow-ups
         // two such hosts would make some thousand exchanges a second. One follow-up saves the wait
         // for the next tick; the remainder waits for that.
-        if response.round == ExchangeRound::First && self.deps.membership.has_request_from(&from.id)
+        if exchange.round == ExchangeRound::First && self.deps.membership.has_request_from(&from.id)
         {
             let digest = self.deps.membership.digest_for(&from, now);
             self.start_exchange(cx.mailbox().address(), from.rpc, digest, ExchangeRound::FollowUp);
@@ -183,7 +183,7 @@
 impl xtra::Handler<MarkAdded> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, _marked: MarkAdded, cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, _mark: MarkAdded, cx: &mut xtra::Context<Self>) {
         self.update_payload();
         self.push_to_peers(&cx.mailbox().address());
     }
--- a/src/daemon/control/manifest.rs
+++ b/src/daemon/control/manifest.rs
@@ -107,7 +107,7 @@
         Self::spawn_call(address.clone(), async move {
             let reply = link.manifest(holder).await.unwrap_or_default();
             if reply.signed.is_none() {
-                let _ = address.send(FetchEnded).await;
+                let _ = address.send(FetchFailed).await;
             }
             let signed = reply.signed?;
             Some(ManifestOffer { from: ManifestSource::Peer(holder), parts: Vec::new(), signed })
@@ -160,12 +160,12 @@
 
 /// A fetch from a peer returned no manifest; the next exchange may start another.
 #[derive(Clone, Copy, Debug)]
-pub struct FetchEnded;
+pub struct FetchFailed;
 
-impl xtra::Handler<FetchEnded> for ControlActor {
+impl xtra::Handler<FetchFailed> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, _ended: FetchEnded, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, _failed: FetchFailed, _cx: &mut xtra::Context<Self>) {
         self.fetching = None;
     }
 }
--- a/src/daemon/stream.rs
+++ b/src/daemon/stream.rs
@@ -208,7 +208,7 @@
             let resume = self.commands.recv().await?;
             self.switch_to(resume);
             let started = self.traffic.now();
-            let sent = self.traffic.send(&self.cmd, lines).await;
+            let sent = self.traffic.send_attempt(&self.cmd, lines).await;
             let latency = self.traffic.now().saturating_sub(started);
             self.latency = latency;
             match sent {
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -340,7 +340,7 @@
             AttemptCommand { address, attempt, call, fingerprint, hop, incoming, request, timeout };
         let traffic = self.clone();
         let mut attempts = lock(&self.attempt_tasks);
-        let task = self.runtime.spawn(async move { traffic.run(cmd).await });
+        let task = self.runtime.spawn(async move { traffic.run_attempt(cmd).await });
         attempts.insert(attempt, task.abort_handle());
         drop(attempts);
         // Another thread may have cancelled the attempt before its task was registered. Without
