--- a/src/daemon/attempt.rs
+++ b/src/daemon/attempt.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::{HeaderLine, header},
-    forward::{Attempt, Reply, ReplyBody},
+    forward::{Attempt, TargetBody, TargetResponse},
     ledger::KeptAnswer,
     manifest::ServiceKind,
     prelude::*,
@@ -62,22 +62,22 @@
         &self,
         cmd: &AttemptCommand,
         range_headers: &[HeaderLine],
-    ) -> crate::forward::Result<Reply> {
+    ) -> crate::forward::Result<TargetResponse> {
         let view = self.view();
         let service = view.as_ref().and_then(|view| view.manifest.service(&cmd.incoming.service));
-        let repeatable = service.is_some_and(|service| service.kind.is_idempotent());
+        let is_idempotent = service.is_some_and(|service| service.kind.is_idempotent());
         let streams = service.is_some_and(|service| service.kind == ServiceKind::File);
         let attempt = Attempt {
             address: cmd.address,
             body: cmd.incoming.body.clone(),
-            connections: service.map_or(1, |service| service.connections),
-            deadline: cmd.timeout,
+            max_connections: service.map_or(1, |service| service.connections),
+            timeout: cmd.timeout,
             headers: self.headers_for(cmd, range_headers),
             method: cmd.incoming.method.clone(),
             path: cmd.path(),
-            repeatable,
+            is_idempotent,
             request: cmd.request.clone(),
-            whole: !streams,
+            buffer_response: !streams,
         };
         match cmd.hop {
             Some(_) => self.deps.peers.send(attempt).await,
@@ -104,7 +104,12 @@
         lines
     }
 
-    async fn handle_reply(self: &Arc<Self>, cmd: AttemptCommand, reply: Reply, latency: Duration) {
+    async fn handle_reply(
+        self: &Arc<Self>,
+        cmd: AttemptCommand,
+        reply: TargetResponse,
+        latency: Duration,
+    ) {
         if cmd.hop.is_some() {
             let text = header(&reply.headers, headers::MARK);
             self.merge_mark(text.and_then(|text| decode_mark(text, cmd.fingerprint)));
@@ -113,11 +118,11 @@
             return self.finish_attempt(cmd.attempt, Outcome::Refused { error, latency });
         }
         match reply.body {
-            ReplyBody::Stream(body) => {
+            TargetBody::Stream(body) => {
                 let head = ResponseHead { headers: reply.headers, status: reply.status };
                 self.stream(cmd, head, body, latency).await;
             }
-            ReplyBody::Whole(body) => {
+            TargetBody::Whole(body) => {
                 let status = reply.status;
                 let kept = Arc::new(KeptAnswer { body, headers: reply.headers, status });
                 if let Some(pending) = lock(&self.pending).get_mut(&cmd.call) {
@@ -131,7 +136,7 @@
 }
 
 /// The error kind that another host responded with, if any.
-pub(super) fn refusal(cmd: &AttemptCommand, reply: &Reply) -> Option<ErrorKind> {
+pub(super) fn refusal(cmd: &AttemptCommand, reply: &TargetResponse) -> Option<ErrorKind> {
     cmd.hop?;
     let line = reply.headers.iter().find(|line| &*line.name == headers::ERROR)?;
     let name = serde_json::Value::String(line.value.to_string());
--- a/src/daemon/control/manifest.rs
+++ b/src/daemon/control/manifest.rs
@@ -19,7 +19,7 @@
     membership::Digest,
     peer::{ManifestReply, PartReply, PartRequest},
     prelude::*,
-    store::{Platform, PlatformError, Version, Versioned},
+    store::{Platform, PlatformError, Version, VersionedObject},
     timeline::EventKind,
 };
 
@@ -324,7 +324,10 @@
     Ok(changes.version)
 }
 
-async fn offer_head(control: &Address<ControlActor>, object: &Versioned) -> Option<CachedHead> {
+async fn offer_head(
+    control: &Address<ControlActor>,
+    object: &VersionedObject,
+) -> Option<CachedHead> {
     let Some(head) = Head::decode(&object.value) else {
         log::warn!("cannot decode the member's manifest object on the platform");
         return None;
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -18,7 +18,7 @@
     forward::Upstream,
     ingress::{self, BodyMemory},
     ledger::SealedLedger,
-    metrics::{self, MeteredSink},
+    metrics::{self, MeteredTimelineSink},
     peer::{HandoverChunk, PeerCredentials, PeerServer},
     prelude::*,
     routing::{Event, RouterLimits},
@@ -160,7 +160,7 @@
         ));
         let metrics = start::open_metrics(&config.settings, &own)?;
         let sink: Arc<dyn EventSink> =
-            Arc::new(MeteredSink::new(recorder.clone(), metrics.clone()));
+            Arc::new(MeteredTimelineSink::new(recorder.clone(), metrics.clone()));
         sink.record(None, EventKind::Started);
         let traffic = {
             let _context = traffic_rt.enter();
@@ -182,7 +182,7 @@
         let follow = follow_platform(control.clone(), config.platform, member, leaving.clone());
         control_rt.spawn(follow);
         let limits = config.settings.ingress;
-        let memory = BodyMemory::open(limits);
+        let memory = BodyMemory::new(limits);
         let app = warp::service(routes(traffic.clone(), config.settings.member.clone(), memory));
         traffic_rt.spawn(ingress::serve(listener, app, limits, metrics.clone()));
         let mut subscriptions =
--- a/src/daemon/incoming.rs
+++ b/src/daemon/incoming.rs
@@ -8,7 +8,7 @@
 use super::headers;
 use crate::{
     base::HeaderLine,
-    ingress::BodyHold,
+    ingress::BodyReservation,
     ledger::request_digest,
     prelude::*,
     quarantine::{Fingerprint, QuarantineMark, fingerprint},
@@ -42,7 +42,7 @@
     pub body: Bytes,
     pub headers: HeaderMap,
     /// Reserves the memory that the body takes.
-    pub body_memory: BodyHold,
+    pub body_memory: BodyReservation,
     pub method: Method,
     /// Path and query behind the service's name, with the leading slash.
     pub path: Arc<str>,
--- a/src/daemon/outgoing.rs
+++ b/src/daemon/outgoing.rs
@@ -8,23 +8,23 @@
     base::HeaderLine, base::Resend, ledger::KeptAnswer, prelude::*, quarantine::QuarantineMark,
 };
 
-/// The response for an error kind, with status and advice from its `ErrorKind::row`.
+/// The response for an error kind, with status and advice from its `ErrorKind::response`.
 pub fn error_response(
     error: ErrorKind,
     request: &str,
     detail: Option<&str>,
     retry: Option<Duration>,
 ) -> Response {
-    let row = error.row();
+    let response = error.response();
     let name = serde_json::to_value(error).unwrap_or_default();
     let name = name.as_str().unwrap_or_default().to_owned();
     let text = detail.map_or_else(|| error.to_string(), |detail| format!("{error}: {detail}"));
-    let body = serde_json::json!({ "error": name, "message": text, "ran": row.ran });
+    let body = serde_json::json!({ "error": name, "message": text, "ran": response.ran });
     let mut res = warp::reply::json(&body).into_response();
-    *res.status_mut() = StatusCode::from_u16(row.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    *res.status_mut() = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
     add_header(&mut res, headers::ERROR, &name);
-    add_status_headers(&mut res, row.ran, row.resend, request);
-    if let Some(wait) = retry.or(row.retry_after) {
+    add_status_headers(&mut res, response.ran, response.resend, request);
+    if let Some(wait) = retry.or(response.retry_after) {
         let secs = wait.as_secs_f64().ceil().max(1.0);
         add_header(&mut res, headers::RETRY_AFTER, &format!("{secs:.0}"));
     }
@@ -34,8 +34,8 @@
 /// Advises a new idempotency key if the request is reported as not run. The ledger refuses the old
 /// key from then on, so that a copy in transit cannot run after all; a resend would fail with it.
 pub fn advise_new_key(res: &mut Response, error: ErrorKind) {
-    let row = error.row();
-    if row.ran == Ran::No && row.resend == Resend::Same {
+    let response = error.response();
+    if response.ran == Ran::No && response.resend == Resend::Same {
         let fresh = HeaderValue::from_static(Resend::Fresh.as_str());
         res.headers_mut().insert(headers::RESEND, fresh);
     }
--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -57,7 +57,7 @@
         peer_key: config.peer_key.clone(),
         peers: config.peers.clone(),
         seed,
-        stall_timeout: config.settings.ingress.silence(),
+        idle_timeout: config.settings.ingress.idle_timeout(),
         sink,
         router: Router::new(own.id.clone(), own.incarnation, config.limits.clone()),
         decision_recorder: decision_recorder(config, own, seed),
@@ -144,8 +144,8 @@
     traffic: &Arc<TrafficHandler>,
     targets: Arc<dyn Upstream>,
 ) -> Vec<Subscription> {
-    let control_timer = TokioTimer::open(control_rt.handle().clone());
-    let traffic_timer = TokioTimer::open(traffic_rt.handle().clone());
+    let control_timer = TokioTimer::new(control_rt.handle().clone());
+    let traffic_timer = TokioTimer::new(traffic_rt.handle().clone());
     let (control, ticked, probed) = (control.clone(), traffic.clone(), traffic.clone());
     vec![
         control_timer.every(
@@ -169,7 +169,7 @@
     metrics: Arc<dyn Metrics>,
 ) -> Subscription {
     let traffic = traffic.clone();
-    let timer = TokioTimer::open(control_rt.handle().clone());
+    let timer = TokioTimer::new(control_rt.handle().clone());
     let send = move || {
         let (in_flight, usage) =
             traffic.with_router(|router, _| (router.pending_calls(), router.slot_usage()));
--- a/src/daemon/stream.rs
+++ b/src/daemon/stream.rs
@@ -24,7 +24,10 @@
 };
 use crate::{
     base::HeaderLine,
-    forward::{Alternatives, Edition, Failure, Reply, ResumedBody, asks_for_whole},
+    forward::{
+        FallbackTargets, FileVersion, ForwardError, ResumableBody, TargetResponse,
+        requests_whole_file,
+    },
     prelude::*,
     routing::{AttemptId, CallId, Event, Outcome, Via},
 };
@@ -107,12 +110,12 @@
         if let Some(caller) = self.take_response_sender(call) {
             let _ = caller.send(res);
         }
-        let whole = asks_for_whole(&cmd.incoming.method, &cmd.incoming.headers);
-        let edition = Edition::of(head.status, &head.headers).filter(|_| whole);
-        let alternatives =
-            FileAlternatives { ended: false, latency, cmd, commands, traffic: self.clone() };
-        let stall_timeout = self.stall_timeout();
-        copy_body(ResumedBody::new(body, edition, alternatives), head.status, tx, stall_timeout)
+        let whole = requests_whole_file(&cmd.incoming.method, &cmd.incoming.headers);
+        let version = FileVersion::from_response(head.status, &head.headers).filter(|_| whole);
+        let fallbacks =
+            FileFallbacks { ended: false, latency, cmd, commands, traffic: self.clone() };
+        let idle_timeout = self.idle_timeout();
+        copy_body(ResumableBody::new(body, version, fallbacks), head.status, tx, idle_timeout)
             .await;
     }
 
@@ -127,37 +130,39 @@
 /// Copies a body to its caller and ends the last attempt.
 ///
 /// A caller that stops reading but stays connected would hold one of the target's few slots
-/// forever, and three such callers could block the whole target. After `stall_timeout` it counts as
+/// forever, and three such callers could block the whole target. After `idle_timeout` it counts as
 /// disconnected: the target's connection is closed, which frees the slot there as well.
 async fn copy_body(
-    mut body: ResumedBody<FileAlternatives>,
+    mut body: ResumableBody<FileFallbacks>,
     status: u16,
     tx: mpsc::Sender<BodyItem>,
-    stall_timeout: Duration,
+    idle_timeout: Duration,
 ) {
     let last = loop {
-        match body.chunk().await {
+        match body.next_chunk().await {
             Some(Ok(chunk)) => {
-                let sent = tx.send_timeout(BodyItem::Chunk(chunk), stall_timeout).await;
+                let sent = tx.send_timeout(BodyItem::Chunk(chunk), idle_timeout).await;
                 match sent {
                     Ok(()) => {}
-                    Err(SendTimeoutError::Closed(_)) => break BodyItem::Error(Failure::Lost),
-                    Err(SendTimeoutError::Timeout(_)) => return body.alternatives().abandon(),
+                    Err(SendTimeoutError::Closed(_)) => {
+                        break BodyItem::Error(ForwardError::ConnectionLost);
+                    }
+                    Err(SendTimeoutError::Timeout(_)) => return body.fallbacks().abandon(),
                 }
             }
             Some(Err(failure)) => break BodyItem::Error(failure),
             None => break BodyItem::End,
         }
     };
-    let alternatives = body.alternatives();
-    let latency = alternatives.latency;
-    alternatives.finish(match &last {
+    let fallbacks = body.fallbacks();
+    let latency = fallbacks.latency;
+    fallbacks.finish(match &last {
         BodyItem::Error(_) if tx.is_closed() => failed_after_head(ErrorKind::StreamCut, latency),
         BodyItem::Error(failure) => failed_after_head(failure.kind(), latency),
         BodyItem::Chunk(_) | BodyItem::End => Outcome::Answered { kept: None, latency, status },
     });
     // A failed send means that the caller has disconnected.
-    let _ = tx.send_timeout(last, stall_timeout).await;
+    let _ = tx.send_timeout(last, idle_timeout).await;
 }
 
 /// The response failed after its head was sent, so no other response may follow.
@@ -166,7 +171,7 @@
 }
 
 /// The other targets for the remainder of one file, as the router chooses them.
-struct FileAlternatives {
+struct FileFallbacks {
     /// Whether the end of the attempt of `cmd` has been reported to the router.
     ended: bool,
     /// Time until the head of the attempt's response arrived.
@@ -176,7 +181,7 @@
     traffic: Arc<TrafficHandler>,
 }
 
-impl FileAlternatives {
+impl FileFallbacks {
     /// Reports the outcome of the current attempt to the router, once.
     fn finish(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.ended, true) {
@@ -200,8 +205,12 @@
 }
 
 #[async_trait]
-impl Alternatives for FileAlternatives {
-    async fn next(&mut self, failure: Failure, lines: &[HeaderLine]) -> Option<Reply> {
+impl FallbackTargets for FileFallbacks {
+    async fn next_response(
+        &mut self,
+        failure: ForwardError,
+        lines: &[HeaderLine],
+    ) -> Option<TargetResponse> {
         let (error, latency) = (failure.kind(), self.latency);
         self.finish(Outcome::Interrupted { error, latency });
         loop {
@@ -226,7 +235,7 @@
 #[derive(Debug)]
 enum BodyItem {
     Chunk(Bytes),
-    Error(Failure),
+    Error(ForwardError),
     /// The body is complete.
     End,
 }
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -48,7 +48,7 @@
     pub peers: Arc<dyn Upstream>,
     pub seed: u64,
     /// Longest time that the caller of a file may read none of it.
-    pub stall_timeout: Duration,
+    pub idle_timeout: Duration,
     pub sink: Arc<dyn EventSink>,
     pub router: Router,
     pub decision_recorder: Arc<dyn DecisionRecorder>,
@@ -82,7 +82,7 @@
     member: MemberId,
     pub peer_key: Secret,
     pub peers: Arc<dyn Upstream>,
-    stall_timeout: Duration,
+    idle_timeout: Duration,
     sink: Arc<dyn EventSink>,
     decision_recorder: Arc<dyn DecisionRecorder>,
     pub targets: Arc<dyn Upstream>,
@@ -118,7 +118,7 @@
                 member: deps.member,
                 peer_key: deps.peer_key,
                 peers: deps.peers,
-                stall_timeout: deps.stall_timeout,
+                idle_timeout: deps.idle_timeout,
                 sink: deps.sink,
                 decision_recorder: deps.decision_recorder,
                 targets: deps.targets,
@@ -370,8 +370,8 @@
     }
 
     /// Longest time that the caller of a file may read none of it.
-    pub(super) fn stall_timeout(&self) -> Duration {
-        self.deps.stall_timeout
+    pub(super) fn idle_timeout(&self) -> Duration {
+        self.deps.idle_timeout
     }
 
     /// The task that executes an attempt.
--- a/src/manifest/accept.rs
+++ b/src/manifest/accept.rs
@@ -9,8 +9,8 @@
 use crate::{
     prelude::*,
     store::{
-        Expect, OperationId, Platform, PlatformError, Settled, Version, Versioned, new_operation,
-        put_settled,
+        Expect, OperationId, Platform, PlatformError, PutOutcome, Version, VersionedObject,
+        new_operation_id, put_confirmed,
     },
 };
 
@@ -63,7 +63,7 @@
 struct AcceptedState {
     head: Option<Head>,
     manifest: Option<Manifest>,
-    object: Option<Versioned>,
+    object: Option<VersionedObject>,
 }
 
 /// Verifies the proposal, compares it with the accepted manifest and, unless a limit is exceeded,
@@ -80,7 +80,7 @@
         return Ok(AcceptOutcome::Unchanged);
     }
     let change = check_change(&accepted, &manifest, loads)?;
-    let operation = new_operation();
+    let operation = new_operation_id();
     let acceptance = Acceptance {
         digest: proposal.signed.digest(),
         operation: operation.clone(),
@@ -91,16 +91,16 @@
     write_parts(platform, proposal, &accepted).await?;
     let head_key = Head::key(&proposal.member);
     let expect = Expect::unchanged(accepted.object.as_ref());
-    match put_settled(platform, &head_key, expect, value, operation.clone()).await {
-        Ok(Settled::Written(version)) => {
+    match put_confirmed(platform, &head_key, expect, value, operation.clone()).await {
+        Ok(PutOutcome::Written(version)) => {
             // Leftover parts only cost storage; the next accepted manifest deletes them.
             let _ = delete_unused_parts(platform, &proposal.member, &head, &accepted).await;
             Ok(AcceptOutcome::Accepted { change, version })
         }
-        Ok(Settled::Conflict { current, uncertain }) => {
+        Ok(PutOutcome::Conflict { current, uncertain }) => {
             resolve_conflict(current, uncertain, &operation, &proposal.member, key)
         }
-        Err(PlatformError::Unavailable { maybe_done: true, .. }) => {
+        Err(PlatformError::Unavailable { may_have_applied: true, .. }) => {
             Err(AcceptError::OutcomeUnknown)
         }
         Err(err) => Err(err.into()),
@@ -187,11 +187,11 @@
             continue;
         }
         let expect = Expect::unchanged(found.as_ref());
-        match put_settled(platform, &key, expect, value.clone(), new_operation()).await? {
-            Settled::Written(_) => {}
+        match put_confirmed(platform, &key, expect, value.clone(), new_operation_id()).await? {
+            PutOutcome::Written(_) => {}
             // The id is a hash of the content, so an equal value is the same part whoever wrote it.
-            Settled::Conflict { current: Some(current), .. } if current.value == value => {}
-            Settled::Conflict { .. } => {
+            PutOutcome::Conflict { current: Some(current), .. } if current.value == value => {}
+            PutOutcome::Conflict { .. } => {
                 return Err(AcceptError::Refused(ManifestError::PartsMismatch));
             }
         }
@@ -221,7 +221,7 @@
         let is_referenced = head.signed.parts.contains(&id) || replaced_ids.contains(&id);
         if !is_referenced && found.version < replaced_head.version {
             let expect = Expect::Version(found.version);
-            match platform.delete(&found.key, expect, new_operation()).await {
+            match platform.delete(&found.key, expect, new_operation_id()).await {
                 Ok(_) | Err(PlatformError::Conflict { .. }) => {}
                 Err(err) => return Err(err),
             }
@@ -233,7 +233,7 @@
 /// Decides how the attempt ended after a conditional write found another head. If the result of the
 /// write is uncertain, the history of that head tells whether it took effect.
 fn resolve_conflict(
-    current: Option<Versioned>,
+    current: Option<VersionedObject>,
     uncertain: bool,
     operation: &OperationId,
     member: &MemberId,
--- a/src/manifest/head.rs
+++ b/src/manifest/head.rs
@@ -5,7 +5,7 @@
 use super::{PartId, SignedManifest};
 use crate::{
     prelude::*,
-    store::{MAX_VALUE, OperationId},
+    store::{MAX_VALUE_BYTES, OperationId},
 };
 
 /// Length of the head's history: enough for a pipeline that lost the response to its write to find
@@ -54,7 +54,7 @@
     /// `None` if the head is larger than the platform's limit on values.
     pub fn encode(&self) -> Option<Bytes> {
         let bytes = serde_json::to_vec(self).ok()?;
-        (bytes.len() <= MAX_VALUE).then(|| bytes.into())
+        (bytes.len() <= MAX_VALUE_BYTES).then(|| bytes.into())
     }
 
     /// The successor of `previous`, or the first head.
--- a/src/platform/protocol.rs
+++ b/src/platform/protocol.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode, Uri};
 
-use super::{config, headers, keys, server};
+use super::{config, headers, key_digests, server};
 use crate::{
-    base::span_text,
+    base::duration_text,
     entry::{
         CallerLocation, CallerMetadata, Declaration, DecodeError, Protocol, ReplyMetadata,
         StorePrefixes, TargetEntry,
@@ -82,7 +82,7 @@
     }
 
     fn encode_lookup_response(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes {
-        let found = Found { addresses: callers, ttl: span_text::format(ttl) };
+        let found = Found { addresses: callers, ttl: duration_text::format(ttl) };
         serde_json::to_vec(&found).expect("addresses and a text can be encoded").into()
     }
 
@@ -99,7 +99,7 @@
     }
 
     fn replace_keys_by_digests(&self, object: Bytes) -> Result<Bytes, DecodeError> {
-        keys::without_keys(object)
+        key_digests::replace_by_digests(object)
     }
 
     fn decode_target(&self, id: &str, object: &[u8]) -> Result<TargetEntry, DecodeError> {
--- a/src/standin/linked.rs
+++ b/src/standin/linked.rs
@@ -6,13 +6,15 @@
 use super::links::{Links, Place};
 use crate::{
     daemon::PeerLink,
-    forward::{Attempt, Failure, Reply, Upstream},
+    forward::{Attempt, ForwardError, TargetResponse, Upstream},
     membership::Digest,
     peer::{
         HandoverAck, HandoverChunk, ManifestReply, PartReply, PartRequest, PeerClient, PeerError,
     },
     prelude::*,
-    store::{Changes, Expect, Listing, OperationId, Platform, PlatformError, Version, Versioned},
+    store::{
+        Changes, Expect, Listing, OperationId, Platform, PlatformError, Version, VersionedObject,
+    },
 };
 
 /// How long a cut link seems to be only slow.
@@ -49,11 +51,11 @@
 
 #[async_trait]
 impl<T: Upstream> Upstream for Linked<T> {
-    async fn send(&self, attempt: Attempt) -> crate::forward::Result<Reply> {
+    async fn send(&self, attempt: Attempt) -> crate::forward::Result<TargetResponse> {
         let to = attempt.address;
-        self.travel(to).await.ok_or(Failure::Connect)?;
+        self.travel(to).await.ok_or(ForwardError::ConnectFailed)?;
         let reply = self.inner.send(attempt).await?;
-        self.travel(to).await.ok_or(Failure::Lost)?;
+        self.travel(to).await.ok_or(ForwardError::ConnectionLost)?;
         Ok(reply)
     }
 }
@@ -101,7 +103,10 @@
             return Ok(());
         }
         tokio::time::sleep(CUT_PATIENCE).await;
-        Err(PlatformError::Unavailable { detail: "the link is cut".into(), maybe_done: false })
+        Err(PlatformError::Unavailable {
+            detail: "the link is cut".into(),
+            may_have_applied: false,
+        })
     }
 }
 
@@ -117,7 +122,7 @@
         self.inner.delete(key, expect, operation).await
     }
 
-    async fn get(&self, key: &str) -> crate::store::Result<Option<Versioned>> {
+    async fn get(&self, key: &str) -> crate::store::Result<Option<VersionedObject>> {
         self.reach().await?;
         self.inner.get(key).await
     }
