--- a/src/daemon/outgoing.rs
+++ b/src/daemon/outgoing.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use http::{HeaderName, HeaderValue, StatusCode};
 use warp::reply::{Reply as _, Response};
@@ -8,45 +8,45 @@
     base::HeaderLine, base::Resend, ledger::KeptAnswer, prelude::*, quarantine::QuarantineMark,
 };
 
-/// The answer of the table's row for an error kind.
+/// The response for an error kind, with status and advice from its `ErrorKind::response`.
 pub fn error_response(
     error: ErrorKind,
     request: &str,
     detail: Option<&str>,
     retry: Option<Duration>,
 ) -> Response {
-    let row = error.response();
+    let response = error.response();
     let name = serde_json::to_value(error).unwrap_or_default();
     let name = name.as_str().unwrap_or_default().to_owned();
     let text = detail.map_or_else(|| error.to_string(), |detail| format!("{error}: {detail}"));
-    let body = serde_json::json!({ "error": name, "message": text, "ran": row.ran });
+    let body = serde_json::json!({ "error": name, "message": text, "ran": response.ran });
     let mut res = warp::reply::json(&body).into_response();
-    *res.status_mut() = StatusCode::from_u16(row.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    *res.status_mut() = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
     add_header(&mut res, headers::ERROR, &name);
-    add_status_headers(&mut res, row.ran, row.resend, request);
-    if let Some(wait) = retry.or(row.retry_after) {
+    add_status_headers(&mut res, response.ran, response.resend, request);
+    if let Some(wait) = retry.or(response.retry_after) {
         let secs = wait.as_secs_f64().ceil().max(1.0);
         add_header(&mut res, headers::RETRY_AFTER, &format!("{secs:.0}"));
     }
     res
 }
 
-/// Advises a new key where the old one was told `not run`: the ledger refuses that key from then
-/// on, so that a copy still under way cannot run after all, and the same key would be sent in vain.
+/// Advises a new idempotency key if the request is reported as not run. The ledger refuses the old
+/// key from then on, so that a copy in transit cannot run after all; a resend would fail with it.
 pub fn advise_new_key(res: &mut Response, error: ErrorKind) {
-    let row = error.response();
-    if row.ran == Ran::No && row.resend == Resend::Same {
+    let response = error.response();
+    if response.ran == Ran::No && response.resend == Resend::Same {
         let fresh = HeaderValue::from_static(Resend::Fresh.as_str());
         res.headers_mut().insert(headers::RESEND, fresh);
     }
 }
 
-/// Tells the host that sent the request what is known of it.
+/// Adds the quarantine mark of the request, for the host that forwarded it.
 pub fn add_mark(res: &mut Response, mark: &QuarantineMark) {
     add_header(res, headers::MARK, &encode_mark(mark));
 }
 
-/// The whole answer of a target, now or from the ledger.
+/// The complete response of a target, from a new attempt or from the ledger.
 pub fn full_response(answer: &KeptAnswer, request: &str) -> Response {
     let mut res = Response::new(answer.body.clone().into());
     *res.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -55,7 +55,7 @@
     res
 }
 
-/// The head of a target's answer whose body is still on its way.
+/// A target's response whose body is streamed as it arrives.
 pub fn streamed_response<S>(status: u16, lines: &[HeaderLine], body: S, request: &str) -> Response
 where
     S: futures::Stream<Item = std::result::Result<bytes::Bytes, std::io::Error>>
