--- a/src/entry/control/peering.rs
+++ b/src/entry/control/peering.rs
@@ -44,7 +44,7 @@
 impl EntryControl {
     fn own_state(&self) -> OwnState {
         OwnState {
-            declared_checked_at: self.declaration_checked_at,
+            declaration_checked_at: self.declaration_checked_at,
             leaving: self.leaving,
             load: Load::clone(&self.parts.load.load()),
             reaches_store: self.election.reaches_store(self.now()),
--- a/src/entry/traffic_state.rs
+++ b/src/entry/traffic_state.rs
@@ -53,7 +53,7 @@
     pub(super) cold_target_limiter: RefCell<ColdTargetLimiter>,
     pub(super) target_health: RefCell<HashMap<u32, TargetHealth>>,
     pub(super) cached_objects: RefCell<CachedObjects>,
-    /// Objects that this host lately asked targets for, and when.
+    /// Objects of the requests that this host recently sent to targets, with the time and target.
     recent_objects: RefCell<VecDeque<(Moment, TargetTag, ObjectTag)>>,
     /// Time of the view whose reported objects were applied last.
     peer_objects_applied_at: Cell<Moment>,
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct OwnState {
     /// When the store last confirmed to this host that its declaration is the latest.
-    pub declared_checked_at: Option<Moment>,
+    pub declaration_checked_at: Option<Moment>,
     pub leaving: bool,
     pub load: Load,
     pub reaches_store: bool,
@@ -205,7 +205,7 @@
     }
 
     fn own_declaration_check(&self) -> Option<DeclarationCheck> {
-        let at = self.own.declared_checked_at?;
+        let at = self.own.declaration_checked_at?;
         Some(DeclarationCheck { at, version: self.own.stamp.declared })
     }
 
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -124,8 +124,11 @@
         waits: None,
     });
     let answered = HostAnswer { error: None, host: host("a", "east-1"), status: Some(status) };
-    let mute =
-        HostAnswer { error: Some("took over 2s".into()), host: host("b", "west-1"), status: None };
+    let mute = HostAnswer {
+        error: Some("timed out after 2s".into()),
+        host: host("b", "west-1"),
+        status: None,
+    };
     let through = SocketAddr::from(([127, 0, 0, 1], 9));
     let fleet = FleetStatus { hosts: vec![answered, mute], not_asked: 0, through };
     assert!(!fleet.is_whole());
@@ -135,7 +138,7 @@
         "west-1  1                0 of 1",
         "d1     zone west-2  ana  draining, not settled  2          1 of 1 hosts",
         "west-1  61.0 s  a",
-        "b     west-1  took over 2s",
+        "b     west-1  timed out after 2s",
     ] {
         assert!(text.contains(part), "{part:?} in\n{text}");
     }
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -6,9 +6,10 @@
 //! have the object cached, all hosts choose the same one by rendezvous hashing, without
 //! coordination.
 //!
-//! Under overload, with more requests than slots for several seconds, the requests in flight at a
-//! target bound the wait there. A request that would exceed its limit is refused at once, since it
-//! would only delay the requests behind it. It is not sent to another target with free slots: a
+//! A request whose expected answer time exceeds its limit is refused at once, since it would only
+//! delay the requests behind it. The limit always applies, but matters mainly under overload, when
+//! there are more requests than slots for several seconds: the wait at a target is then estimated
+//! from the requests in flight there. A refused request is not sent to another target with free slots: a
 //! cache miss there would occupy a slot several times as long and evict another object.
 
 use super::{ObjectTag, ServiceEstimates, Tuning, target_index::rendezvous_weight};
@@ -31,23 +32,30 @@
 /// the traffic shifted between regions.
 const SPILL_COST: Duration = Duration::from_millis(150);
 
-/// Rank from which the rank cost no longer rises; a few targets are enough for any object.
+/// Rank from which the rank cost no longer rises; a few targets are enough for any object. The rank
+/// is a target's position in the hash order of an object. Each rank adds `Tuning::rank_cost_secs` to
+/// the cost, so that all hosts prefer the same few targets for the object.
 const MAX_RANK: usize = 4;
 
-/// Cap on reported times, in seconds; callers come back sooner anyway.
+/// Cap on the expected answer time and on `Choice::Busy::free_in`, in seconds. Callers retry sooner
+/// than that anyway.
 const MAX_REPORTED_SECS: f64 = 60.0;
 
 /// A target that may be selected for the request.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
+    /// The target started recently, or its zone was evacuated recently: its caches are empty and it
+    /// is slower. See `KnownTarget::is_cold`.
     pub cold: bool,
     /// LRU depth of the object at the target: how many other objects were requested there since.
     /// `None` if this host knows of no request for it.
     pub depth: Option<usize>,
     /// Requests of all hosts in flight there.
     pub load: f64,
-    /// The target takes no requests of this host now: it is paused, full, half-open with a request
-    /// in flight, or cold without a token for this host.
+    /// The target takes no requests of this host now. By its `TargetHealth`, it is paused, has just
+    /// refused a request as full, or is half-open with a request in flight; or it is cold and
+    /// `ColdTargetLimiter` has no token for this host. `choose` checks by `load` whether the
+    /// target's queue is full.
     pub unavailable: bool,
     /// See `TargetHealth::slowdown_with_report`.
     pub slowdown: f64,
@@ -59,6 +67,7 @@
 /// The request to select a target for.
 #[derive(Clone, Debug)]
 pub struct PlacementQuery<'a> {
+    /// Region of this host.
     pub home_region: &'a RegionId,
     pub estimates: ServiceEstimates,
     /// Time until the caller's deadline.
@@ -70,9 +79,11 @@
     pub object: Option<ObjectTag>,
     /// Answer time that the route aims for.
     pub objective: Duration,
-    /// The region selected by the shares.
+    /// The region selected by the shares, where the request should run; not necessarily
+    /// `home_region`.
     pub region: &'a RegionId,
     pub tuning: Tuning,
+    /// Zone of this host, in `home_region`.
     pub zone: &'a ZoneId,
 }
 
@@ -157,7 +168,9 @@
     pub index: usize,
     /// What candidates are compared by, in seconds: the answer time plus all extra costs.
     cost: f64,
-    /// The time compared with `PlacementQuery::limit`, in seconds.
+    /// The time compared with `PlacementQuery::limit`, in seconds: the answer time without the run
+    /// time while that has not been measured, and without the extra time of a cache miss if the
+    /// request is to fill the primary target's cache.
     limited_secs: f64,
     /// No request for the object is known, and the target is assumed to have it cached only because
     /// it is the object's primary target, the first in hash order.
@@ -206,11 +219,11 @@
         // the same, since nobody would receive the answer.
         let miss_secs = expected_penalty.as_secs_f64() * work_factor * candidate.slowdown;
         let caller_stays = answer_secs <= query.caller_limit().as_secs_f64();
-        let is_first_run =
+        let is_cache_fill =
             is_primary && object_state != ObjectState::Cached && wait_secs <= 0.0 && caller_stays;
         let limited_secs = match query.estimates.work.is_measured() {
             false => answer_secs - run_secs,
-            true if is_first_run => answer_secs - miss_secs,
+            true if is_cache_fill => answer_secs - miss_secs,
             true => answer_secs,
         };
         let mut cost = answer_secs + rank.min(MAX_RANK) as f64 * query.tuning.rank_cost_secs;
--- a/src/placement/tests/uncached_objects.rs
+++ b/src/placement/tests/uncached_objects.rs
@@ -11,7 +11,8 @@
     (0..3).map(|at| known(&format!("t-{at}"), "north")).collect()
 }
 
-/// A query with an objective of 60 ms, which is shorter than any cache miss.
+/// A query with an objective of 60 ms, so that the limit is 120 ms: more than the 100 ms of a cache
+/// hit in `estimates`, and less than the 300 ms of a miss.
 fn query<'a>(
     home: &'a RegionId,
     zone: &'a ZoneId,
@@ -40,12 +41,12 @@
     assert!(matches!(choice, Choice::Send(_)), "{choice:?}");
 }
 
-/// A cache miss takes longer than the limit of this route. If requests were refused for that, an
+/// A cache miss takes 300 ms, longer than the limit of 120 ms. If requests were refused for that, an
 /// object that was never requested, or that all targets have evicted, would never be cached, and
-/// all its requests would be refused forever. The primary target takes one if it has a free slot,
-/// and only then.
+/// all its requests would be refused forever. So the primary target accepts a request for such an
+/// object if it has a free slot, and only then.
 #[test]
-fn an_uncached_object_is_run_once() {
+fn the_primary_target_accepts_an_uncached_object_if_a_slot_is_free() {
     let (home, zone) = ("north".into(), "north-a".into());
     let targets = targets();
     let query = query(&home, &zone, estimates());
--- a/src/quarantine/suspects.rs
+++ b/src/quarantine/suspects.rs
@@ -57,6 +57,8 @@
     /// Number of refusals imposed so far; sets the duration of the next one.
     refusals: u32,
     state: RecordState,
+    /// End of the current state. Cleared: peers' suspicions are ignored until then. Suspect: the
+    /// request runs alone until then. Refused: it does not run before then, and only alone after.
     until: Moment,
 }
 
@@ -86,8 +88,9 @@
         invariant::check(alone, "suspect-runs-alone", || format!("{fingerprint:032x}"));
     }
 
-    /// Records the end of a request that was sent to `target`; `crashed` if the target went down
-    /// while running it. Returns the mark that peers should receive at once.
+    /// Records the conclusive end of a request that was sent to `target`: `crashed` if the target
+    /// went down while running it, otherwise a complete answer, which clears the fingerprint
+    /// whether it is suspect or refused. Returns the mark that peers should receive at once.
     pub fn record_end(
         &mut self,
         fingerprint: Fingerprint,
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -410,7 +410,7 @@
     /// request would be sent to a target with too little time, and its caller told `unknown`. It is
     /// forwarded to the new owner of the targets; if it came from the holder of a booking's entry,
     /// that host is told at once and tries another owner.
-    pub(super) fn reroute_stuck(&mut self, now: Moment, rng: &mut impl Rng) {
+    pub(super) fn reroute_unservable(&mut self, now: Moment, rng: &mut impl Rng) {
         let Some(view) = self.view.clone() else { return };
         let is_stuck = |id: CallId, call: &Call| {
             let service = view.manifest.service(&call.arrival.service);
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -27,8 +27,9 @@
 /// Limits on the router's state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterLimits {
-    /// How long the slots used by a target's former owner count as taken, unless a load report
-    /// frees them: the longest time that a request may run on a target.
+    /// How long the slots of a target that this host takes over count as in use by requests of the
+    /// former owner, unless a load report frees them: the longest time that a request may run on a
+    /// target.
     pub hold: Duration,
     pub ledger: LedgerLimits,
     pub quarantine: QuarantineLimits,
@@ -178,13 +179,15 @@
         self.quarantine.marks(now)
     }
 
-    /// Seals the ledger for a successor; every later request with this binding is `not run`.
+    /// Seals the ledger: closes it and returns its entries for a successor. Every later new booking
+    /// with a binding of this host is refused with `Ran::No`.
     pub fn seal(&mut self, now: Moment) -> SealedLedger {
         self.leaving = true;
         self.ledger.seal(now)
     }
 
-    /// Adopts the sealed ledger of a host that stops.
+    /// Adopts the sealed ledger of a host that stops: this host answers for its entries from now on,
+    /// but runs no new booking with its bindings.
     pub fn adopt(&mut self, sealed: SealedLedger, now: Moment) -> crate::ledger::Result<()> {
         self.ledger.adopt(sealed, now)
     }
@@ -250,6 +253,7 @@
         let kind = match &answer {
             Answer::Error { error, .. } => EventKind::Refused { error: *error },
             Answer::Kept { kept } => EventKind::Answered { ran: Ran::Yes, status: kept.status },
+            // The event does not name the status of an answer that is passed on, hence 0.
             Answer::Pass => EventKind::Answered { ran: Ran::Yes, status: 0 },
         };
         self.record_timeline_event(Some(&call_state.arrival.request), kind);
@@ -305,7 +309,8 @@
             );
         }
         if self.view.is_none() {
-            // The windows start with the host: a restarted host has no allowance from before.
+            // The windows start with the host: a restarted host has no shift credit from before its
+            // restart.
             self.shift_limiter = ShiftLimiter::with_options(self.tuning.shift, now);
         }
         let owned = self.owned_targets(&view);
@@ -314,7 +319,7 @@
             self.owners = TargetOwners::of(&view);
         }
         self.view = Some(view);
-        self.reroute_stuck(now, rng);
+        self.reroute_unservable(now, rng);
         self.serve_queues(now, rng);
     }
 
@@ -348,6 +353,7 @@
     }
 
     fn on_tick(&mut self, now: Moment, rng: &mut impl Rng) {
+        // Drops expired generations of ledger entries and starts a new one if due.
         self.ledger.rotate(now);
         self.expire_waiting_copies(now);
         self.serve_queues(now, rng);
--- a/src/selection/health.rs
+++ b/src/selection/health.rs
@@ -22,7 +22,8 @@
 const SHED_HALF_LIFE: Duration = Duration::from_secs(1);
 /// Successes that raise the ramp limit by one.
 const RAMP_SUCCESSES: u32 = 3;
-/// After this long without requests the caches of a target are assumed to be cold.
+/// After this long without requests a target counts as cold, that is, its caches are assumed to be
+/// empty. In `crate::placement`, a cold target is instead one that started recently.
 const COLD_AFTER: Duration = Duration::from_secs(300);
 /// Age up to which a load report is fully trusted.
 const REPORT_FRESH_FOR: Duration = Duration::from_secs(3);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -142,7 +142,8 @@
     let shown = text(&output);
     assert_eq!(output.status.code(), Some(1), "{shown}");
     assert!(shown.contains("split-1  1      7         1 of 1"), "{shown}");
-    assert!(shown.contains("no answer"), "{shown}");
+    assert!(shown.contains("\nno answer\n"), "{shown}");
+    assert!(shown.contains("no response from 127.0.0.1:1: "), "{shown}");
     let output = run(server.local_addr(), "token", &["status", "--json"]).await;
     let shown: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(shown["hosts"][0]["status"]["sequence"], 7);
