--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -59,7 +59,7 @@
     compare_interval: Duration::from_secs(86_400),
     first_allows_stale: true,
     change_pause: Duration::from_millis(300),
-    wait: Duration::from_secs(5),
+    max_wait: Duration::from_secs(5),
 };
 
 /// Pause of a standby watcher after a change. In a large fleet targets change all the time, and the
--- a/src/store/confirmed_put.rs
+++ b/src/store/confirmed_put.rs
@@ -1,4 +1,4 @@
-//! A write whose outcome is known in the end.
+//! A conditional write that is retried until its outcome is known.
 
 use backon::{BackoffBuilder, ExponentialBuilder};
 use bytes::Bytes;
@@ -6,26 +6,28 @@
 use super::{Expect, OperationId, Platform, PlatformError, Result, Version, VersionedObject};
 use crate::prelude::*;
 
-/// Attempts before the outcome is given up as unknown.
-const ATTEMPTS: usize = 6;
-const FIRST_DELAY: Duration = Duration::from_millis(50);
-const LONGEST_DELAY: Duration = Duration::from_secs(1);
+/// Retries before the outcome is reported as unknown.
+const MAX_RETRIES: usize = 6;
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PutOutcome {
-    /// The object is not as expected, and this write is not the last one. `uncertain` says that an
-    /// attempt of this write had no answer: it may have taken effect and then been replaced.
+    /// The precondition does not hold, and the current object is not from this write. `uncertain`
+    /// means that an attempt of this write got no answer: it may have taken effect and then have
+    /// been overwritten.
     Conflict { current: Option<VersionedObject>, uncertain: bool },
-    /// This write took effect; nobody has replaced it since.
+    /// This write took effect and was the last one of the object when that was confirmed.
     Written(Version),
 }
 
-/// Writes and, when the answer is lost, reads back the operation id instead of guessing.
+/// Writes an object. When an answer is lost, reads the object back and compares its operation id to
+/// find out whether the write took effect.
 ///
-/// Sending the write again is safe: each attempt carries the same condition, and the first one to
-/// take effect changes the version, so that no other can. An attempt still on its way through the
-/// network is refused for the same reason.
+/// Retrying is safe: all attempts have the same precondition, and the first one that takes effect
+/// changes the version, so that the others are refused. The same holds for an attempt that is still
+/// on its way through the network.
 pub async fn put_confirmed(
     platform: &dyn Platform,
     key: &str,
@@ -35,9 +37,9 @@
 ) -> Result<PutOutcome> {
     let mut uncertain = false;
     let mut delays = ExponentialBuilder::new()
-        .with_min_delay(FIRST_DELAY)
-        .with_max_delay(LONGEST_DELAY)
-        .with_max_times(ATTEMPTS)
+        .with_min_delay(MIN_RETRY_DELAY)
+        .with_max_delay(MAX_RETRY_DELAY)
+        .with_max_times(MAX_RETRIES)
         .with_jitter()
         .build();
     loop {
@@ -69,10 +71,10 @@
             let detail = err.to_string().into();
             return Err(PlatformError::Unavailable { detail, may_have_applied: uncertain });
         };
-        let least = match err {
-            PlatformError::RateLimited { retry_after } => retry_after.min(LONGEST_DELAY),
+        let min_delay = match err {
+            PlatformError::RateLimited { retry_after } => retry_after.min(MAX_RETRY_DELAY),
             _ => Duration::ZERO,
         };
-        tokio::time::sleep(delay.max(least)).await;
+        tokio::time::sleep(delay.max(min_delay)).await;
     }
 }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -7,29 +7,33 @@
 /// Result of a call to the platform.
 pub type Result<T> = std::result::Result<T, PlatformError>;
 
-/// Why a call failed.
+/// Reason why a call failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PlatformError {
-    #[error("the object was changed by someone else (version now {current:?}); read it again")]
+    #[error(
+        "the object was changed by another writer (its version is now {current:?}); read it again"
+    )]
     Conflict { current: Option<Version> },
-    #[error("too many calls; come back in {retry_after:?}")]
+    #[error("too many calls; retry after {retry_after:?}")]
     RateLimited { retry_after: Duration },
     #[error("the platform refused the call: {detail}")]
     Refused { detail: Arc<str> },
-    #[error("the value is larger than the platform takes; split it")]
+    #[error("the value exceeds the platform's size limit; split it")]
     TooLarge,
-    #[error("the platform has forgotten that version (oldest {oldest}); read everything again")]
+    #[error(
+        "the platform no longer has the changes since that version (oldest is {oldest}); list again"
+    )]
     TooOld { oldest: Version },
     #[error("the platform does not answer: {detail}")]
     Unavailable {
         detail: Arc<str>,
-        /// The call may have taken effect all the same.
+        /// The call may have taken effect although it got no answer.
         may_have_applied: bool,
     },
 }
 
 impl PlatformError {
-    /// The call may succeed when it is sent again unchanged.
+    /// Whether the same call may succeed when it is retried.
     pub fn is_transient(&self) -> bool {
         matches!(self, PlatformError::RateLimited { .. } | PlatformError::Unavailable { .. })
     }
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -1,8 +1,8 @@
-//! Following the objects under a prefix.
+//! Follows the objects under a prefix with a listing and watches.
 //!
-//! A watch can fail in more ways than with an error: it can stay silent while objects change, or
-//! the store can forget or lose versions. The first is found by comparing versions now and then,
-//! the others by listing again.
+//! A watch can fail without an error: it can stay silent while objects change, or the store can
+//! compact its history or lose versions. To detect silent watches, a follower periodically compares
+//! the versions of all objects; it recovers from all three by listing again.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,49 +12,51 @@
 use super::{Change, Changes, Entry, KeyVersion, Listing, Platform, PlatformError, Version};
 use crate::prelude::*;
 
-/// How often a follower asks.
+/// How a follower paces its calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowOptions {
-    /// Pause between a listing and the first watch after it; what changes meanwhile is told by that.
+    /// Pause between a listing and the first watch after it. That watch returns the changes made in
+    /// the meantime.
     pub list_pause: Duration,
-    /// Time between two comparisons of all versions.
+    /// Time between two comparisons of the versions of all objects.
     pub compare_interval: Duration,
-    /// Whether the first listing may be some seconds old. Who starts knows nothing, and the watch
-    /// brings the rest; later listings follow losses and must be current.
+    /// Whether the first listing may be a few seconds old; the watch after it returns what has
+    /// changed since. Later listings follow a failure or missed changes and must be current.
     pub first_allows_stale: bool,
-    /// Pause after a change: changes often come several at once, and each watch is a call.
+    /// Pause after a change. Changes often come in groups, and each watch costs a call.
     pub change_pause: Duration,
-    /// Longest time that one watch waits.
-    pub wait: Duration,
+    /// Longest time for which one watch waits for a change.
+    pub max_wait: Duration,
 }
 
 impl FollowOptions {
-    /// Where nothing else tells that a watch misses writes. With the longest wait of a watch that
-    /// stays silent (`wait` and the client's grace) a missed write goes unnoticed for 12 s at most.
+    /// Options of a follower that has no other source to detect missed writes. A missed write is
+    /// detected within 12 s: `compare_interval` and the longest time for which a watch stays silent
+    /// (`max_wait` and the client's grace period).
     pub const STANDALONE: Self = Self {
         list_pause: Duration::ZERO,
         compare_interval: Duration::from_secs(6),
         first_allows_stale: false,
         change_pause: Duration::ZERO,
-        wait: Duration::from_secs(4),
+        max_wait: Duration::from_secs(4),
     };
 }
 
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What a follower tells.
+/// Event sent by a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowEvent {
-    /// Writes since the previous update; empty if the platform record_answer that there are none.
+    /// Writes since the previous event; empty if a watch ended without any.
     Changed(Vec<Change>),
-    /// Everything there is, in place of what was told before.
+    /// All objects under the prefix; replaces everything sent before.
     Listed(Listing),
-    /// The platform did not answer; what was told before stands, and may be out of date.
+    /// A call failed; the state sent before remains valid but may be out of date.
     Failed(PlatformError),
 }
 
-/// A running follower; ends when dropped.
+/// A running follower; stops when dropped.
 pub struct Follower {
     /// In milliseconds.
     change_pause: Arc<AtomicU64>,
@@ -67,16 +69,16 @@
         platform: Arc<dyn Platform>,
         clock: Arc<dyn Clock>,
         prefix: &str,
-        pace: FollowOptions,
+        options: FollowOptions,
         tx: mpsc::Sender<FollowEvent>,
     ) -> Self {
-        let change_pause = Arc::new(AtomicU64::new(pace.change_pause.as_millis() as u64));
+        let change_pause = Arc::new(AtomicU64::new(options.change_pause.as_millis() as u64));
         let prefix = prefix.to_owned();
-        let task = tokio::spawn(follow(platform, clock, prefix, pace, change_pause.clone(), tx));
+        let task = tokio::spawn(follow(platform, clock, prefix, options, change_pause.clone(), tx));
         Self { change_pause, task }
     }
 
-    /// From now on pauses that long after a change; see `FollowOptions::change_pause`.
+    /// Changes the pause after a change, see `FollowOptions::change_pause`.
     pub fn set_change_pause(&self, change_pause: Duration) {
         self.change_pause.store(change_pause.as_millis() as u64, Ordering::Relaxed);
     }
@@ -88,7 +90,7 @@
     }
 }
 
-/// What to do next.
+/// Next action of a follower.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Step {
     Compare,
@@ -97,25 +99,25 @@
     Watch { from: Version },
 }
 
-/// Decides what to do next; knows the version of each object.
+/// State machine of a follower: knows the version of each object and decides the next action.
 #[derive(Debug)]
 pub(super) struct FollowState {
     backoff: ExponentialBackoff,
-    compared: Moment,
+    compared_at: Moment,
     is_first: bool,
     known: BTreeMap<Arc<str>, Version>,
-    pace: FollowOptions,
+    options: FollowOptions,
     pause: Option<Duration>,
     seed: u64,
     version: Option<Version>,
 }
 
 impl FollowState {
-    pub(super) fn new(seed: u64, pace: FollowOptions) -> Self {
-        let backoff = pauses(seed);
-        let (compared, known) = (Duration::ZERO, BTreeMap::new());
+    pub(super) fn new(seed: u64, options: FollowOptions) -> Self {
+        let backoff = retry_delays(seed);
+        let (compared_at, known) = (Duration::ZERO, BTreeMap::new());
         let is_first = true;
-        Self { backoff, compared, is_first, known, pace, pause: None, seed, version: None }
+        Self { backoff, compared_at, is_first, known, options, pause: None, seed, version: None }
     }
 
     pub(super) fn next(&mut self, now: Moment) -> Step {
@@ -123,34 +125,35 @@
             return Step::Pause(pause);
         }
         match self.version {
-            None => Step::List { allow_stale: self.is_first && self.pace.first_allows_stale },
-            Some(_) if self.pace.compare_interval <= now.saturating_sub(self.compared) => {
+            None => Step::List { allow_stale: self.is_first && self.options.first_allows_stale },
+            Some(_) if self.options.compare_interval <= now.saturating_sub(self.compared_at) => {
                 Step::Compare
             }
             Some(from) => Step::Watch { from },
         }
     }
 
-    pub(super) fn listed(&mut self, listing: &Listing, now: Moment) {
+    pub(super) fn record_listing(&mut self, listing: &Listing, now: Moment) {
         let known = |entry: &Entry| (entry.key.clone(), entry.object.version);
         self.is_first = false;
         self.known = listing.entries.iter().map(known).collect();
         self.version = Some(listing.version);
-        self.compared = now;
-        self.backoff = pauses(self.seed);
+        self.compared_at = now;
+        self.backoff = retry_delays(self.seed);
     }
 
-    /// Versions that differ from what the watch told: it has missed something.
-    pub(super) fn compared(&mut self, found: &[KeyVersion], now: Moment) {
+    /// Compares the store's versions with the known ones. If they differ, the watch has missed
+    /// changes, and the next step is a listing.
+    pub(super) fn record_versions(&mut self, found: &[KeyVersion], now: Moment) {
         let known = self.known.iter().map(|(key, version)| (key, *version));
         if !found.iter().map(|found| (&found.key, found.version)).eq(known) {
             self.version = None;
         }
-        self.compared = now;
-        self.backoff = pauses(self.seed);
+        self.compared_at = now;
+        self.backoff = retry_delays(self.seed);
     }
 
-    pub(super) fn changed(&mut self, changes: &Changes) {
+    pub(super) fn record_changes(&mut self, changes: &Changes) {
         for change in &changes.changes {
             match &change.object {
                 None => self.known.remove(&change.key),
@@ -158,27 +161,27 @@
             };
         }
         self.version = Some(changes.version);
-        self.backoff = pauses(self.seed);
+        self.backoff = retry_delays(self.seed);
     }
 
-    pub(super) fn failed(&mut self, err: &PlatformError) {
+    pub(super) fn record_failure(&mut self, err: &PlatformError) {
         self.is_first = false;
         if matches!(err, PlatformError::TooOld { .. }) {
             self.version = None;
         }
-        let least = match err {
+        let min_delay = match err {
             PlatformError::RateLimited { retry_after } => *retry_after,
             _ => Duration::ZERO,
         };
-        let pause = self.backoff.next().unwrap_or(LONGEST_PAUSE);
-        self.pause = Some(pause.max(least));
+        let pause = self.backoff.next().unwrap_or(MAX_RETRY_DELAY);
+        self.pause = Some(pause.max(min_delay));
     }
 }
 
-fn pauses(seed: u64) -> ExponentialBackoff {
+fn retry_delays(seed: u64) -> ExponentialBackoff {
     ExponentialBuilder::new()
-        .with_min_delay(FIRST_PAUSE)
-        .with_max_delay(LONGEST_PAUSE)
+        .with_min_delay(MIN_RETRY_DELAY)
+        .with_max_delay(MAX_RETRY_DELAY)
         .without_max_times()
         .with_jitter()
         .with_jitter_seed(seed)
@@ -189,19 +192,19 @@
     platform: Arc<dyn Platform>,
     clock: Arc<dyn Clock>,
     prefix: String,
-    pace: FollowOptions,
+    options: FollowOptions,
     change_pause: Arc<AtomicU64>,
     tx: mpsc::Sender<FollowEvent>,
 ) {
-    let mut state = FollowState::new(rand::random(), pace);
+    let mut state = FollowState::new(rand::random(), options);
     loop {
-        let told = match state.next(clock.now()) {
+        let event = match state.next(clock.now()) {
             Step::Compare => match platform.keys(&prefix).await {
                 Ok(keys) => {
-                    state.compared(&keys, clock.now());
+                    state.record_versions(&keys, clock.now());
                     None
                 }
-                Err(err) => Some(lost(&mut state, err)),
+                Err(err) => Some(record_failure(&mut state, err)),
             },
             Step::List { allow_stale } => {
                 let listing = match allow_stale {
@@ -210,32 +213,32 @@
                 };
                 match listing {
                     Ok(listing) => {
-                        state.listed(&listing, clock.now());
+                        state.record_listing(&listing, clock.now());
                         Some(FollowEvent::Listed(listing))
                     }
-                    Err(err) => Some(lost(&mut state, err)),
+                    Err(err) => Some(record_failure(&mut state, err)),
                 }
             }
             Step::Pause(pause) => {
                 tokio::time::sleep(pause).await;
                 None
             }
-            Step::Watch { from } => match platform.watch(&prefix, from, pace.wait).await {
+            Step::Watch { from } => match platform.watch(&prefix, from, options.max_wait).await {
                 Ok(changes) => {
-                    state.changed(&changes);
+                    state.record_changes(&changes);
                     Some(FollowEvent::Changed(changes.changes))
                 }
-                Err(err) => Some(lost(&mut state, err)),
+                Err(err) => Some(record_failure(&mut state, err)),
             },
         };
-        let Some(told) = told else { continue };
-        let pause = match &told {
+        let Some(event) = event else { continue };
+        let pause = match &event {
             FollowEvent::Changed(changes) if changes.is_empty() => Duration::ZERO,
             FollowEvent::Changed(_) => Duration::from_millis(change_pause.load(Ordering::Relaxed)),
-            FollowEvent::Listed(_) => pace.list_pause,
+            FollowEvent::Listed(_) => options.list_pause,
             FollowEvent::Failed(_) => Duration::ZERO,
         };
-        if tx.send(told).await.is_err() {
+        if tx.send(event).await.is_err() {
             return;
         }
         if !pause.is_zero() {
@@ -244,7 +247,7 @@
     }
 }
 
-fn lost(state: &mut FollowState, err: PlatformError) -> FollowEvent {
-    state.failed(&err);
+fn record_failure(state: &mut FollowState, err: PlatformError) -> FollowEvent {
+    state.record_failure(&err);
     FollowEvent::Failed(err)
 }
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! Client of the object API over HTTP.
 
 use std::sync::Mutex;
 
@@ -16,21 +16,22 @@
 };
 use crate::{base::BootClock, prelude::*};
 
-/// Longest time for a connection, and for a call from its start to its answer's last byte.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a call, from its start to the last byte of the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How much longer than asked a watch may take. One that stays silent past that is broken.
+/// Time added to the requested wait for the timeout of a watch. A watch that stays silent longer is
+/// broken.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// Attempts at a read.
+/// Retries of a read after transient errors.
 const READ_RETRIES: usize = 2;
-const READ_DELAY: Duration = Duration::from_millis(50);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Pause after a refusal that names none.
+/// Pause after a 429 response without a `Retry-After` header.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Client of the object API: deadlines, a breaker, and every call counted against a budget.
+/// Client of the object API, with timeouts, a circuit breaker and a rate limiter.
 pub struct HttpPlatform {
     address: SocketAddr,
     client: Client,
@@ -40,10 +41,10 @@
 
 struct Guards {
     breaker: CircuitBreaker,
-    budget: CallRateLimiter,
+    limiter: CallRateLimiter,
 }
 
-/// What an operator sees of the client.
+/// State of the client, as shown to operators.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlatformClientState {
     pub breaker: BreakerState,
@@ -51,12 +52,12 @@
 }
 
 impl HttpPlatform {
-    /// A client with the budget of one host. Nothing is sent yet.
+    /// Returns a client with the rate limits of one host. Sends nothing yet.
     pub fn new(address: SocketAddr) -> Result<Self> {
         Self::with_limits(address, RateLimits::HOST, Arc::new(BootClock))
     }
 
-    /// A client with a budget of its own.
+    /// Returns a client with the given rate limits. Sends nothing yet.
     pub fn with_limits(
         address: SocketAddr,
         limits: RateLimits,
@@ -69,23 +70,23 @@
             .retry(reqwest::retry::never())
             .build()
             .map_err(|err| refused(&err.to_string()))?;
-        let budget = CallRateLimiter::new(limits, clock.now());
-        let guards = Mutex::new(Guards { breaker: CircuitBreaker::new(rand::random()), budget });
+        let limiter = CallRateLimiter::new(limits, clock.now());
+        let guards = Mutex::new(Guards { breaker: CircuitBreaker::new(rand::random()), limiter });
         Ok(Self { address, client, clock, guards })
     }
 
-    /// CircuitBreaker state and calls so far.
+    /// Returns the state of the circuit breaker and the calls so far.
     pub fn state(&self) -> PlatformClientState {
         let guards = self.guards();
-        PlatformClientState { breaker: guards.breaker.state(), counts: guards.budget.counts() }
+        PlatformClientState { breaker: guards.breaker.state(), counts: guards.limiter.counts() }
     }
 
     fn guards(&self) -> std::sync::MutexGuard<'_, Guards> {
         self.guards.lock().expect("no holder of this lock panics")
     }
 
-    fn object(&self, method: Method, key: &str, expect: Expect) -> Result<RequestBuilder> {
-        check(key)?;
+    fn write_request(&self, method: Method, key: &str, expect: Expect) -> Result<RequestBuilder> {
+        check_key(key)?;
         let req = self.request(method, &format!("objects/{key}"));
         Ok(match expect {
             Expect::Absent => req.header(header::IF_NONE_MATCH, "*"),
@@ -97,33 +98,38 @@
         self.client.request(method, format!("http://{}/v1/{path}", self.address))
     }
 
-    /// Sends one call and reads the whole answer: an answer cut short is none.
-    async fn call(&self, kind: CallKind, req: RequestBuilder, limit: Duration) -> Result<Answer> {
+    /// Sends one call and reads the complete response. A truncated response counts as no answer.
+    async fn call(
+        &self,
+        kind: CallKind,
+        req: RequestBuilder,
+        timeout: Duration,
+    ) -> Result<CallResponse> {
         let now = self.clock.now();
         {
             let mut guards = self.guards();
-            let held = |retry_after| PlatformError::RateLimited { retry_after };
-            guards.budget.take(kind, now).map_err(held)?;
+            let limited = |retry_after| PlatformError::RateLimited { retry_after };
+            guards.limiter.take(kind, now).map_err(limited)?;
             guards.breaker.admit(now).map_err(|pause| PlatformError::Unavailable {
-                detail: format!("paused for {pause:?} after failures").into(),
+                detail: format!("circuit breaker open for {pause:?} after failures").into(),
                 may_have_applied: false,
             })?;
         }
-        let mut probe = Probe { done: false, platform: self };
-        let outcome = tokio::time::timeout(limit, answer(req)).await;
-        probe.done = true;
-        let outcome = outcome.unwrap_or_else(|_| Err(unavailable("no answer in time", true)));
+        let mut guard = CancelGuard { done: false, platform: self };
+        let outcome = tokio::time::timeout(timeout, send(req)).await;
+        guard.done = true;
+        let outcome = outcome.unwrap_or_else(|_| Err(unavailable("the call timed out", true)));
         let mut guards = self.guards();
         match &outcome {
             Ok(answer) if !answer.status.is_server_error() => guards.breaker.record_answer(),
-            _ => guards.breaker.failed(self.clock.now()),
+            _ => guards.breaker.record_failure(self.clock.now()),
         }
-        outcome?.accept()
+        outcome?.check_status()
     }
 
-    async fn read(&self, path: &str) -> Result<Answer> {
+    async fn read(&self, path: &str) -> Result<CallResponse> {
         let delays = ExponentialBuilder::new()
-            .with_min_delay(READ_DELAY)
+            .with_min_delay(READ_RETRY_DELAY)
             .with_max_times(READ_RETRIES)
             .with_jitter();
         let attempt = || self.call(CallKind::Read, self.request(Method::GET, path), CALL_TIMEOUT);
@@ -131,14 +137,14 @@
     }
 }
 
-/// Tells the breaker when the caller of the platform leaves before the answer: a half-open breaker
-/// would wait for that answer for ever.
-struct Probe<'a> {
+/// Reports a cancelled call to the circuit breaker. Without that, a half-open breaker would wait
+/// for the result of its probe for ever.
+struct CancelGuard<'a> {
     done: bool,
     platform: &'a HttpPlatform,
 }
 
-impl Drop for Probe<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if !self.done {
             let now = self.platform.clock.now();
@@ -150,22 +156,24 @@
 #[async_trait]
 impl Platform for HttpPlatform {
     async fn delete(&self, key: &str, expect: Expect, operation: OperationId) -> Result<Version> {
-        let req =
-            self.object(Method::DELETE, key, expect)?.header(wire::OPERATION_HEADER, &*operation);
+        let req = self
+            .write_request(Method::DELETE, key, expect)?
+            .header(wire::OPERATION_HEADER, &*operation);
         let written: wire::WriteResponse =
             self.call(CallKind::Write, req, CALL_TIMEOUT).await?.json()?;
         Ok(written.version)
     }
 
     async fn get(&self, key: &str) -> Result<Option<VersionedObject>> {
-        check(key)?;
+        check_key(key)?;
         let answer = self.read(&format!("objects/{key}")).await?;
         if answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
         let operation = answer.header(wire::OPERATION_HEADER)?.into();
         let version = answer.header(wire::VERSION_HEADER)?;
-        let version = version.parse().map_err(|_| refused("its version is no number"))?;
+        let version =
+            version.parse().map_err(|_| refused("the response has an invalid version"))?;
         Ok(Some(VersionedObject { operation, value: answer.body, version }))
     }
 
@@ -180,7 +188,7 @@
     async fn list(&self, prefix: &str) -> Result<Listing> {
         let answer = self.read(&format!("list?prefix={prefix}")).await?;
         let objects: wire::ObjectsResponse = answer.json()?;
-        objects.into_listing().ok_or_else(|| refused("a value is no base64"))
+        objects.into_listing().ok_or_else(|| refused("the response has a value that is not base64"))
     }
 
     async fn put(
@@ -193,7 +201,7 @@
         if MAX_VALUE_BYTES < value.len() {
             return Err(PlatformError::TooLarge);
         }
-        let req = self.object(Method::PUT, key, expect)?.body(value);
+        let req = self.write_request(Method::PUT, key, expect)?.body(value);
         let req = req.header(wire::OPERATION_HEADER, &*operation);
         let written: wire::WriteResponse =
             self.call(CallKind::Write, req, CALL_TIMEOUT).await?.json()?;
@@ -205,19 +213,19 @@
         let req = self.request(Method::GET, &path);
         let answer = self.call(CallKind::Watch, req, wait + WATCH_GRACE).await?;
         let objects: wire::ObjectsResponse = answer.json()?;
-        objects.into_changes().ok_or_else(|| refused("a value is no base64"))
+        objects.into_changes().ok_or_else(|| refused("the response has a value that is not base64"))
     }
 }
 
-struct Answer {
+struct CallResponse {
     body: Bytes,
     headers: http::HeaderMap,
     status: StatusCode,
 }
 
-impl Answer {
-    /// Turns the statuses of the protocol's failures into errors.
-    fn accept(self) -> Result<Self> {
+impl CallResponse {
+    /// Converts error statuses of the protocol into errors.
+    fn check_status(self) -> Result<Self> {
         match self.status {
             StatusCode::OK | StatusCode::NOT_FOUND => Ok(self),
             StatusCode::GONE => {
@@ -232,8 +240,10 @@
                 let secs = secs.and_then(|secs| secs.parse().ok()).map(Duration::from_secs);
                 Err(PlatformError::RateLimited { retry_after: secs.unwrap_or(DEFAULT_RETRY_AFTER) })
             }
-            // Refused before anything was done, as the protocol says.
-            StatusCode::SERVICE_UNAVAILABLE => Err(unavailable("it is out of service", false)),
+            // The protocol guarantees that a call refused with this status had no effect.
+            StatusCode::SERVICE_UNAVAILABLE => {
+                Err(unavailable("out of service (status 503)", false))
+            }
             status if status.is_server_error() => Err(unavailable(status.as_str(), true)),
             status => Err(refused(status.as_str())),
         }
@@ -241,7 +251,7 @@
 
     fn header(&self, name: &str) -> Result<&str> {
         let value = self.headers.get(name).and_then(|value| value.to_str().ok());
-        value.ok_or_else(|| refused(&format!("its answer has no {name}")))
+        value.ok_or_else(|| refused(&format!("the response has no {name} header")))
     }
 
     fn json<T: DeserializeOwned>(&self) -> Result<T> {
@@ -249,17 +259,17 @@
     }
 }
 
-async fn answer(req: RequestBuilder) -> Result<Answer> {
-    let lost = |err: reqwest::Error| unavailable(&err.to_string(), !err.is_connect());
-    let response: Response = req.send().await.map_err(lost)?;
+async fn send(req: RequestBuilder) -> Result<CallResponse> {
+    let no_answer = |err: reqwest::Error| unavailable(&err.to_string(), !err.is_connect());
+    let response: Response = req.send().await.map_err(no_answer)?;
     let (status, headers) = (response.status(), response.headers().clone());
-    let body = response.bytes().await.map_err(lost)?;
-    Ok(Answer { body, headers, status })
+    let body = response.bytes().await.map_err(no_answer)?;
+    Ok(CallResponse { body, headers, status })
 }
 
-/// Keys and prefixes stand in paths and queries as they are.
-fn check(key: &str) -> Result<()> {
-    if is_valid_key(key) { Ok(()) } else { Err(refused("malformed key")) }
+/// Refuses keys that would need escaping. Keys and prefixes are put into paths and queries unescaped.
+fn check_key(key: &str) -> Result<()> {
+    if is_valid_key(key) { Ok(()) } else { Err(refused("invalid key")) }
 }
 
 fn refused(detail: &str) -> PlatformError {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's object API: versions, conditional updates, watches.
+//! The platform's object API: versioned objects, conditional updates, watches.
 //!
-//! The rest of the crate knows the trait only. `HttpPlatform` speaks the protocol of
-//! `docs/PLATFORM.md`; another API can be put in its place.
+//! The rest of the crate depends on the `Platform` trait only. `HttpPlatform` implements it with
+//! the protocol described in `docs/PLATFORM.md`; other implementations can replace it.
 
 mod circuit_breaker;
 mod confirmed_put;
@@ -31,34 +31,34 @@
     rate_limit::{CallCounts, CallKind, CallRateLimiter, RateLimits},
 };
 
-/// An object API with versions. Every call may fail, be slow, or lose its answer after it took
+/// An API for versioned objects. Every call may fail, be slow, or lose its answer after it took
 /// effect.
 #[async_trait::async_trait]
 pub trait Platform: Send + Sync {
-    /// Removes an object if it still has the version that `expect` names.
+    /// Deletes an object if it meets the precondition `expect`.
     async fn delete(&self, key: &str, expect: Expect, operation: OperationId) -> Result<Version>;
 
-    /// The object of that key.
+    /// Returns the object with this key.
     async fn get(&self, key: &str) -> Result<Option<VersionedObject>>;
 
-    /// Keys and versions of the objects under `prefix`, without their values.
+    /// Returns the keys and versions of the objects under `prefix`, without their values.
     async fn keys(&self, prefix: &str) -> Result<Vec<KeyVersion>> {
         let listing = self.list(prefix).await?;
         let key = |entry: Entry| KeyVersion { key: entry.key, version: entry.object.version };
         Ok(listing.entries.into_iter().map(key).collect())
     }
 
-    /// Every object whose key begins with `prefix`, and the store's version at that moment.
+    /// Returns every object whose key begins with `prefix`, and the store's version at that time.
     async fn list(&self, prefix: &str) -> Result<Listing>;
 
-    /// The same as it was some seconds ago at most, where the store gives that more cheaply. A watch
-    /// from its version tells all that has changed since.
+    /// Like `list`, but the result may be a few seconds old if the store serves such reads more
+    /// cheaply. A watch from the version of the result returns everything that changed since.
     async fn list_allow_stale(&self, prefix: &str) -> Result<Listing> {
         self.list(prefix).await
     }
 
-    /// Writes an object if it still is as `expect` says; the result is its new version.
-    /// `operation` is stored with it, so that a writer can recognise its own write.
+    /// Writes an object if it meets the precondition `expect`, and returns its new version.
+    /// `operation` is stored with the object, so that a writer can recognise its own write.
     async fn put(
         &self,
         key: &str,
@@ -67,8 +67,9 @@
         operation: OperationId,
     ) -> Result<Version>;
 
-    /// Changes after the store's version `from` of keys that begin with `prefix`. Answers at once
-    /// when there are some, else with none when `wait` has passed. `PlatformError::TooOld` means
-    /// that some of the changes are forgotten: list again.
+    /// Returns the changes after the store's version `from` of keys that begin with `prefix`:
+    /// immediately if there are any, otherwise at the first change, or none once `wait` has passed.
+    /// `PlatformError::TooOld` means that the store no longer has all of these changes and the
+    /// caller must list again.
     async fn watch(&self, prefix: &str, from: Version, wait: Duration) -> Result<Changes>;
 }
--- a/src/store/model.rs
+++ b/src/store/model.rs
@@ -1,4 +1,4 @@
-//! Objects and their versions.
+//! Objects, versions and changes of the store.
 
 use std::sync::Arc;
 
@@ -10,25 +10,24 @@
 /// Longest key, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
 
-/// Version of the whole store: rises with every write, not always by one. The version of an object
-/// is the store's version at its last write, so that no two states of a key share one.
+/// Version of the whole store. It increases with every write, not always by one. The version of an
+/// object is the store's version at its last write, so no two states of a key share a version.
 pub type Version = u64;
 
-/// Names one intended write; drawn anew for each.
+/// Identifies one intended write, across its retries; each write gets a new random id.
 pub type OperationId = Arc<str>;
 
-/// Whether `key` can be one: it then needs no escaping in a path.
+/// Whether `key` is a valid key. Valid keys need no escaping in a URL path.
 pub fn is_valid_key(key: &str) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
-    (1..=MAX_KEY_BYTES).contains(&key.len()) && key.chars().all(plain)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
+    (1..=MAX_KEY_BYTES).contains(&key.len()) && key.chars().all(is_allowed)
 }
 
-/// A new operation id.
 pub fn new_operation_id() -> OperationId {
     uuid::Uuid::new_v4().to_string().into()
 }
 
-/// A value and the write that put it there.
+/// A value with its version and the id of the write that stored it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VersionedObject {
     pub operation: OperationId,
@@ -36,22 +35,22 @@
     pub version: Version,
 }
 
-/// What a conditional update is conditional on.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Expect {
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The object has this version.
     Version(Version),
 }
 
 impl Expect {
-    /// That the object still is as it was read.
+    /// Returns the precondition that the object is unchanged since it was read.
     pub fn unchanged(read: Option<&VersionedObject>) -> Self {
         read.map_or(Expect::Absent, |object| Expect::Version(object.version))
     }
 
-    /// Whether an object of that version meets the expectation.
+    /// Whether an object with this version, or none, meets the precondition.
     pub fn is_met_by(self, version: Option<Version>) -> bool {
         match self {
             Expect::Absent => version.is_none(),
@@ -67,23 +66,23 @@
     pub object: VersionedObject,
 }
 
-/// An object without its value.
+/// Key and version of an object, without its value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyVersion {
     pub key: Arc<str>,
     pub version: Version,
 }
 
-/// Objects at one moment.
+/// Objects at one point in time.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Listing {
     /// Sorted by key.
     pub entries: Vec<Entry>,
-    /// The store's version: a watch goes on from here.
+    /// The store's version; a watch continues from here.
     pub version: Version,
 }
 
-/// One write seen by a watch.
+/// One write or delete reported by a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
     pub key: Arc<str>,
@@ -92,10 +91,10 @@
     pub version: Version,
 }
 
-/// Writes seen by a watch, in their order.
+/// Writes and deletes reported by a watch, in order.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Changes {
     pub changes: Vec<Change>,
-    /// The store's version: the next watch goes on from here.
+    /// The store's version; the next watch continues from here.
     pub version: Version,
 }
--- a/src/store/rate_limit.rs
+++ b/src/store/rate_limit.rs
@@ -1,10 +1,11 @@
-//! Calls to the platform, counted by kind and held under a budget.
+//! Counts calls to the platform by kind and limits their rate.
 //!
-//! The platform's rates are for everybody: one host in a loop must not take them from all others.
+//! The platform's rate limits are shared by all clients: a host that calls in a loop must not use
+//! them up for the others.
 
 use crate::prelude::*;
 
-/// Kind of a call, as the platform counts them.
+/// Kind of a call. The platform limits the rate of each kind separately.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CallKind {
@@ -13,17 +14,17 @@
     Write,
 }
 
-/// Calls so far.
+/// Number of calls by kind.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallCounts {
-    /// Refused by the own budget, so never sent.
+    /// Refused by the client's own rate limiter and never sent.
     pub held_back: u64,
     pub reads: u64,
     pub watches: u64,
     pub writes: u64,
 }
 
-/// Most calls a second, by kind; short bursts of `BURST_SECONDS` are allowed.
+/// Maximum calls per second by kind; bursts of up to `BURST_SECONDS` worth of calls are allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimits {
     pub reads: f64,
@@ -31,19 +32,19 @@
     pub writes: f64,
 }
 
-/// How many seconds' worth of calls may come at once.
+/// Capacity of each token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 5.0;
 
 impl RateLimits {
-    /// Of one host: with 1,700 hosts idle they use next to nothing, and a few that restart at once
-    /// stay far below the platform's rates.
+    /// Limits of one host. 1,700 idle hosts make almost no calls, and a few hosts that restart at
+    /// once stay far below the platform's limits.
     pub const HOST: Self = Self { reads: 10.0, watches: 4.0, writes: 4.0 };
 
-    /// Of a client that writes a manifest with hundreds of parts.
+    /// Limits of a client that writes a manifest with hundreds of parts.
     pub const OPERATOR: Self = Self { reads: 100.0, watches: 4.0, writes: 40.0 };
 }
 
-/// Token buckets by kind of call.
+/// Limits the rate of calls with one token bucket per kind.
 #[derive(Debug)]
 pub struct CallRateLimiter {
     counts: CallCounts,
@@ -53,7 +54,7 @@
 }
 
 impl CallRateLimiter {
-    /// A full budget.
+    /// Returns a limiter with full buckets.
     pub fn new(limits: RateLimits, now: Moment) -> Self {
         Self {
             counts: CallCounts::default(),
@@ -63,12 +64,12 @@
         }
     }
 
-    /// Calls so far.
+    /// Returns the calls counted since the start.
     pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
-    /// Takes one call; if there is none left, the time until there is.
+    /// Takes a token for one call. If none is left, the error is the time until there is one.
     pub fn take(&mut self, kind: CallKind, now: Moment) -> Result<(), Duration> {
         let (bucket, count) = match kind {
             CallKind::Read => (&mut self.reads, &mut self.counts.reads),
@@ -88,24 +89,25 @@
 
 #[derive(Debug)]
 struct TokenBucket {
-    filled: Moment,
-    level: f64,
+    refilled_at: Moment,
+    tokens: f64,
     rate: f64,
 }
 
 impl TokenBucket {
     fn new(rate: f64, now: Moment) -> Self {
-        Self { filled: now, level: rate * BURST_SECONDS, rate }
+        Self { refilled_at: now, tokens: rate * BURST_SECONDS, rate }
     }
 
     fn take(&mut self, now: Moment) -> Result<(), Duration> {
-        let passed = now.saturating_sub(self.filled);
-        self.filled = now;
-        self.level = (self.level + passed.as_secs_f64() * self.rate).min(self.rate * BURST_SECONDS);
-        if self.level < 1.0 {
-            return Err(Duration::from_secs_f64((1.0 - self.level) / self.rate));
+        let elapsed = now.saturating_sub(self.refilled_at);
+        self.refilled_at = now;
+        self.tokens =
+            (self.tokens + elapsed.as_secs_f64() * self.rate).min(self.rate * BURST_SECONDS);
+        if self.tokens < 1.0 {
+            return Err(Duration::from_secs_f64((1.0 - self.tokens) / self.rate));
         }
-        self.level -= 1.0;
+        self.tokens -= 1.0;
         Ok(())
     }
 }
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,4 +1,5 @@
-//! JSON of the object API, as `docs/PLATFORM.md` gives it. Shared by the client and the stand-in.
+//! JSON bodies and headers of the object API, shared by the client and the stand-in of the platform
+//! (`standin::platform`). `docs/PLATFORM.md` describes the protocol.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 
@@ -8,28 +9,28 @@
 /// Header with the operation id of a write.
 pub const OPERATION_HEADER: &str = "object-operation";
 
-/// Header with the version of the object in an answer to a read.
+/// Header with the version of the object in the response to a read.
 pub const VERSION_HEADER: &str = "object-version";
 
-/// Answer to a write.
+/// Response to a write.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WriteResponse {
     pub version: Version,
 }
 
-/// Answer to a write whose expectation was not met.
+/// Response to a write whose precondition was not met.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConflictResponse {
     pub version: Option<Version>,
 }
 
-/// Answer to a watch from a forgotten version.
+/// Response to a watch from a version whose later changes the store no longer has.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TooOldResponse {
     pub oldest: Version,
 }
 
-/// Answer to a listing or a watch.
+/// Response to a listing or a watch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ObjectsResponse {
     pub objects: Vec<ObjectRecord>,
@@ -37,7 +38,7 @@
     pub version: Version,
 }
 
-/// One object; without `value` it was deleted.
+/// One object; it was deleted if it has no `value`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ObjectRecord {
     pub key: Arc<str>,
@@ -74,14 +75,14 @@
 }
 
 impl ObjectsResponse {
-    /// As changes; `None` if a value can't be decoded.
+    /// Converts into changes; `None` if a value can't be decoded.
     pub fn into_changes(self) -> Option<Changes> {
         let changes =
             self.objects.into_iter().map(ObjectRecord::into_change).collect::<Option<_>>()?;
         Some(Changes { changes, version: self.version })
     }
 
-    /// As a listing; `None` if a value can't be decoded.
+    /// Converts into a listing; `None` if a value can't be decoded.
     pub fn into_listing(self) -> Option<Listing> {
         let changes = self.into_changes()?;
         let entry = |change: Change| {
