--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, as it lies in the store.
+//! Decodes the operators' configuration from its object in the store.
 
 use crate::{
     base::span_text,
@@ -9,7 +9,7 @@
     prelude::*,
 };
 
-/// An object of the store; `spec` holds what its writer wrote.
+/// Object of the store; `spec` holds the configuration.
 #[derive(Deserialize)]
 struct Object {
     spec: Config,
@@ -30,7 +30,7 @@
     version: String,
 }
 
-/// Bounds of what callers send.
+/// Limits on requests of callers.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Limits {
@@ -39,7 +39,7 @@
     max_body_bytes: usize,
 }
 
-/// One host name.
+/// Rules of one host name.
 #[derive(Deserialize)]
 struct Listener {
     hostname: Arc<str>,
@@ -51,7 +51,7 @@
 #[serde(rename_all = "camelCase")]
 struct Rule {
     action: Action,
-    /// What may be repeated: `unsafe` for requests that may not.
+    /// Whether requests are idempotent: `safe` and `download` are, others such as `unsafe` are not.
     kind: String,
     #[serde(rename = "match")]
     matches: Match,
@@ -62,7 +62,7 @@
     public: bool,
     #[serde(default)]
     session_affinity: bool,
-    /// Time within which an answer earns its full worth.
+    /// Latency objective: responses within this time have their full value.
     #[serde(with = "span_text::field")]
     target_latency: Duration,
 }
@@ -73,24 +73,24 @@
     path_prefix: Arc<str>,
 }
 
-/// Where a request goes.
+/// How a request is routed.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Action {
     #[serde(default)]
     allowed_regions: Vec<RegionId>,
-    #[serde(default = "one")]
+    #[serde(default = "default_max_attempts")]
     max_attempts: u32,
     service: Option<ServiceId>,
     #[serde(with = "span_text::field")]
     timeout: Duration,
-    /// In place of `service`.
+    /// Weighted services, used if `service` is absent.
     #[serde(default)]
-    traffic_split: Vec<Part>,
+    traffic_split: Vec<WeightedService>,
 }
 
 #[derive(Deserialize)]
-struct Part {
+struct WeightedService {
     service: ServiceId,
     weight: f64,
 }
@@ -99,10 +99,10 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Cluster {
-    /// Requests a second that a cold target takes.
-    #[serde(default = "one_a_second")]
+    /// Requests per second that a cold target may receive.
+    #[serde(default = "default_cold_rate")]
     cold_per_s: f64,
-    /// Time for which a target stays cold after its start.
+    /// Time for which a target stays cold after it starts.
     #[serde(default, with = "span_text::optional")]
     cold_start: Option<Duration>,
     #[serde(default)]
@@ -110,27 +110,28 @@
     name: ServiceId,
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
-/// Slow enough for any target, where the configuration names no rate.
-fn one_a_second() -> f64 {
+/// Used if the configuration has no rate; slow enough for any target.
+fn default_cold_rate() -> f64 {
     1.0
 }
 
-/// Reads the configuration.
-pub fn read(object: &[u8]) -> Result<Declaration, DecodeError> {
+/// Decodes the configuration.
+pub fn decode(object: &[u8]) -> Result<Declaration, DecodeError> {
     let object: Object =
         serde_json::from_slice(object).map_err(|error| DecodeError(error.to_string().into()))?;
     let config = object.spec;
-    let version = u64::from_str_radix(&config.version, 16)
-        .map_err(|_| DecodeError(format!("`{}` is no version", config.version).into()))?;
-    let mut hosts: BTreeMap<Arc<str>, Vec<Arc<Route>>> = BTreeMap::new();
+    let version = u64::from_str_radix(&config.version, 16).map_err(|_| {
+        DecodeError(format!("`{}` is not a hexadecimal version", config.version).into())
+    })?;
+    let mut routes_by_host: BTreeMap<Arc<str>, Vec<Arc<Route>>> = BTreeMap::new();
     for listener in config.listeners {
-        let name = listener.hostname.clone();
-        let routes = hosts.entry(listener.hostname).or_default();
-        routes.extend(listener.rules.into_iter().map(|rule| Arc::new(route(&name, rule))));
+        let hostname = listener.hostname.clone();
+        let routes = routes_by_host.entry(listener.hostname).or_default();
+        routes.extend(listener.rules.into_iter().map(|rule| Arc::new(route(&hostname, rule))));
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
     }
     let rules = |cluster: Cluster| {
@@ -143,7 +144,7 @@
     };
     Ok(Declaration {
         max_body_bytes: config.limits.max_body_bytes,
-        routes: hosts,
+        routes: routes_by_host,
         idle_timeout: config.limits.idle_timeout,
         services: config.clusters.into_iter().map(rules).collect(),
         teams: teams(config.tenants)?,
@@ -153,7 +154,7 @@
 
 fn teams(tenants: Vec<serde_json::Value>) -> Result<Teams, DecodeError> {
     let teams = tenants.iter().map(team).collect::<Result<_, _>>()?;
-    Teams::new(teams).map_err(unreadable)
+    Teams::new(teams).map_err(decode_error)
 }
 
 fn team(tenant: &serde_json::Value) -> Result<(Team, Vec<KeyDigest>), DecodeError> {
@@ -167,7 +168,7 @@
     let regions = field(tenant, "allowedRegions", &name)?.unwrap_or_default();
     let priority = field(tenant, "priority", &name)?;
     if let Some(at) = api_keys.iter().position(String::is_empty) {
-        return Err(unreadable(TeamError::EmptyKey { at: at + 1, team: name }));
+        return Err(decode_error(TeamError::EmptyKey { at: at + 1, team: name }));
     }
     let digest = |text: &String| {
         KeyDigest::parse(text)
@@ -175,7 +176,7 @@
     };
     let mut keys: Vec<KeyDigest> = key_digests.iter().map(digest).collect::<Result<_, _>>()?;
     keys.extend(api_keys.iter().map(|key| KeyDigest::of(key.as_bytes())));
-    let limit = TeamLimit::new(&name, rate, burst).map_err(unreadable)?;
+    let limit = TeamLimit::new(&name, rate, burst).map_err(decode_error)?;
     Ok((Team { limit, name, priority, allowed_regions: regions }, keys))
 }
 
@@ -189,11 +190,11 @@
         .map_err(|_| DecodeError(format!("team `{team}`: `{field}` has the wrong type").into()))
 }
 
-fn unreadable(error: TeamError) -> DecodeError {
+fn decode_error(error: TeamError) -> DecodeError {
     DecodeError(error.to_string().into())
 }
 
-fn route(host: &str, rule: Rule) -> Route {
+fn route(hostname: &str, rule: Rule) -> Route {
     let action = rule.action;
     let split = match action.service {
         Some(service) => vec![(service, 1.0)],
@@ -202,7 +203,7 @@
     let idempotent = matches!(rule.kind.as_str(), "safe" | "download");
     Route {
         max_attempts: action.max_attempts,
-        key: format!("{host}{}", rule.matches.path_prefix).into(),
+        key: format!("{hostname}{}", rule.matches.path_prefix).into(),
         objective: rule.target_latency,
         prefix: rule.matches.path_prefix,
         priority: rule.priority,
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! Names of headers, and what they hold.
+//! Names of the platform's headers, and how their values are read and written.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header};
 
@@ -7,67 +7,72 @@
     prelude::*,
 };
 
-/// Id of one attempt of a caller; targets and hosts repeat it in their answers.
-const ATTEMPT: HeaderName = HeaderName::from_static("lavenderplank-attempt-id");
-/// Whole milliseconds that the caller still waits.
+/// Id of one attempt of a caller; targets and hosts copy it into their responses.
+const ATTEMPT_ID: HeaderName = HeaderName::from_static("lavenderplank-attempt-id");
+/// Time for which the caller still waits, in whole milliseconds.
 const TIME_LEFT: HeaderName = HeaderName::from_static("lavenderplank-time-remaining");
-/// Id of the only target that may run the request.
-const EXPECTED: HeaderName = HeaderName::from_static("lavenderplank-expected-instance");
-/// Signature of a target's answer.
-const SEAL: HeaderName = HeaderName::from_static("lavenderplank-server-seal");
-/// Present where the target has not run the request.
-const NOT_RUN: HeaderName = HeaderName::from_static("lavenderplank-not-executed");
-/// Running and waiting requests and slots, with commas.
+/// Id of the only target that may execute the request.
+const EXPECTED_TARGET: HeaderName = HeaderName::from_static("lavenderplank-expected-instance");
+/// Signature of a target's response.
+const SIGNATURE: HeaderName = HeaderName::from_static("lavenderplank-server-seal");
+/// Present if the target did not execute the request.
+const NOT_EXECUTED: HeaderName = HeaderName::from_static("lavenderplank-not-executed");
+/// Numbers of running requests, waiting requests and slots, separated by commas.
 const LOAD: HeaderName = HeaderName::from_static("lavenderplank-server-load");
-/// Time that the target stays cold.
-const COLD: HeaderName = HeaderName::from_static("lavenderplank-cold-remaining");
+/// Time for which the target stays cold.
+const COLD_REMAINING: HeaderName = HeaderName::from_static("lavenderplank-cold-remaining");
 /// Key of the caller's team.
-const KEY: HeaderName = HeaderName::from_static("lavenderplank-key");
+const TEAM_KEY: HeaderName = HeaderName::from_static("lavenderplank-key");
 /// Name of the caller's team, set by the host.
-const TEAM: HeaderName = HeaderName::from_static("lavenderplank-tenant");
-/// Cookie with the object that a request is about.
+const TEAM_NAME: HeaderName = HeaderName::from_static("lavenderplank-tenant");
+/// Cookie that names the object of a request.
 const OBJECT_COOKIE: &str = "Lavenderplank-Affinity-Key";
 
-/// Reads what a caller says.
-pub fn caller(headers: &HeaderMap) -> CallerMetadata {
-    let left = text(headers, &TIME_LEFT).and_then(|text| text.trim().parse().ok());
+/// Reads the headers of a caller's request.
+pub fn caller_metadata(headers: &HeaderMap) -> CallerMetadata {
+    let time_left = text(headers, &TIME_LEFT).and_then(|text| text.trim().parse().ok());
     CallerMetadata {
-        attempt_id: text(headers, &ATTEMPT).map(Arc::from),
-        key: key(headers),
-        object: object(headers),
-        time_left: left.map(Duration::from_millis),
+        attempt_id: text(headers, &ATTEMPT_ID).map(Arc::from),
+        key: caller_key(headers),
+        object: object_cookie(headers),
+        time_left: time_left.map(Duration::from_millis),
     }
 }
 
-/// Reads what a target says.
-pub fn reply(status: StatusCode, headers: &HeaderMap) -> ReplyMetadata {
+/// Reads the status and headers of a target's response.
+pub fn reply_metadata(status: StatusCode, headers: &HeaderMap) -> ReplyMetadata {
     ReplyMetadata {
-        attempt_id: text(headers, &ATTEMPT).map(Arc::from),
-        cold_for: text(headers, &COLD).and_then(crate::base::span_text::parse),
-        load: text(headers, &LOAD).and_then(load),
-        not_run: headers.contains_key(&NOT_RUN),
+        attempt_id: text(headers, &ATTEMPT_ID).map(Arc::from),
+        cold_for: text(headers, &COLD_REMAINING).and_then(crate::base::span_text::parse),
+        load: text(headers, &LOAD).and_then(parse_load),
+        not_run: headers.contains_key(&NOT_EXECUTED),
         wrong_target: status == StatusCode::MISDIRECTED_REQUEST,
-        signed: headers.contains_key(&SEAL),
+        signed: headers.contains_key(&SIGNATURE),
     }
 }
 
-/// Marks a request for one target, and replaces the key by the name of the team.
-pub fn mark(headers: &mut HeaderMap, target: &TargetId, team: Option<&TeamId>, left: Duration) {
-    headers.remove(KEY);
-    headers.remove(TEAM);
+/// Adds the headers of a request to a target, and replaces the caller's key by the team's name.
+pub fn add_target_headers(
+    headers: &mut HeaderMap,
+    target: &TargetId,
+    team: Option<&TeamId>,
+    time_left: Duration,
+) {
+    headers.remove(TEAM_KEY);
+    headers.remove(TEAM_NAME);
     if let Some(value) = team.and_then(|team| HeaderValue::from_str(team).ok()) {
-        headers.insert(TEAM, value);
+        headers.insert(TEAM_NAME, value);
     }
     if let Ok(value) = HeaderValue::from_str(target) {
-        headers.insert(EXPECTED, value);
+        headers.insert(EXPECTED_TARGET, value);
     }
-    headers.insert(TIME_LEFT, HeaderValue::from(left.as_millis() as u64));
+    headers.insert(TIME_LEFT, HeaderValue::from(time_left.as_millis() as u64));
 }
 
-/// Marks an answer of the host's own.
-pub fn mark_own(headers: &mut HeaderMap, note: &CallerMetadata) {
-    if let Some(value) = note.attempt_id.as_ref().and_then(|id| HeaderValue::from_str(id).ok()) {
-        headers.insert(ATTEMPT, value);
+/// Adds the headers of a response that the host itself generates.
+pub fn add_own_response_headers(headers: &mut HeaderMap, caller: &CallerMetadata) {
+    if let Some(value) = caller.attempt_id.as_ref().and_then(|id| HeaderValue::from_str(id).ok()) {
+        headers.insert(ATTEMPT_ID, value);
     }
 }
 
@@ -75,8 +80,8 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn key(headers: &HeaderMap) -> CallerKey {
-    let mut values = headers.get_all(&KEY).iter();
+fn caller_key(headers: &HeaderMap) -> CallerKey {
+    let mut values = headers.get_all(&TEAM_KEY).iter();
     match (values.next(), values.next()) {
         (None, _) => CallerKey::Missing,
         (Some(key), None) => CallerKey::One(KeyDigest::of(key.as_bytes())),
@@ -84,9 +89,9 @@
     }
 }
 
-fn object(headers: &HeaderMap) -> Option<Arc<str>> {
-    let lines = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
-    let mut cookies = lines.flat_map(|line| line.split(';'));
+fn object_cookie(headers: &HeaderMap) -> Option<Arc<str>> {
+    let values = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
+    let mut cookies = values.flat_map(|value| value.split(';'));
     let value = cookies.find_map(|cookie| {
         let (name, value) = cookie.split_once('=')?;
         (name.trim() == OBJECT_COOKIE).then(|| value.trim())
@@ -94,7 +99,7 @@
     value.map(Arc::from)
 }
 
-fn load(text: &str) -> Option<(u32, u32)> {
+fn parse_load(text: &str) -> Option<(u32, u32)> {
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
     Some((numbers.next()??, numbers.next()??))
 }
--- a/src/platform/key_digests.rs
+++ b/src/platform/keys.rs
@@ -1,4 +1,4 @@
-//! Replaces callers' keys in the configuration's object by digests.
+//! Replaces the callers' keys in the stored configuration by digests.
 
 use bytes::Bytes;
 use serde_json::value::RawValue;
@@ -8,11 +8,11 @@
     prelude::*,
 };
 
-/// Names of the fields with keys and with their digests.
-const KEYS: &str = "apiKeys";
-const DIGESTS: &str = "keyDigests";
+/// Fields that hold a team's keys, and the digests of its keys.
+const KEYS_FIELD: &str = "apiKeys";
+const DIGESTS_FIELD: &str = "keyDigests";
 
-/// Undecoded fields, so that the rest of a large configuration is copied without decoding it.
+/// Fields with undecoded values: most of a large configuration is copied without decoding it.
 type Fields<'a> = BTreeMap<&'a str, &'a RawValue>;
 
 #[derive(Deserialize)]
@@ -23,40 +23,40 @@
 
 /// Replaces the keys of all teams by their digests. An object without keys is returned unchanged.
 pub fn replace_by_digests(object: Bytes) -> Result<Bytes, DecodeError> {
-    let read: Object<'_> = serde_json::from_slice(&object).map_err(unreadable)?;
-    let Some(tenants) = read.spec.get("tenants") else { return Ok(object) };
+    let decoded: Object<'_> = serde_json::from_slice(&object).map_err(decode_error)?;
+    let Some(tenants) = decoded.spec.get("tenants") else { return Ok(object) };
     let tenants: Vec<BTreeMap<&str, &RawValue>> =
-        serde_json::from_str(tenants.get()).map_err(unreadable)?;
-    if !tenants.iter().any(|tenant| tenant.contains_key(KEYS)) {
+        serde_json::from_str(tenants.get()).map_err(decode_error)?;
+    if !tenants.iter().any(|tenant| tenant.contains_key(KEYS_FIELD)) {
         return Ok(object.clone());
     }
     let mut digested = Vec::new();
     for tenant in tenants {
-        digested.push(tenant_without_keys(tenant)?);
+        digested.push(replace_tenant_keys(tenant)?);
     }
-    let digested = serde_json::value::to_raw_value(&digested).map_err(unreadable)?;
-    let mut spec = read.spec;
+    let digested = serde_json::value::to_raw_value(&digested).map_err(decode_error)?;
+    let mut spec = decoded.spec;
     spec.insert("tenants", &digested);
     let object = BTreeMap::from([("spec", spec)]);
-    Ok(serde_json::to_vec(&object).map_err(unreadable)?.into())
+    Ok(serde_json::to_vec(&object).map_err(decode_error)?.into())
 }
 
-fn tenant_without_keys(tenant: Fields<'_>) -> Result<Box<RawValue>, DecodeError> {
+fn replace_tenant_keys(tenant: Fields<'_>) -> Result<Box<RawValue>, DecodeError> {
     let texts = |name: &str| -> Result<Vec<String>, DecodeError> {
         let Some(texts) = tenant.get(name) else { return Ok(Vec::new()) };
-        serde_json::from_str(texts.get()).map_err(unreadable)
+        serde_json::from_str(texts.get()).map_err(decode_error)
     };
-    let mut digests = texts(DIGESTS)?;
-    digests.extend(texts(KEYS)?.iter().map(|key| KeyDigest::of(key.as_bytes()).text()));
-    let digests = serde_json::value::to_raw_value(&digests).map_err(unreadable)?;
+    let mut digests = texts(DIGESTS_FIELD)?;
+    digests.extend(texts(KEYS_FIELD)?.iter().map(|key| KeyDigest::of(key.as_bytes()).text()));
+    let digests = serde_json::value::to_raw_value(&digests).map_err(decode_error)?;
     let mut digested: Fields<'_> = tenant.clone();
-    digested.remove(KEYS);
-    digested.insert(DIGESTS, &digests);
-    serde_json::value::to_raw_value(&digested).map_err(unreadable)
+    digested.remove(KEYS_FIELD);
+    digested.insert(DIGESTS_FIELD, &digests);
+    serde_json::value::to_raw_value(&digested).map_err(decode_error)
 }
 
 /// Reports only the position of the error, since the content may be a key.
-fn unreadable(error: serde_json::Error) -> DecodeError {
+fn decode_error(error: serde_json::Error) -> DecodeError {
     let (line, column) = (error.line(), error.column());
     DecodeError(format!("line {line}, column {column}: invalid JSON or wrong type").into())
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,12 +1,13 @@
-//! The users' platform: its names and spellings, translated into the product's own.
+//! Adapter to the users' platform: translates its headers, paths, objects and fields into the types
+//! of the other modules.
 //!
-//! Nothing outside this folder knows how the platform spells a header, a path, an object or a
-//! field; nothing in it decides anything. `PlatformProtocol` is the border for requests and objects,
-//! `ObjectStore` the client of the store.
+//! Only this module contains the platform's names, and it makes no routing decisions.
+//! `PlatformProtocol` translates requests, responses and stored objects; `ObjectStore` is the
+//! client of the platform's store.
 
 mod config;
 mod headers;
-mod key_digests;
+mod keys;
 mod object_store;
 mod protocol;
 mod server;
@@ -16,5 +17,5 @@
 
 pub use self::{object_store::ObjectStore, protocol::PlatformProtocol};
 
-/// Environment variable with the path of the settings file.
+/// Environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "LAVENDERPLANK_NODE_FILE";
--- a/src/platform/protocol.rs
+++ b/src/platform/protocol.rs
@@ -1,9 +1,9 @@
-//! The border for requests and objects.
+//! Implements `Protocol` for the platform: requests, responses and stored objects.
 
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode, Uri};
 
-use super::{config, headers, key_digests, server};
+use super::{config, headers, keys, server};
 use crate::{
     base::span_text,
     entry::{
@@ -13,26 +13,27 @@
     prelude::*,
 };
 
-/// Path of a look-up; its query names host, region and zone.
-const RESOLVE: &str = "/api/resolve";
+/// Path of a lookup; its query names the host, region and zone.
+const RESOLVE_PATH: &str = "/api/resolve";
 
-/// Path of a question for readiness.
-const READY: &str = "/api/ready";
+/// Path of a readiness request.
+const READY_PATH: &str = "/api/ready";
 
-/// Keys in the store. The hosts' kind is the product's own.
-const KEYS: StorePrefixes = StorePrefixes {
+/// Prefixes of the keys in the store. Only `hosts` is specific to this project; the platform defines
+/// the others.
+const STORE_PREFIXES: StorePrefixes = StorePrefixes {
     declared: "config/",
     evacuations: "evacuations/",
     hosts: "lavenderplank-hosts/",
     targets: "servers/",
 };
 
-/// The platform's protocol of everything.
+/// The platform's protocol.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformProtocol;
 
 #[derive(Serialize)]
-struct Found<'a> {
+struct ResolveResponse<'a> {
     addresses: &'a [SocketAddr],
     ttl: String,
 }
@@ -49,11 +50,11 @@
 
 impl Protocol for PlatformProtocol {
     fn caller_metadata(&self, headers: &HeaderMap) -> CallerMetadata {
-        headers::caller(headers)
+        headers::caller_metadata(headers)
     }
 
     fn reply_metadata(&self, status: StatusCode, headers: &HeaderMap) -> ReplyMetadata {
-        headers::reply(status, headers)
+        headers::reply_metadata(status, headers)
     }
 
     fn add_target_headers(
@@ -61,17 +62,17 @@
         headers: &mut HeaderMap,
         target: &TargetId,
         team: Option<&TeamId>,
-        left: Duration,
+        time_left: Duration,
     ) {
-        headers::mark(headers, target, team, left);
+        headers::add_target_headers(headers, target, team, time_left);
     }
 
-    fn add_own_response_headers(&self, headers: &mut HeaderMap, note: &CallerMetadata) {
-        headers::mark_own(headers, note);
+    fn add_own_response_headers(&self, headers: &mut HeaderMap, caller: &CallerMetadata) {
+        headers::add_own_response_headers(headers, caller);
     }
 
     fn parse_lookup(&self, uri: &Uri) -> Option<CallerLocation> {
-        if uri.path() != RESOLVE {
+        if uri.path() != RESOLVE_PATH {
             return None;
         }
         let value = |name: &str| {
@@ -82,28 +83,28 @@
     }
 
     fn encode_lookup_response(&self, callers: &[SocketAddr], ttl: Duration) -> Bytes {
-        let found = Found { addresses: callers, ttl: span_text::format(ttl) };
-        serde_json::to_vec(&found).expect("addresses and a text can be encoded").into()
+        let response = ResolveResponse { addresses: callers, ttl: span_text::format(ttl) };
+        serde_json::to_vec(&response).expect("addresses and a text can be encoded").into()
     }
 
     fn is_readiness_request(&self, uri: &Uri) -> bool {
-        uri.path() == READY
+        uri.path() == READY_PATH
     }
 
     fn store_prefixes(&self) -> StorePrefixes {
-        KEYS
+        STORE_PREFIXES
     }
 
     fn decode_declaration(&self, object: &[u8]) -> Result<Declaration, DecodeError> {
-        config::read(object)
+        config::decode(object)
     }
 
     fn replace_keys_by_digests(&self, object: Bytes) -> Result<Bytes, DecodeError> {
-        key_digests::replace_by_digests(object)
+        keys::replace_by_digests(object)
     }
 
     fn decode_target(&self, id: &str, object: &[u8]) -> Result<TargetEntry, DecodeError> {
-        server::read(id, object)
+        server::decode(id, object)
     }
 
     fn encode_host(&self, gossip: SocketAddr) -> Bytes {
--- a/src/platform/server.rs
+++ b/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in the store.
+//! Decodes the objects that targets write into the store about themselves.
 
 use crate::{
     base::span_text,
@@ -15,7 +15,7 @@
 #[derive(Deserialize)]
 struct Server {
     address: SocketAddr,
-    /// Unix time of its start, in milliseconds.
+    /// Unix time at which the target started, in milliseconds.
     #[serde(default)]
     born: u64,
     info: Info,
@@ -44,14 +44,16 @@
     Ready,
 }
 
-/// Reads one entry. One with anything missing, of another type or unknown names no target to use.
-pub fn read(id: &str, object: &[u8]) -> Result<TargetEntry, DecodeError> {
-    let bad = |text: String| DecodeError(text.into());
-    let object: Object = serde_json::from_slice(object).map_err(|error| bad(error.to_string()))?;
-    let server = object.spec.ok_or_else(|| bad("it says nothing".into()))?;
-    let status = object.status.or(server.status).ok_or_else(|| bad("it has no state".into()))?;
+/// Decodes one object. Returns an error if a field is missing, has the wrong type or has an unknown
+/// value: such a target must not be used.
+pub fn decode(id: &str, object: &[u8]) -> Result<TargetEntry, DecodeError> {
+    let invalid = |text: String| DecodeError(text.into());
+    let object: Object =
+        serde_json::from_slice(object).map_err(|error| invalid(error.to_string()))?;
+    let server = object.spec.ok_or_else(|| invalid("no `spec`".into()))?;
+    let status = object.status.or(server.status).ok_or_else(|| invalid("no `status`".into()))?;
     if server.info.slots == 0 {
-        return Err(bad("it has no slots".into()));
+        return Err(invalid("`slots` is 0".into()));
     }
     Ok(TargetEntry {
         addr: server.address,
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -267,7 +267,8 @@
     Ok(CallResponse { body, headers, status })
 }
 
-/// Refuses keys that would need escaping. Keys and prefixes are put into paths and queries unescaped.
+/// Refuses keys that would need escaping: keys and prefixes are put into paths and queries
+/// unescaped.
 fn check_key(key: &str) -> Result<()> {
     if is_valid_key(key) { Ok(()) } else { Err(refused("invalid key")) }
 }
