--- a/src/platform/object_store.rs
+++ b/src/platform/object_store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's store.
+//! Client of the platform's store.
 
 use std::sync::Mutex;
 
@@ -17,40 +17,43 @@
     },
 };
 
-/// Longest time for a connection, and for a call from its start to its answer's last byte. The
-/// store answers in milliseconds; a slow one takes a few hundred.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of a call, from its start to the last byte of the response. The store normally answers
+/// within milliseconds, and within a few hundred when it is slow.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How much longer than asked a watch may take. One that stays silent past that is broken.
+/// Time added to the requested wait for the timeout of a watch. A watch that stays silent longer is
+/// broken.
 const WATCH_GRACE: Duration = Duration::from_millis(1_000);
 
-/// Pause after a call that the store refused for its rate.
+/// Pause after a call that the store refused with status 429.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Calls of one host: a watch a change of any kind, and the lists after an outage.
-const LIMITS: RateLimits = RateLimits { reads: 20.0, watches: 40.0, writes: 4.0 };
+/// Rate limits of one host. They allow one watch per change of any kind, and the listings after an
+/// outage.
+const RATE_LIMITS: RateLimits = RateLimits { reads: 20.0, watches: 40.0, writes: 4.0 };
 
-/// Query of a read that may be seconds old: it costs a tenth and does not count towards the rate.
-const MAY_LAG: &str = "staleOk=1";
+/// Query of a listing that may be seconds old. It costs a tenth of a current one and does not count
+/// towards the store's rate limit.
+const STALE_OK_QUERY: &str = "staleOk=1";
 
-/// Silence of a connection after which its other end is asked for a sign of life, the time between
-/// two such questions, and how many may go unanswered. A connection that a partition has silenced
-/// would else be believed for as long as a watch waits.
+/// TCP keepalive: idle time before the first probe, time between probes, and number of unanswered
+/// probes after which the connection is closed. Without it, a connection cut by a partition would
+/// appear open for as long as a watch waits.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-const KEEPALIVE_PAUSE: Duration = Duration::from_secs(1);
-const KEEPALIVE_TRIES: u32 = 2;
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Client with deadlines, and every call counted against a budget.
+/// Client of the platform's store, with timeouts and a rate limiter.
 pub struct ObjectStore {
     address: SocketAddr,
-    budget: Mutex<CallRateLimiter>,
+    limiter: Mutex<CallRateLimiter>,
     client: Client,
     clock: BootClock,
 }
 
 #[derive(Deserialize)]
-struct Meta {
+struct Metadata {
     name: Arc<str>,
     #[serde(default)]
     revision: Version,
@@ -58,12 +61,12 @@
 
 #[derive(Deserialize)]
 struct Object {
-    metadata: Meta,
+    metadata: Metadata,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Items {
+struct ListPage {
     current_rev: Version,
     #[serde(default)]
     has_more: bool,
@@ -72,7 +75,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Events {
+struct WatchResponse {
     current_rev: Version,
     events: Vec<Event>,
 }
@@ -84,27 +87,27 @@
     object: Box<RawValue>,
 }
 
-/// An object on its way to the store.
+/// Body of a write.
 #[derive(Serialize)]
-struct Draft<'a> {
-    metadata: DraftMeta<'a>,
+struct WriteBody<'a> {
+    metadata: WriteMetadata<'a>,
     spec: &'a RawValue,
 }
 
 #[derive(Serialize)]
-struct DraftMeta<'a> {
+struct WriteMetadata<'a> {
     name: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     revision: Option<Version>,
 }
 
-struct Answer {
+struct CallResponse {
     body: Bytes,
     status: StatusCode,
 }
 
 impl ObjectStore {
-    /// A client of the store at `address`. Nothing is sent yet.
+    /// Returns a client of the store at `address`. Sends nothing yet.
     pub fn new(address: SocketAddr) -> Result<Self> {
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
@@ -113,13 +116,13 @@
             .retry(reqwest::retry::never())
             .pool_max_idle_per_host(4)
             .tcp_keepalive(KEEPALIVE_IDLE)
-            .tcp_keepalive_interval(KEEPALIVE_PAUSE)
-            .tcp_keepalive_retries(KEEPALIVE_TRIES)
+            .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
+            .tcp_keepalive_retries(KEEPALIVE_RETRIES)
             .build()
             .map_err(|error| refused(&error.to_string()))?;
         let clock = BootClock;
-        let budget = Mutex::new(CallRateLimiter::new(LIMITS, clock.now()));
-        Ok(Self { address, budget, client, clock })
+        let limiter = Mutex::new(CallRateLimiter::new(RATE_LIMITS, clock.now()));
+        Ok(Self { address, limiter, client, clock })
     }
 
     async fn call(
@@ -128,27 +131,34 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        limit: Duration,
-    ) -> Result<Answer> {
-        let held = |retry_after| PlatformError::RateLimited { retry_after };
+        timeout: Duration,
+    ) -> Result<CallResponse> {
+        let limited = |retry_after| PlatformError::RateLimited { retry_after };
         let now = self.clock.now();
-        self.budget.lock().expect("no holder of this lock panics").take(kind, now).map_err(held)?;
+        self.limiter
+            .lock()
+            .expect("no holder of this lock panics")
+            .take(kind, now)
+            .map_err(limited)?;
         let url = format!("http://{}/api/objects/{path}", self.address);
-        let mut req = self.client.request(method, url).timeout(limit);
+        let mut req = self.client.request(method, url).timeout(timeout);
         if let Some(body) = body {
             req = req.header(http::header::CONTENT_TYPE, "application/json").body(body);
         }
-        let lost = |error: reqwest::Error| unavailable(&error.to_string(), !error.is_connect());
-        let response = req.send().await.map_err(lost)?;
+        let no_answer =
+            |error: reqwest::Error| unavailable(&error.to_string(), !error.is_connect());
+        let response = req.send().await.map_err(no_answer)?;
         let status = response.status();
-        let body = response.bytes().await.map_err(lost)?;
+        let body = response.bytes().await.map_err(no_answer)?;
         match status {
             StatusCode::TOO_MANY_REQUESTS => {
                 Err(PlatformError::RateLimited { retry_after: RETRY_AFTER })
             }
             StatusCode::GONE => Err(PlatformError::TooOld { oldest: 0 }),
-            // Nothing was done, as the store promises.
-            StatusCode::SERVICE_UNAVAILABLE => Err(unavailable("out of service", false)),
+            // The store guarantees that a call refused with this status had no effect.
+            StatusCode::SERVICE_UNAVAILABLE => {
+                Err(unavailable("out of service (status 503)", false))
+            }
             StatusCode::CONFLICT => {
                 let current = serde_json::from_slice::<Object>(&body).ok();
                 let current = current.map(|object| object.metadata.revision);
@@ -156,29 +166,29 @@
             }
             status if status.is_server_error() => Err(unavailable(status.as_str(), true)),
             status if status.is_success() || status == StatusCode::NOT_FOUND => {
-                Ok(Answer { body, status })
+                Ok(CallResponse { body, status })
             }
             status => Err(refused(status.as_str())),
         }
     }
 
-    /// All pages of a listing; `query` goes with each of them.
-    async fn pages(&self, prefix: &str, query: &str) -> Result<Listing> {
+    /// Reads all pages of a listing; `query` is added to the request for each page.
+    async fn list_pages(&self, prefix: &str, query: &str) -> Result<Listing> {
         let kind = prefix.trim_end_matches('/');
         let mut entries = Vec::new();
         let mut path = format!("{kind}?{query}");
-        // A watch must go on from the first page's version: what changes while the other pages are
-        // read would be missed from the last one's.
-        let mut first = None;
+        // A watch must continue from the first page's version. From the last page's version, it
+        // would miss changes made while the pages were read.
+        let mut first_version = None;
         loop {
             let answer = self.call(CallKind::Read, Method::GET, &path, None, CALL_TIMEOUT).await?;
-            let page: Items = json(&answer.body)?;
-            first.get_or_insert(page.current_rev);
+            let page: ListPage = json(&answer.body)?;
+            first_version.get_or_insert(page.current_rev);
             for item in &page.items {
-                // An object without a name can't be used, nor can it hide the others.
+                // An object without a name is skipped, so that it does not block the others.
                 match serde_json::from_str::<Object>(item.get()) {
                     Ok(object) => entries.push(entry(kind, &object, item)),
-                    Err(error) => log::warn!("an object of {kind} is left out: {error}"),
+                    Err(error) => log::warn!("skipping an invalid object of {kind}: {error}"),
                 }
             }
             match entries.last() {
@@ -190,7 +200,7 @@
             }
         }
         entries.sort_by(|a, b| a.key.cmp(&b.key));
-        Ok(Listing { entries, version: first.unwrap_or_default() })
+        Ok(Listing { entries, version: first_version.unwrap_or_default() })
     }
 }
 
@@ -198,7 +208,9 @@
 impl Platform for ObjectStore {
     async fn delete(&self, key: &str, expect: Expect, _: OperationId) -> Result<Version> {
         let path = match expect {
-            Expect::Absent => return Err(refused("what is absent can't be removed")),
+            Expect::Absent => {
+                return Err(refused("a delete needs the version of an existing object"));
+            }
             Expect::Version(version) => format!("{key}?revision={version}"),
         };
         self.call(CallKind::Write, Method::DELETE, &path, None, CALL_TIMEOUT).await?;
@@ -215,11 +227,11 @@
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing> {
-        self.pages(prefix, "").await
+        self.list_pages(prefix, "").await
     }
 
     async fn list_allow_stale(&self, prefix: &str) -> Result<Listing> {
-        self.pages(prefix, MAY_LAG).await
+        self.list_pages(prefix, STALE_OK_QUERY).await
     }
 
     async fn put(
@@ -237,8 +249,8 @@
             }
             Expect::Version(version) => (Method::PUT, key, Some(version)),
         };
-        let draft = Draft { metadata: DraftMeta { name, revision }, spec };
-        let body = serde_json::to_vec(&draft).map_err(|error| refused(&error.to_string()))?;
+        let object = WriteBody { metadata: WriteMetadata { name, revision }, spec };
+        let body = serde_json::to_vec(&object).map_err(|error| refused(&error.to_string()))?;
         let answer = self.call(CallKind::Write, method, path, Some(body), CALL_TIMEOUT).await?;
         Ok(json::<Object>(&answer.body).map_or(0, |object| object.metadata.revision))
     }
@@ -246,20 +258,21 @@
     async fn watch(&self, prefix: &str, from: Version, wait: Duration) -> Result<Changes> {
         let kind = prefix.trim_end_matches('/');
         let path = format!("{kind}?watch={from}&waitMs={}", wait.as_millis());
-        let limit = wait + WATCH_GRACE;
-        let answer = self.call(CallKind::Watch, Method::GET, &path, None, limit).await?;
-        let told: Events = json(&answer.body)?;
+        let timeout = wait + WATCH_GRACE;
+        let answer = self.call(CallKind::Watch, Method::GET, &path, None, timeout).await?;
+        let response: WatchResponse = json(&answer.body)?;
         let change = |event: &Event| {
             let object = serde_json::from_str::<Object>(event.object.get());
-            let object = object.inspect_err(|error| log::warn!("a change is left out: {error}"));
+            let object = object
+                .inspect_err(|error| log::warn!("skipping an invalid change of {kind}: {error}"));
             let entry = entry(kind, &object.ok()?, &event.object);
-            // A removal has no version of its own: that of the answer is the least that is known.
-            let version = if event.deleted { told.current_rev } else { entry.object.version };
+            // A delete event has no version of its own, so the version of the response is used.
+            let version = if event.deleted { response.current_rev } else { entry.object.version };
             let object = (!event.deleted).then_some(entry.object);
             Some(Change { key: entry.key, object, version })
         };
-        let changes = told.events.iter().filter_map(change).collect();
-        Ok(Changes { changes, version: told.current_rev })
+        let changes = response.events.iter().filter_map(change).collect();
+        Ok(Changes { changes, version: response.current_rev })
     }
 }
 
--- a/src/platform/protocol.rs
+++ b/src/platform/protocol.rs
@@ -19,8 +19,8 @@
 /// Path of a readiness request.
 const READY_PATH: &str = "/api/ready";
 
-/// Prefixes of the keys in the store. Only `hosts` is specific to this project; the platform defines
-/// the others.
+/// Prefixes of the keys in the store. Only `hosts` is specific to this project; the platform
+/// defines the others.
 const STORE_PREFIXES: StorePrefixes = StorePrefixes {
     declared: "config/",
     evacuations: "evacuations/",
--- a/src/platform/standin/fault_run.rs
+++ b/src/platform/standin/fault_run.rs
@@ -1,5 +1,5 @@
-//! A short day on loopback: hosts, targets and the store as stand-ins, callers, faults, and the
-//! promises checked from what callers and targets saw.
+//! Runs hosts on loopback with stand-ins for the targets and the store, sends requests while
+//! injecting faults, and checks guarantees against what callers and targets observed.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -23,20 +23,20 @@
     prelude::*,
 };
 
-/// Result of playing a day.
+/// Result of a run.
 pub type Result<T, E = eyre::Report> = std::result::Result<T, E>;
 
-/// Time that a caller waits.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time for which a caller waits for a response.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(15);
+const REQUEST_PAUSE: Duration = Duration::from_millis(15);
 
-/// Time in which a retiring target may still get work, as the settings promise.
-const DRAIN: Duration = Duration::from_millis(2_500);
+/// Time after which a draining target must not receive requests, as the settings guarantee.
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 
 const HOST_NAME: &str = "counter.example";
-const CALLERS: usize = 8;
+const CALLER_COUNT: usize = 8;
 const TARGETS: [(&str, &str); 6] = [
     ("t-1", "north-a"),
     ("t-2", "north-a"),
@@ -48,29 +48,29 @@
 const HOSTS: [(&str, &str, &str); 3] =
     [("h-1", "north-a", "north"), ("h-2", "north-b", "north"), ("h-3", "south-a", "south")];
 
-/// What a day showed.
+/// Results of a run.
 #[derive(Debug, Default, Serialize)]
 pub struct FaultRunReport {
-    /// Requests by status; 0 stands for a connection without an answer.
+    /// Requests by status; 0 means that there was no response.
     pub answers: BTreeMap<u16, u32>,
-    /// Broken promises, in words.
+    /// Descriptions of violated guarantees.
     pub broken: Vec<String>,
-    /// How often each promise was looked at.
+    /// Number of checks by guarantee. The texts are keys of the JSON report.
     pub checks: BTreeMap<&'static str, u32>,
     pub faults: u32,
     pub requests: u32,
 }
 
 impl FaultRunReport {
-    /// Whether every promise was looked at and none is broken.
+    /// Whether every guarantee was checked and none is violated.
     pub fn passed(&self) -> bool {
         self.broken.is_empty() && self.checks.len() == 5 && self.checks.values().all(|n| 0 < *n)
     }
 
-    fn check(&mut self, promise: &'static str, holds: bool, told: impl FnOnce() -> String) {
-        *self.checks.entry(promise).or_default() += 1;
+    fn check(&mut self, guarantee: &'static str, holds: bool, detail: impl FnOnce() -> String) {
+        *self.checks.entry(guarantee).or_default() += 1;
         if !holds {
-            self.broken.push(format!("{promise}: {}", told()));
+            self.broken.push(format!("{guarantee}: {}", detail()));
         }
     }
 }
@@ -81,57 +81,57 @@
         for (status, count) in &self.answers {
             writeln!(f, "  answered {status}: {count}")?;
         }
-        for (promise, count) in &self.checks {
-            writeln!(f, "  {promise}: looked at {count} times")?;
+        for (guarantee, count) in &self.checks {
+            writeln!(f, "  {guarantee}: checked {count} times")?;
         }
-        for broken in &self.broken {
-            writeln!(f, "BROKEN {broken}")?;
+        for violation in &self.broken {
+            writeln!(f, "VIOLATED {violation}")?;
         }
-        writeln!(f, "{} promises broken", self.broken.len())
+        writeln!(f, "{} violations", self.broken.len())
     }
 }
 
-/// One request and what its caller heard.
-struct Heard {
-    attempt: String,
+/// A request and its response, as its caller saw them.
+struct CallerRecord {
+    attempt_id: String,
     booking: bool,
-    /// Attempt id and body of the answer.
-    echo: Option<(String, String)>,
+    /// Attempt id and body of a complete response with status 200.
+    response: Option<(String, String)>,
     status: u16,
 }
 
-struct World {
+struct Cluster {
     hosts: Vec<Option<EntryHost>>,
     http: Client,
     store: StoreStandin,
     targets: Vec<TargetStandin>,
 }
 
-/// Plays a day of that length. Must run within a `LocalSet`.
+/// Runs for `length` and reports the checks. Must run within a `LocalSet`.
 pub async fn run_with_faults(length: Duration, seed: u64) -> Result<FaultRunReport> {
-    let mut world = World::spawn().await?;
+    let mut cluster = Cluster::spawn().await?;
     let mut report = FaultRunReport::default();
     let callers: Vec<SocketAddr> =
-        world.hosts.iter().flatten().map(|host| host.listen().callers).collect();
+        cluster.hosts.iter().flatten().map(|host| host.listen().callers).collect();
     let until = tokio::time::Instant::now() + length;
     let callers = Rc::new(callers);
-    let tasks: Vec<_> = (0..CALLERS)
+    let tasks: Vec<_> = (0..CALLER_COUNT)
         .map(|number| {
-            let (http, hosts) = (world.http.clone(), callers.clone());
-            tokio::task::spawn_local(call(http, hosts, seed, number, until))
+            let (http, hosts) = (cluster.http.clone(), callers.clone());
+            tokio::task::spawn_local(run_caller(http, hosts, seed, number, until))
         })
         .collect();
-    let retired = world.befall(length, seed, &mut report).await?;
-    let mut heard = Vec::new();
+    let requests_before = cluster.inject_faults(length, seed, &mut report).await?;
+    let mut records = Vec::new();
     for task in tasks {
-        heard.extend(task.await?);
+        records.extend(task.await?);
     }
-    report.requests = heard.len() as u32;
-    world.judge(&heard, &retired, &mut report);
+    report.requests = records.len() as u32;
+    cluster.check_guarantees(&records, &requests_before, &mut report);
     Ok(report)
 }
 
-impl World {
+impl Cluster {
     async fn spawn() -> Result<Self> {
         let store = StoreStandin::spawn().await?;
         let mut targets = Vec::new();
@@ -144,13 +144,13 @@
         store.put("config", "main", config(1));
         let mut hosts = Vec::new();
         for (name, zone, region) in HOSTS {
-            hosts.push(Some(host(&store, name, zone, region).await?));
+            hosts.push(Some(spawn_host(&store, name, zone, region).await?));
         }
-        let world = Self { hosts, http: Client::new(), store, targets };
-        for host in world.hosts.iter().flatten() {
-            world.until_ready(host).await?;
+        let cluster = Self { hosts, http: Client::new(), store, targets };
+        for host in cluster.hosts.iter().flatten() {
+            cluster.until_ready(host).await?;
         }
-        Ok(world)
+        Ok(cluster)
     }
 
     async fn until_ready(&self, host: &EntryHost) -> Result<()> {
@@ -162,22 +162,23 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        Err(eyre::eyre!("a host is not ready after five seconds; see its log"))
+        Err(eyre::eyre!("a host was not ready after 5 s; see its log"))
     }
 
-    /// What happens in the day. Returns what the retired target had got when its time was over.
-    async fn befall(
+    /// Injects faults at random and at fixed steps. Returns the number of requests that the drained
+    /// target had received when its drain time ended.
+    async fn inject_faults(
         &mut self,
         length: Duration,
         seed: u64,
         report: &mut FaultRunReport,
     ) -> Result<usize> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let step = length / 40;
-        let mut retired_at = 0;
-        let drained = (DRAIN.as_secs_f64() / step.as_secs_f64()).ceil() as u32;
-        for turn in 0..40_u32 {
-            tokio::time::sleep(step).await;
+        let step_length = length / 40;
+        let mut requests_before = 0;
+        let drain_steps = (DRAIN_TIME.as_secs_f64() / step_length.as_secs_f64()).ceil() as u32;
+        for step in 0..40_u32 {
+            tokio::time::sleep(step_length).await;
             let response_modes = [
                 ResponseMode::Duplicate,
                 ResponseMode::Fail,
@@ -196,7 +197,7 @@
                     report.faults += 1;
                 }
             }
-            match turn {
+            match step {
                 4 => self.store.put("config", "main", config(5)),
                 6 => self.store.put("servers", "t-1", self.targets[0].store_entry("draining", 1)),
                 10 => self.store.put("evacuations", "north-b", json!({})),
@@ -214,63 +215,71 @@
                 }
                 _ => {}
             }
-            if turn == 6 + drained {
-                retired_at = self.targets[0].received().len();
+            if step == 6 + drain_steps {
+                requests_before = self.targets[0].received().len();
             }
         }
-        Ok(retired_at)
+        Ok(requests_before)
     }
 
-    fn judge(&self, heard: &[Heard], retired_at: &usize, report: &mut FaultRunReport) {
-        let mut runs: HashMap<String, u32> = HashMap::new();
+    fn check_guarantees(
+        &self,
+        records: &[CallerRecord],
+        requests_before: &usize,
+        report: &mut FaultRunReport,
+    ) {
+        let mut executions: HashMap<String, u32> = HashMap::new();
         let mut bodies = BTreeSet::new();
         for target in &self.targets {
             bodies.insert(format!("answer of {}", target.id()));
-            for seen in target.received() {
-                if seen.ran {
-                    *runs.entry(seen.attempt_id).or_default() += 1;
+            for request in target.received() {
+                if request.ran {
+                    *executions.entry(request.attempt_id).or_default() += 1;
                 }
             }
         }
-        for one in heard {
-            *report.answers.entry(one.status).or_default() += 1;
-            let ran = runs.get(&one.attempt).copied().unwrap_or_default();
-            let told = || format!("{} ran {ran} times, answered {}", one.attempt, one.status);
-            if one.booking {
-                report.check("a booking runs at most once", ran <= 1, told);
-                if one.status == 503 {
-                    report.check("what was refused has not run", ran == 0, told);
+        for record in records {
+            *report.answers.entry(record.status).or_default() += 1;
+            let ran = executions.get(&record.attempt_id).copied().unwrap_or_default();
+            let detail =
+                || format!("{} ran {ran} times, answered {}", record.attempt_id, record.status);
+            if record.booking {
+                report.check("a booking runs at most once", ran <= 1, detail);
+                if record.status == 503 {
+                    report.check("what was refused has not run", ran == 0, detail);
                 }
             }
-            if let Some((attempt, body)) = &one.echo {
-                let own = *attempt == one.attempt && bodies.contains(body);
-                report.check("an answer is whole and the caller's own", own, told);
+            if let Some((attempt_id, body)) = &record.response {
+                let own = *attempt_id == record.attempt_id && bodies.contains(body);
+                report.check("an answer is whole and the caller's own", own, detail);
             }
         }
-        let after = self.targets[0].received().len() - retired_at;
-        let told = || format!("{after} requests after its time");
-        report.check("a retiring target gets no new work", after == 0, told);
-        let served = heard.iter().filter(|one| one.status == 200).count();
-        let most = heard.len() * 3 / 4 < served;
-        report.check("most requests are served", most, || format!("{served} of {}", heard.len()));
+        let after = self.targets[0].received().len() - requests_before;
+        let detail = || format!("{after} requests after its drain time");
+        report.check("a retiring target gets no new work", after == 0, detail);
+        let served = records.iter().filter(|record| record.status == 200).count();
+        let most_served = records.len() * 3 / 4 < served;
+        report.check("most requests are served", most_served, || {
+            format!("{served} of {}", records.len())
+        });
     }
 }
 
-/// One caller: sends one request after the other, each to any of the hosts.
-async fn call(
+/// Sends requests one after the other, each to a random host, until `until`.
+async fn run_caller(
     http: Client,
     hosts: Rc<Vec<SocketAddr>>,
     seed: u64,
     number: usize,
     until: tokio::time::Instant,
-) -> Vec<Heard> {
+) -> Vec<CallerRecord> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_add(1 + number as u64));
-    let mut heard = Vec::new();
+    let mut records = Vec::new();
     while tokio::time::Instant::now() < until {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_PAUSE).await;
         let Some(host) = hosts.choose(&mut rng) else { break };
         let booking = rng.random_bool(0.3);
-        let attempt = format!("c{number}-{}", heard.len());
+        let attempt_id = format!("c{number}-{}", records.len());
         let object = rng.random_range(0..24_u32);
         let req = if booking {
             http.post(format!("http://{host}/bookings/{object}")).body("two seats")
@@ -279,30 +288,35 @@
         };
         let req = req
             .header("Host", HOST_NAME)
-            .header("Lavenderplank-Attempt-Id", &attempt)
-            .header("Lavenderplank-Time-Remaining", PATIENCE.as_millis().to_string())
+            .header("Lavenderplank-Attempt-Id", &attempt_id)
+            .header("Lavenderplank-Time-Remaining", CALLER_TIMEOUT.as_millis().to_string())
             .header("Cookie", format!("Lavenderplank-Affinity-Key={object}"));
-        heard.push(listen(req, attempt, booking).await);
+        records.push(send(req, attempt_id, booking).await);
     }
-    heard
+    records
 }
 
-async fn listen(req: reqwest::RequestBuilder, attempt: String, booking: bool) -> Heard {
+async fn send(req: reqwest::RequestBuilder, attempt_id: String, booking: bool) -> CallerRecord {
     let Ok(answer) = req.send().await else {
-        // A host that has ended takes no connections; callers go on to another one.
-        return Heard { attempt, booking, echo: None, status: 0 };
+        // A stopped host refuses connections; the next request may go to another one.
+        return CallerRecord { attempt_id, booking, response: None, status: 0 };
     };
     let status = answer.status().as_u16();
     let echo = answer.headers().get("lavenderplank-attempt-id").cloned();
     let echo = echo.and_then(|echo| echo.to_str().map(str::to_owned).ok()).unwrap_or_default();
-    let echo = match answer.text().await {
+    let response = match answer.text().await {
         Ok(body) if status == 200 => Some((echo, body)),
         _ => None,
     };
-    Heard { attempt, booking, echo, status }
+    CallerRecord { attempt_id, booking, response, status }
 }
 
-async fn host(store: &StoreStandin, name: &str, zone: &str, region: &str) -> Result<EntryHost> {
+async fn spawn_host(
+    store: &StoreStandin,
+    name: &str,
+    zone: &str,
+    region: &str,
+) -> Result<EntryHost> {
     let zones = HOSTS.map(|(_, zone, region)| (zone, region));
     let settings = loopback_settings(name, zone, region, &zones, store.addr());
     let store = Arc::new(ObjectStore::new(store.addr())?);
--- a/src/platform/standin/mod.rs
+++ b/src/platform/standin/mod.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins of the users' platform, for tests and for the demonstration on loopback: its
-//! store and its targets, as far as a host sees them.
+//! Stand-ins for the users' platform, for tests and the demo on loopback: its store and its
+//! targets, as far as a host uses them.
 
 mod fault_run;
 mod settings;
--- a/src/platform/standin/settings.rs
+++ b/src/platform/standin/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of hosts on loopback.
+//! Settings of test hosts on loopback.
 
 use crate::{
     entry::{Bounds, EntrySettings, Listen},
@@ -7,7 +7,7 @@
     settings::LogSettings,
 };
 
-/// Settings of a host on free ports, with the bounds of today's deployments.
+/// Returns the settings of a host on free ports, with the bounds of production deployments.
 pub fn loopback_settings(
     host: &str,
     zone: &str,
@@ -15,7 +15,7 @@
     zones: &[(&str, &str)],
     store: SocketAddr,
 ) -> EntrySettings {
-    let free = SocketAddr::from(([127, 0, 0, 1], 0));
+    let free_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let zones = zones.iter().map(|(zone, region)| (ZoneId::from(*zone), RegionId::from(*region)));
     EntrySettings {
         bounds: Bounds {
@@ -30,12 +30,12 @@
         host: host.into(),
         event_log: EventLogSettings::default(),
         listen: Listen {
-            callers: free,
-            control: free,
-            gossip: free,
-            lookup: free,
-            metrics: Some(free),
-            ready: free,
+            callers: free_port,
+            control: free_port,
+            gossip: free_port,
+            lookup: free_port,
+            metrics: Some(free_port),
+            ready: free_port,
         },
         log: LogSettings::default(),
         region: region.into(),
--- a/src/platform/standin/store.rs
+++ b/src/platform/standin/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the store: objects by kind and name, one revision counter, watches.
+//! Stand-in for the platform's store: objects by kind and name, one revision counter, watches.
 
 use std::{
     convert::Infallible,
@@ -18,13 +18,13 @@
 
 use crate::prelude::*;
 
-/// Longest time that a watch waits, whatever it asks for.
+/// Upper limit on the time for which a watch waits.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
 type Objects = BTreeMap<(String, String), Value>;
 type Reply = Response<Full<Bytes>>;
 
-/// A running store; ends when dropped.
+/// A running store; stops when dropped.
 pub struct StoreStandin {
     addr: SocketAddr,
     shared: Arc<Shared>,
@@ -36,21 +36,21 @@
     changed: Notify,
     down: AtomicBool,
     state: Mutex<State>,
-    /// Watches that wait.
-    watches: AtomicUsize,
+    /// Number of watches that are waiting for a change.
+    pending_watches: AtomicUsize,
 }
 
-/// Counts a watch that waits, also when its caller goes.
-struct Waiting<'a>(&'a AtomicUsize);
+/// Counts a waiting watch until it ends or its caller disconnects.
+struct PendingWatch<'a>(&'a AtomicUsize);
 
-impl<'a> Waiting<'a> {
+impl<'a> PendingWatch<'a> {
     fn new(watches: &'a AtomicUsize) -> Self {
         watches.fetch_add(1, Ordering::Relaxed);
         Self(watches)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingWatch<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -58,18 +58,18 @@
 
 #[derive(Default)]
 struct State {
-    /// Every change that is not forgotten: revision, kind, object, whether it was a removal.
+    /// Changes since the last compaction: revision, kind, object, whether it was deleted.
     events: Vec<(u64, String, Value, bool)>,
-    /// Changes up to this revision are forgotten.
+    /// Changes up to this revision are no longer available.
     compacted_revision: u64,
-    /// What reads that may be old are answered with, and the revision of that moment.
-    lagging: Option<(Objects, u64)>,
+    /// Objects and revision returned by reads that allow stale data.
+    stale: Option<(Objects, u64)>,
     objects: Objects,
     revision: u64,
 }
 
 impl StoreStandin {
-    /// A store on a free port of loopback.
+    /// Starts a store on a free port of loopback.
     pub async fn spawn() -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let addr = listener.local_addr()?;
@@ -78,33 +78,32 @@
         Ok(Self { addr, shared, task })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the store listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Writes an object as its owner would.
+    /// Writes an object with this `spec`.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.shared.put(kind, name, json!({ "spec": spec }));
     }
 
-    /// Writes an object whose text no decoder reads.
+    /// Writes an object that can't be decoded.
     pub fn put_undecodable(&self, kind: &str, name: &str) {
         self.shared.put(kind, name, json!({ "spec": [1, "spoiled"] }));
     }
 
-    /// Removes an object.
     pub fn remove(&self, kind: &str, name: &str) {
         self.shared.remove(kind, name);
     }
 
-    /// Answers 503 to everything from now on, or serves again.
+    /// Sets whether all calls are answered with status 503.
     pub fn set_down(&self, down: bool) {
         self.shared.down.store(down, Ordering::Relaxed);
         self.shared.changed.notify_waiters();
     }
 
-    /// Forgets all changes so far.
+    /// Discards the history of changes; watches from earlier revisions fail with status 410.
     pub fn compact(&self) {
         let mut state = self.shared.state();
         state.compacted_revision = state.revision;
@@ -113,20 +112,20 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// From now on, reads that may be old are answered as of this moment.
+    /// From now on, reads that allow stale data return the present state.
     pub fn freeze_stale_reads(&self) {
         let mut state = self.shared.state();
-        state.lagging = Some((state.objects.clone(), state.revision));
+        state.stale = Some((state.objects.clone(), state.revision));
     }
 
-    /// Watches that wait now.
+    /// Returns the number of watches that are waiting for a change.
     pub fn pending_watches(&self) -> usize {
-        self.shared.watches.load(Ordering::Relaxed)
+        self.shared.pending_watches.load(Ordering::Relaxed)
     }
 
-    /// Objects of a kind.
+    /// Returns the number of objects of a kind.
     pub fn object_count(&self, kind: &str) -> usize {
-        self.shared.state().objects.keys().filter(|(at, _)| at == kind).count()
+        self.shared.state().objects.keys().filter(|(object_kind, _)| object_kind == kind).count()
     }
 }
 
@@ -164,19 +163,19 @@
         self.changed.notify_waiters();
     }
 
-    fn list(&self, kind: &str, may_lag: bool) -> Reply {
+    fn list(&self, kind: &str, allow_stale: bool) -> Reply {
         let state = self.state();
-        let lagging = state.lagging.as_ref().filter(|_| may_lag);
-        let (objects, revision) = lagging
+        let stale = state.stale.as_ref().filter(|_| allow_stale);
+        let (objects, revision) = stale
             .map_or((&state.objects, state.revision), |(objects, revision)| (objects, *revision));
-        let of_kind = objects.iter().filter(|((at, _), _)| at == kind);
+        let of_kind = objects.iter().filter(|((object_kind, _), _)| object_kind == kind);
         let items: Vec<&Value> = of_kind.map(|(_, object)| object).collect();
         reply(200, &json!({ "items": items, "hasMore": false, "currentRev": revision }))
     }
 
     async fn watch(&self, kind: &str, from: u64, wait: Duration) -> Reply {
         let until = tokio::time::Instant::now() + wait.min(MAX_WAIT);
-        let _waiting = Waiting::new(&self.watches);
+        let _pending = PendingWatch::new(&self.pending_watches);
         loop {
             let changed = self.changed.notified();
             {
@@ -187,20 +186,23 @@
                 if from < state.compacted_revision {
                     return reply(410, &Value::Null);
                 }
-                let new = state.events.iter().filter(|(at, of, _, _)| from < *at && of == kind);
+                let new = state
+                    .events
+                    .iter()
+                    .filter(|(revision, event_kind, _, _)| from < *revision && event_kind == kind);
                 let event =
                     |(_, _, object, deleted)| json!({ "object": object, "deleted": deleted });
                 let events: Vec<Value> = new.cloned().map(event).collect();
                 if !events.is_empty() || until <= tokio::time::Instant::now() {
-                    let told = json!({ "events": events, "currentRev": state.revision });
-                    return reply(200, &told);
+                    let response = json!({ "events": events, "currentRev": state.revision });
+                    return reply(200, &response);
                 }
             }
             let _ = tokio::time::timeout_at(until, changed).await;
         }
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Reply {
+    async fn handle(&self, req: Request<Incoming>) -> Reply {
         if self.down.load(Ordering::Relaxed) {
             return reply(503, &Value::Null);
         }
@@ -226,8 +228,8 @@
     fn create(&self, kind: &str, body: &[u8]) -> Reply {
         let draft: Value = serde_json::from_slice(body).unwrap_or_default();
         let name = draft["metadata"]["name"].as_str().unwrap_or_default().to_owned();
-        let known = self.state().objects.get(&(kind.to_owned(), name.clone())).cloned();
-        match known {
+        let existing = self.state().objects.get(&(kind.to_owned(), name.clone())).cloned();
+        match existing {
             Some(object) => reply(409, &object),
             None => reply(200, &self.put(kind, &name, json!({ "spec": draft["spec"] }))),
         }
@@ -235,8 +237,8 @@
 
     fn replace(&self, kind: &str, name: &str, body: &[u8]) -> Reply {
         let draft: Value = serde_json::from_slice(body).unwrap_or_default();
-        let known = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
-        let Some(object) = known else { return reply(404, &Value::Null) };
+        let existing = self.state().objects.get(&(kind.to_owned(), name.to_owned())).cloned();
+        let Some(object) = existing else { return reply(404, &Value::Null) };
         let wanted = &draft["metadata"]["revision"];
         if !wanted.is_null() && *wanted != object["metadata"]["revision"] {
             return reply(409, &object);
@@ -251,7 +253,7 @@
         tokio::spawn(async move {
             let service = service_fn(|req| {
                 let shared = shared.clone();
-                async move { Ok::<_, Infallible>(shared.answer(req).await) }
+                async move { Ok::<_, Infallible>(shared.handle(req).await) }
             });
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
--- a/src/platform/standin/target.rs
+++ b/src/platform/standin/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a target, which may misbehave in each way that real ones do.
+//! Stand-in for a target that can produce the faults of real targets.
 
 use std::{
     collections::VecDeque,
@@ -19,57 +19,57 @@
 
 use crate::prelude::*;
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// What a target does with one request.
+/// How a target responds to one request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum ResponseMode {
-    /// Runs it and answers.
+    /// Executes the request and responds.
     #[default]
     Serve,
-    /// Runs it, answers, and answers it once more.
+    /// Executes the request and sends the response twice.
     Duplicate,
-    /// Runs it and answers 500.
+    /// Executes the request and responds with status 500.
     Fail,
-    /// Runs it and never answers.
+    /// Executes the request and never responds.
     Hang,
-    /// Does not run it, for want of room.
+    /// Refuses the request as overloaded, without executing it.
     Shed,
-    /// Runs it and closes the connection.
+    /// Executes the request and closes the connection without a response.
     Reset,
-    /// Is not the target that was expected_target.
+    /// Refuses the request as sent to the wrong target.
     WrongTarget,
-    /// Runs it, answers with half of the body and closes the connection.
+    /// Executes the request, sends half of the body and closes the connection.
     Truncate,
-    /// Runs it and answers without a signature.
+    /// Executes the request and responds without a signature.
     Unsigned,
-    /// Runs it and answers without a length; the connection's end is the body's.
+    /// Executes the request and responds without a length; the end of the connection ends the body.
     NoLength,
 }
 
-/// A request as the target got it.
+/// A request received by the target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReceivedRequest {
     pub attempt_id: String,
     pub body: Bytes,
-    /// Which connection it came on.
+    /// Number of the connection, from 1 in order of acceptance.
     pub connection: usize,
-    /// The request contained a caller's key.
+    /// Whether the request contained a caller's key.
     pub has_key: bool,
     pub method: String,
-    /// Id of the target that was expected_target.
+    /// Id of the target for which the request is intended.
     pub expected_target: String,
     pub path: String,
-    /// It began to work on it.
+    /// Whether the target executed the request.
     pub ran: bool,
     /// Team name in the request's header.
     pub team: Option<String>,
-    /// Milliseconds that the caller still waits.
+    /// Time for which the caller still waits, in milliseconds.
     pub time_left: Option<u64>,
 }
 
-/// Who a target says that it is.
+/// Identity that a target reports in its store entry.
 #[derive(Clone, Debug)]
 pub struct TargetIdentity {
     pub id: &'static str,
@@ -77,79 +77,78 @@
     pub zone: &'static str,
 }
 
-/// A running target; ends when dropped.
+/// A running target; stops when dropped.
 pub struct TargetStandin {
     addr: SocketAddr,
-    draft: TargetIdentity,
+    identity: TargetIdentity,
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
 #[derive(Default)]
 struct Shared {
-    body: Mutex<Bytes>,
+    response_body: Mutex<Bytes>,
     response_modes: Mutex<VecDeque<ResponseMode>>,
-    /// Connections that the other side closed while a request was at work.
+    /// Number of connections that the peer closed while a request was being processed.
     disconnects: AtomicUsize,
     received: Mutex<Vec<ReceivedRequest>>,
-    work: Mutex<Duration>,
+    processing_time: Mutex<Duration>,
 }
 
 impl TargetStandin {
-    /// A target on a free port of loopback, that answers at once.
-    pub async fn spawn(draft: TargetIdentity) -> io::Result<Self> {
+    /// Starts a target on a free port of loopback that responds immediately.
+    pub async fn spawn(identity: TargetIdentity) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
-        *locked(&shared.body) = Bytes::from(format!("answer of {}", draft.id));
-        let task = tokio::spawn(serve(listener, draft.id, shared.clone()));
-        Ok(Self { addr, draft, shared, task })
+        *locked(&shared.response_body) = Bytes::from(format!("answer of {}", identity.id));
+        let task = tokio::spawn(serve(listener, identity.id, shared.clone()));
+        Ok(Self { addr, identity, shared, task })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the target listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Its id.
     pub fn id(&self) -> &'static str {
-        self.draft.id
+        self.identity.id
     }
 
-    /// What it says of itself in the store.
+    /// Returns the target's entry for the store.
     pub fn store_entry(&self, state: &str, born: u64) -> Value {
         json!({
             "address": self.addr,
             "born": born,
             "info": {
-                "service": self.draft.service, "slots": 3, "version": "v1",
-                "zone": self.draft.zone,
+                "service": self.identity.service, "slots": 3, "version": "v1",
+                "zone": self.identity.zone,
             },
             "status": { "coldRemaining": "0ms", "sequence": 1, "state": state },
         })
     }
 
-    /// What it does with the next requests; it serves those after them.
+    /// Sets how the next requests are handled, in order; later ones are served normally.
     pub fn queue_responses(&self, response_modes: &[ResponseMode]) {
         locked(&self.shared.response_modes).extend(response_modes);
     }
 
-    /// The body of its answers.
+    /// Sets the body of responses.
     pub fn set_response_body(&self, body: impl Into<Bytes>) {
-        *locked(&self.shared.body) = body.into();
+        *locked(&self.shared.response_body) = body.into();
     }
 
-    /// Time that it takes for each request.
+    /// Sets the processing time of each request.
     pub fn set_processing_time(&self, work: Duration) {
-        *locked(&self.shared.work) = work;
+        *locked(&self.shared.processing_time) = work;
     }
 
-    /// The requests that it got.
+    /// Returns the requests received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         locked(&self.shared.received).clone()
     }
 
-    /// How often the other side left while a request was at work.
+    /// Returns how often the peer closed a connection while a request was being processed.
     pub fn disconnects(&self) -> usize {
         self.shared.disconnects.load(Ordering::Relaxed)
     }
@@ -170,16 +169,21 @@
     let mut count = 0;
     while let Ok((stream, _)) = listener.accept().await {
         count += 1;
-        connections.spawn(connection(stream, id, count, shared.clone()));
+        connections.spawn(serve_connection(stream, id, count, shared.clone()));
     }
 }
 
-async fn connection(mut stream: TcpStream, id: &'static str, number: usize, shared: Arc<Shared>) {
+async fn serve_connection(
+    mut stream: TcpStream,
+    id: &'static str,
+    number: usize,
+    shared: Arc<Shared>,
+) {
     let mut buf = BytesMut::new();
     loop {
-        match next(&mut stream, &mut buf, number).await {
-            Ok(Some(seen)) => {
-                if !answer(&mut stream, id, seen, &shared).await.unwrap_or(false) {
+        match read_request(&mut stream, &mut buf, number).await {
+            Ok(Some(request)) => {
+                if !respond(&mut stream, id, request, &shared).await.unwrap_or(false) {
                     return;
                 }
             }
@@ -190,14 +194,14 @@
 }
 
 /// Reads one request.
-async fn next(
+async fn read_request(
     stream: &mut TcpStream,
     buf: &mut BytesMut,
     connection: usize,
 ) -> io::Result<Option<ReceivedRequest>> {
     loop {
-        if let Some(seen) = parse(buf, connection)? {
-            return Ok(Some(seen));
+        if let Some(request) = parse(buf, connection)? {
+            return Ok(Some(request));
         }
         if stream.read_buf(buf).await? == 0 {
             return Ok(None);
@@ -220,7 +224,7 @@
     if buf.len() < head + length {
         return Ok(None);
     }
-    let mut seen = ReceivedRequest {
+    let mut request = ReceivedRequest {
         attempt_id: text("lavenderplank-attempt-id").unwrap_or_default(),
         body: Bytes::new(),
         connection,
@@ -233,81 +237,83 @@
         time_left: text("lavenderplank-time-remaining").and_then(|left| left.parse().ok()),
     };
     buf.advance(head);
-    seen.body = buf.split_to(length).freeze();
-    Ok(Some(seen))
+    request.body = buf.split_to(length).freeze();
+    Ok(Some(request))
 }
 
-/// Answers one request; false when the connection is over.
-async fn answer(
+/// Responds to one request; returns false if the connection must be closed.
+async fn respond(
     stream: &mut TcpStream,
     id: &str,
-    mut seen: ReceivedRequest,
+    mut request: ReceivedRequest,
     shared: &Shared,
 ) -> io::Result<bool> {
     let mode = locked(&shared.response_modes).pop_front().unwrap_or_default();
-    let attempt = seen.attempt_id.clone();
-    seen.ran = !matches!(mode, ResponseMode::Shed | ResponseMode::WrongTarget);
-    locked(&shared.received).push(seen);
-    let work = *locked(&shared.work);
-    let work = if mode == ResponseMode::Hang { Duration::MAX } else { work };
-    if !work.is_zero() && !rested(stream, work).await {
+    let attempt_id = request.attempt_id.clone();
+    request.ran = !matches!(mode, ResponseMode::Shed | ResponseMode::WrongTarget);
+    locked(&shared.received).push(request);
+    let duration = *locked(&shared.processing_time);
+    let duration = if mode == ResponseMode::Hang { Duration::MAX } else { duration };
+    if !duration.is_zero() && !process(stream, duration).await {
         shared.disconnects.fetch_add(1, Ordering::Relaxed);
         return Ok(false);
     }
-    let body = locked(&shared.body).clone();
+    let body = locked(&shared.response_body).clone();
     let length = body.len();
-    let head = |status: &str, more: &str| {
-        format!("HTTP/1.1 {status}\r\nLavenderplank-Attempt-Id: {attempt}\r\n{more}")
+    let head = |status: &str, headers: &str| {
+        format!("HTTP/1.1 {status}\r\nLavenderplank-Attempt-Id: {attempt_id}\r\n{headers}")
     };
-    let seal = "Lavenderplank-Server-Seal: 3e1b.07\r\n";
-    let mut whole = BytesMut::new();
+    let signature = "Lavenderplank-Server-Seal: 3e1b.07\r\n";
+    let mut response = BytesMut::new();
     match mode {
         ResponseMode::Serve | ResponseMode::Duplicate | ResponseMode::Hang => {
-            let head = head("200 OK", &format!("{seal}Content-Length: {length}\r\n\r\n"));
+            let head = head("200 OK", &format!("{signature}Content-Length: {length}\r\n\r\n"));
             let times = if mode == ResponseMode::Duplicate { 2 } else { 1 };
             for _ in 0..times {
-                whole.extend_from_slice(head.as_bytes());
-                whole.extend_from_slice(&body);
+                response.extend_from_slice(head.as_bytes());
+                response.extend_from_slice(&body);
             }
         }
         ResponseMode::Fail => {
-            let more = format!("{seal}Content-Length: 0\r\n\r\n");
-            whole.extend_from_slice(head("500 Internal Server Error", &more).as_bytes());
+            let headers = format!("{signature}Content-Length: 0\r\n\r\n");
+            response.extend_from_slice(head("500 Internal Server Error", &headers).as_bytes());
         }
         ResponseMode::Reset => return Ok(false),
         ResponseMode::Shed => {
-            let more = "Lavenderplank-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-            whole.extend_from_slice(head("503 Service Unavailable", more).as_bytes());
+            let headers = "Lavenderplank-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
+            response.extend_from_slice(head("503 Service Unavailable", headers).as_bytes());
         }
         ResponseMode::WrongTarget => {
-            let more = format!("Lavenderplank-Instance-Id: not-{id}\r\nContent-Length: 0\r\n\r\n");
-            whole.extend_from_slice(head("421 Misdirected Request", &more).as_bytes());
+            let headers =
+                format!("Lavenderplank-Instance-Id: not-{id}\r\nContent-Length: 0\r\n\r\n");
+            response.extend_from_slice(head("421 Misdirected Request", &headers).as_bytes());
         }
         ResponseMode::Truncate => {
-            let more = format!("{seal}Content-Length: {length}\r\n\r\n");
-            whole.extend_from_slice(head("200 OK", &more).as_bytes());
-            whole.extend_from_slice(&body[..length / 2]);
+            let headers = format!("{signature}Content-Length: {length}\r\n\r\n");
+            response.extend_from_slice(head("200 OK", &headers).as_bytes());
+            response.extend_from_slice(&body[..length / 2]);
         }
         ResponseMode::Unsigned => {
-            let more = format!("Content-Length: {length}\r\n\r\n");
-            whole.extend_from_slice(head("200 OK", &more).as_bytes());
-            whole.extend_from_slice(&body);
+            let headers = format!("Content-Length: {length}\r\n\r\n");
+            response.extend_from_slice(head("200 OK", &headers).as_bytes());
+            response.extend_from_slice(&body);
         }
         ResponseMode::NoLength => {
-            let more = format!("{seal}Connection: close\r\n\r\n");
-            whole.extend_from_slice(head("200 OK", &more).as_bytes());
-            whole.extend_from_slice(&body);
+            let headers = format!("{signature}Connection: close\r\n\r\n");
+            response.extend_from_slice(head("200 OK", &headers).as_bytes());
+            response.extend_from_slice(&body);
         }
     }
-    stream.write_all(&whole).await?;
+    stream.write_all(&response).await?;
     Ok(!matches!(mode, ResponseMode::Truncate | ResponseMode::NoLength))
 }
 
-/// Works for a while; false when the other side left meanwhile.
-async fn rested(stream: &mut TcpStream, work: Duration) -> bool {
+/// Simulates the processing of a request; returns false if the peer closes the connection before
+/// the end.
+async fn process(stream: &mut TcpStream, duration: Duration) -> bool {
     let mut byte = [0];
     tokio::select! {
         read = stream.peek(&mut byte) => read.is_ok_and(|size| 0 < size),
-        () = tokio::time::sleep(work) => true,
+        () = tokio::time::sleep(duration) => true,
     }
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! What the platform writes, and what becomes of it when it is damaged.
+//! Tests of decoding what the platform writes, including damaged data, and of the headers.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, Uri};
 use proptest::{
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_targets_entry_is_read() {
+fn target_entry_is_decoded() {
     let entry = PlatformProtocol.decode_target("i-1", &bytes(&server())).expect("an entry");
     assert_eq!(entry.addr, "10.1.0.9:8080".parse().expect("an address"));
     assert_eq!((&*entry.id, &*entry.service, &*entry.zone), ("i-1", "desk", "north-a"));
@@ -61,11 +61,11 @@
     assert_eq!(entry.cold_for, Duration::from_millis(2500));
 }
 
-/// Another writer left fields out, gave them another type, or named a state or zone that there is
-/// not. The entry names no target; a guess could send work to an address that is not the service's.
+/// Guards against using an entry with missing fields, wrong types or an unknown state. Guessed
+/// values could send requests to an address that does not belong to the service.
 #[test]
-fn a_doubtful_entry_names_no_target() {
-    let without = |pointer: &str, value: Value| {
+fn invalid_target_entry_is_refused() {
+    let decode_with = |pointer: &str, value: Value| {
         let mut entry = server();
         *entry.pointer_mut(pointer).expect("a field") = value;
         PlatformProtocol.decode_target("i-1", &bytes(&entry))
@@ -83,20 +83,21 @@
         ("/status", Value::Null),
         ("/status/coldRemaining", json!("soon")),
     ] {
-        assert!(without(pointer, value.clone()).is_err(), "{pointer} = {value}");
+        assert!(decode_with(pointer, value.clone()).is_err(), "{pointer} = {value}");
     }
     assert!(PlatformProtocol.decode_target("i-1", b"\xff\x00").is_err());
 }
 
 #[test]
-fn a_configuration_is_read() {
-    let declared = PlatformProtocol.decode_declaration(&bytes(&config())).expect("a configuration");
-    assert_eq!(declared.version, 0x1c);
-    assert_eq!(declared.max_body_bytes, 1000);
-    let long = declared.route("a.example:80", "/a/b/c").expect("a route");
+fn configuration_is_decoded() {
+    let declaration =
+        PlatformProtocol.decode_declaration(&bytes(&config())).expect("a configuration");
+    assert_eq!(declaration.version, 0x1c);
+    assert_eq!(declaration.max_body_bytes, 1000);
+    let long = declaration.route("a.example:80", "/a/b/c").expect("a route");
     assert_eq!((long.idempotency, long.max_attempts), (Idempotency::NonIdempotent, 1));
     assert_eq!(long.split, [("t".into(), 1.0)]);
-    let short = declared.route("a.example", "/a/c").expect("a route");
+    let short = declaration.route("a.example", "/a/c").expect("a route");
     assert_eq!(
         (short.idempotency, short.max_attempts, short.sticky),
         (Idempotency::Idempotent, 2, true)
@@ -104,10 +105,10 @@
     assert_eq!(short.allowed_regions, ["north".into()]);
     assert_eq!(short.split.len(), 2);
     assert_eq!(&*short.key, "a.example/a/");
-    assert!(declared.route("a.example", "/other").is_none());
-    assert!(declared.route("b.example", "/a/").is_none());
-    assert_eq!(declared.services["s"].cold_rate, 6.4);
-    assert_eq!(declared.services["s"].cold_start, Some(Duration::from_millis(2500)));
+    assert!(declaration.route("a.example", "/other").is_none());
+    assert!(declaration.route("b.example", "/a/").is_none());
+    assert_eq!(declaration.services["s"].cold_rate, 6.4);
+    assert_eq!(declaration.services["s"].cold_start, Some(Duration::from_millis(2500)));
 }
 
 #[test]
@@ -116,14 +117,14 @@
     headers.insert("lavenderplank-attempt-id", HeaderValue::from_static("x1"));
     headers.insert("lavenderplank-time-remaining", HeaderValue::from_static("1500"));
     headers.insert("cookie", HeaderValue::from_static("a=b; Lavenderplank-Affinity-Key=17"));
-    let note = PlatformProtocol.caller_metadata(&headers);
-    let wanted = CallerMetadata {
+    let metadata = PlatformProtocol.caller_metadata(&headers);
+    let expected = CallerMetadata {
         attempt_id: Some("x1".into()),
         key: CallerKey::Missing,
         object: Some("17".into()),
         time_left: Some(Duration::from_millis(1500)),
     };
-    assert_eq!(note, wanted);
+    assert_eq!(metadata, expected);
     PlatformProtocol.add_target_headers(
         &mut headers,
         &"i-1".into(),
@@ -135,24 +136,24 @@
     let mut reply = HeaderMap::new();
     reply.insert("lavenderplank-not-executed", HeaderValue::from_static("1"));
     reply.insert("lavenderplank-server-load", HeaderValue::from_static("3,1,8"));
-    let note = PlatformProtocol.reply_metadata(StatusCode::SERVICE_UNAVAILABLE, &reply);
-    assert!(note.not_run && !note.signed && !note.wrong_target);
-    assert_eq!(note.load, Some((3, 1)));
+    let metadata = PlatformProtocol.reply_metadata(StatusCode::SERVICE_UNAVAILABLE, &reply);
+    assert!(metadata.not_run && !metadata.signed && !metadata.wrong_target);
+    assert_eq!(metadata.load, Some((3, 1)));
     assert!(PlatformProtocol.reply_metadata(StatusCode::MISDIRECTED_REQUEST, &reply).wrong_target);
 }
 
 #[test]
-fn look_ups_are_read_and_answered() {
+fn lookup_is_parsed_and_response_encoded() {
     let uri: Uri = "/api/resolve?name=a&region=north&zone=north-a".parse().expect("a path");
-    let place = CallerLocation { region: "north".into(), zone: "north-a".into() };
-    assert_eq!(PlatformProtocol.parse_lookup(&uri), Some(place));
+    let location = CallerLocation { region: "north".into(), zone: "north-a".into() };
+    assert_eq!(PlatformProtocol.parse_lookup(&uri), Some(location));
     assert_eq!(PlatformProtocol.parse_lookup(&"/other".parse().expect("a path")), None);
-    let found = PlatformProtocol.encode_lookup_response(
+    let response = PlatformProtocol.encode_lookup_response(
         &["10.0.0.1:80".parse().expect("an address")],
         Duration::from_secs(2),
     );
-    let found: Value = serde_json::from_slice(&found).expect("JSON");
-    assert_eq!(found, json!({ "addresses": ["10.0.0.1:80"], "ttl": "2000ms" }));
+    let response: Value = serde_json::from_slice(&response).expect("JSON");
+    assert_eq!(response, json!({ "addresses": ["10.0.0.1:80"], "ttl": "2000ms" }));
 }
 
 /// Guards against passing a caller's key or a forged team name on to a target.
@@ -164,7 +165,7 @@
     headers.append("lavenderplank-tenant", HeaderValue::from_static("lyra"));
     let key = PlatformProtocol.caller_metadata(&headers).key;
     assert_eq!(key, CallerKey::One(KeyDigest::of(b"k-1")));
-    let mark = |headers: &mut HeaderMap, team: Option<&str>| {
+    let add_headers = |headers: &mut HeaderMap, team: Option<&str>| {
         let team = team.map(TeamId::from);
         PlatformProtocol.add_target_headers(
             headers,
@@ -173,12 +174,12 @@
             Duration::from_secs(1),
         );
     };
-    let mut named = headers.clone();
-    mark(&mut named, Some("altair"));
-    assert!(!named.contains_key("lavenderplank-key"));
-    let teams: Vec<_> = named.get_all("lavenderplank-tenant").iter().collect();
+    let mut with_team = headers.clone();
+    add_headers(&mut with_team, Some("altair"));
+    assert!(!with_team.contains_key("lavenderplank-key"));
+    let teams: Vec<_> = with_team.get_all("lavenderplank-tenant").iter().collect();
     assert_eq!(teams, ["altair"]);
-    mark(&mut headers, None);
+    add_headers(&mut headers, None);
     assert!(!headers.contains_key("lavenderplank-tenant"));
     let mut multiple = HeaderMap::new();
     multiple.append("lavenderplank-key", HeaderValue::from_static("k-1"));
@@ -193,17 +194,18 @@
 }
 
 #[test]
-fn teams_are_read() {
+fn teams_are_decoded() {
     let team = json!([{ "name": "lyra", "apiKeys": ["k-1", "k-2"], "priority": 0, "ratePerS": 367,
         "burst": 36.5, "allowedRegions": ["north"] }, { "name": "vega" }]);
-    let declared = PlatformProtocol.decode_declaration(&with_teams(team)).expect("a configuration");
-    let lyra = declared.teams.find_by_key(&KeyDigest::of(b"k-2")).expect("a team");
+    let declaration =
+        PlatformProtocol.decode_declaration(&with_teams(team)).expect("a configuration");
+    let lyra = declaration.teams.find_by_key(&KeyDigest::of(b"k-2")).expect("a team");
     assert_eq!((&*lyra.name, lyra.priority), ("lyra", Some(0)));
     assert_eq!(lyra.limit, Some(TeamLimit { burst: 36.5, rate: 367.0 }));
     assert_eq!(lyra.allowed_regions, ["north".into()]);
-    let names: Vec<&str> = declared.teams.iter().map(|team| &*team.name).collect();
+    let names: Vec<&str> = declaration.teams.iter().map(|team| &*team.name).collect();
     assert_eq!(names, ["lyra", "vega"]);
-    let route = declared.route("a.example", "/a/").expect("a route");
+    let route = declaration.route("a.example", "/a/").expect("a route");
     assert!(!route.public);
 }
 
@@ -251,16 +253,17 @@
     assert!(!error.expect_err("an error").0.contains("secret"));
 }
 
-/// Entries, configurations and headers from anywhere: read or refused, never a panic.
+/// Guards against panics on damaged entries, configurations and headers: they must be decoded or
+/// refused.
 #[test]
-fn damage_is_read_or_refused() {
+fn damaged_data_does_not_panic() {
     let config_run = Config { cases: 2000, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(config_run, rng);
     let texts = [bytes(&server()), bytes(&config())];
-    let damage = (0..2_usize, any::<prop::sample::Index>(), 0..9_usize, any::<[u8; 3]>());
+    let edits = (0..2_usize, any::<prop::sample::Index>(), 0..9_usize, any::<[u8; 3]>());
     runner
-        .run(&damage, |(which, at, cut, put)| {
+        .run(&edits, |(which, at, cut, put)| {
             let mut text = texts[which].clone();
             let at = at.index(text.len());
             let end = (at + cut).min(text.len());
@@ -282,10 +285,10 @@
         .expect("no panic");
 }
 
-/// Only this folder may know the platform's spellings: elsewhere they would bind the product to
-/// one platform.
+/// The platform's names may appear in this folder only: elsewhere they would tie the code to one
+/// platform.
 #[test]
-fn no_other_folder_knows_the_platforms_names() {
+fn no_other_folder_contains_platform_names() {
     const NAMES: [&str; 16] = [
         "lavenderplank-attempt",
         "lavenderplank-time",
@@ -319,8 +322,8 @@
             read += 1;
             let text = std::fs::read_to_string(&path).expect("a text").to_lowercase();
             let found: Vec<&str> = NAMES.into_iter().filter(|name| text.contains(name)).collect();
-            assert!(found.is_empty(), "{} knows {found:?}", path.display());
+            assert!(found.is_empty(), "{} contains {found:?}", path.display());
         }
     }
-    assert!(100 < read, "only {read} files were looked at");
+    assert!(100 < read, "only {read} files were read");
 }
