--- a/src/base/error_kind.rs
+++ b/src/base/error_kind.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds and the one table from kind to answer.
+//! The closed set of error kinds and the response to callers for each of them.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use super::Ran;
 
-/// Whether, and how, the caller may send the request again.
+/// Whether and how the caller may send the request again.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resend {
-    /// Not as it stands.
+    /// The unchanged request must not be sent again.
     Never,
-    /// With the same binding and key: the owner then tells what is known.
+    /// With the same binding and key, so that the owning host can return what its ledger has.
     Same,
-    /// As a new request: after a new look-up, with its binding and a new key. Said only where the
-    /// old binding and key can never run: an earlier copy may still be on its way, and would run
-    /// beside the new one.
+    /// As a new request, after a new look-up, with the new binding and a new key. Used only where
+    /// the old binding and key can never run, because an earlier copy may still be in transit and
+    /// would run in addition to the new request.
     Fresh,
 }
 
 impl Resend {
-    /// The value of the `lavender-resend` header.
+    /// Returns the value of the `lavender-resend` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Resend::Never => "never",
@@ -31,20 +31,20 @@
     }
 }
 
-/// One row of the table: what the caller is told.
+/// What the response to the caller contains for one error kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct AnswerRow {
-    /// Whether the request ran.
+pub struct ErrorResponse {
+    /// Whether a target ran the request.
     pub ran: Ran,
-    /// Whether the caller may send it again.
+    /// Whether the caller may send the request again.
     pub resend: Resend,
-    /// Least time before a resend; a random spread is added to it.
+    /// Minimum delay before a resend; random jitter is added to it.
     pub retry_after: Option<Duration>,
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
 }
 
-/// Every way in which a request can end without the target's own answer.
+/// Every way in which a request can end without a response from the target.
 #[derive(
     Clone,
     Copy,
@@ -137,7 +137,7 @@
 }
 
 impl ErrorKind {
-    /// Every kind, for tests and for the operators' reference.
+    /// All kinds, in alphabetical order.
     pub const ALL: [ErrorKind; 36] = [
         ErrorKind::AnswerBroken,
         ErrorKind::AnswerNotKept,
@@ -177,56 +177,58 @@
         ErrorKind::StreamCut,
     ];
 
-    /// The row of the table for this kind.
-    pub fn row(self) -> AnswerRow {
+    /// Returns what the response to the caller contains for this kind.
+    pub fn response(self) -> ErrorResponse {
         use ErrorKind::*;
         use Ran::{No, Unknown, Yes};
         use Resend::{Fresh, Never, Same};
         match self {
-            AnswerBroken => row(502, Unknown, Same, None),
-            AnswerNotKept => row(409, Yes, Never, None),
-            ApiKeyUnchecked => row(503, No, Same, Some(1)),
-            ApiKeyUnknown => row(401, No, Never, None),
-            BadRequest => row(400, No, Never, None),
-            BindingClosed => row(503, No, Fresh, None),
-            BindingMissing => row(428, No, Fresh, None),
-            BodyTooLarge => row(413, No, Never, None),
-            BookingIncomplete => row(428, Unknown, Same, None),
-            BookingMalformed => row(400, Unknown, Same, None),
-            BookingMisdirected => row(403, Unknown, Never, None),
-            BookingTooLarge => row(413, Unknown, Never, None),
-            CapReached => row(503, No, Same, Some(2)),
-            ConnectFailed => row(502, No, Same, Some(1)),
-            DeadlinePassed => row(504, No, Same, Some(1)),
-            DispatchLost => row(502, Unknown, Same, None),
-            DispatchTimeout => row(504, Unknown, Same, None),
-            GenerationDropped => row(410, Unknown, Never, None),
-            HostBusy => row(503, No, Same, Some(1)),
-            HostLeaving => row(503, No, Same, None),
-            KeyConflict => row(422, No, Never, None),
-            KeyMissing => row(428, No, Fresh, None),
-            KeyRefused => row(503, No, Fresh, Some(1)),
-            LedgerFull => row(503, No, Fresh, Some(2)),
-            LoopDetected => row(508, No, Same, Some(1)),
-            NoManifest => row(503, No, Same, Some(1)),
-            NoSlots => row(503, No, Same, Some(1)),
-            NoTarget => row(503, No, Same, Some(1)),
-            OtherMember => row(403, No, Never, None),
-            OwnerGone => row(502, Unknown, Never, None),
-            OwnerUnreachable => row(503, Unknown, Same, Some(1)),
-            Quarantined => row(403, No, Never, Some(60)),
-            QuotaExceeded => row(429, No, Same, Some(1)),
-            ServiceUnknown => row(404, No, Never, None),
-            Shed => row(503, No, Same, Some(1)),
-            StreamCut => row(502, Unknown, Same, None),
+            AnswerBroken => response(502, Unknown, Same, None),
+            AnswerNotKept => response(409, Yes, Never, None),
+            ApiKeyUnchecked => response(503, No, Same, Some(1)),
+            ApiKeyUnknown => response(401, No, Never, None),
+            BadRequest => response(400, No, Never, None),
+            BindingClosed => response(503, No, Fresh, None),
+            BindingMissing => response(428, No, Fresh, None),
+            BodyTooLarge => response(413, No, Never, None),
+            BookingIncomplete => response(428, Unknown, Same, None),
+            BookingMalformed => response(400, Unknown, Same, None),
+            BookingMisdirected => response(403, Unknown, Never, None),
+            BookingTooLarge => response(413, Unknown, Never, None),
+            CapReached => response(503, No, Same, Some(2)),
+            ConnectFailed => response(502, No, Same, Some(1)),
+            DeadlinePassed => response(504, No, Same, Some(1)),
+            DispatchLost => response(502, Unknown, Same, None),
+            DispatchTimeout => response(504, Unknown, Same, None),
+            GenerationDropped => response(410, Unknown, Never, None),
+            HostBusy => response(503, No, Same, Some(1)),
+            HostLeaving => response(503, No, Same, None),
+            KeyConflict => response(422, No, Never, None),
+            KeyMissing => response(428, No, Fresh, None),
+            KeyRefused => response(503, No, Fresh, Some(1)),
+            LedgerFull => response(503, No, Fresh, Some(2)),
+            LoopDetected => response(508, No, Same, Some(1)),
+            NoManifest => response(503, No, Same, Some(1)),
+            NoSlots => response(503, No, Same, Some(1)),
+            NoTarget => response(503, No, Same, Some(1)),
+            OtherMember => response(403, No, Never, None),
+            OwnerGone => response(502, Unknown, Never, None),
+            OwnerUnreachable => response(503, Unknown, Same, Some(1)),
+            Quarantined => response(403, No, Never, Some(60)),
+            QuotaExceeded => response(429, No, Same, Some(1)),
+            ServiceUnknown => response(404, No, Never, None),
+            Shed => response(503, No, Same, Some(1)),
+            StreamCut => response(502, Unknown, Same, None),
         }
     }
 
-    /// What a copy of a booking is told that this host refused before its ledger was asked.
+    /// Returns the kind to answer with when this host refuses a copy of a booking before its ledger
+    /// was consulted.
     ///
-    /// An earlier copy may have run, by another host or under an older manifest. Told `not run`,
-    /// the caller would book again under a new key, and the booking would run twice. No row that
-    /// this gives says `no`: only the ledger that the binding names does.
+    /// An earlier copy may have run on another host or under an older manifest. If the response
+    /// said that the request did not run, the caller would book again under a new key, and the
+    /// booking would run twice. So the response of the returned kind never has `Ran::No`; only the
+    /// ledger that the binding names can report that.
     pub fn before_ledger(self) -> ErrorKind {
         use ErrorKind::*;
         match self {
@@ -234,12 +236,12 @@
             BindingMissing | KeyMissing => BookingIncomplete,
             BodyTooLarge => BookingTooLarge,
             OtherMember => BookingMisdirected,
-            other if other.row().ran == Ran::No => OwnerUnreachable,
+            other if other.response().ran == Ran::No => OwnerUnreachable,
             other => other,
         }
     }
 }
 
-fn row(status: u16, ran: Ran, resend: Resend, retry_secs: Option<u64>) -> AnswerRow {
-    AnswerRow { ran, resend, retry_after: retry_secs.map(Duration::from_secs), status }
+fn response(status: u16, ran: Ran, resend: Resend, retry_secs: Option<u64>) -> ErrorResponse {
+    ErrorResponse { ran, resend, retry_after: retry_secs.map(Duration::from_secs), status }
 }
--- a/src/daemon/attempt.rs
+++ b/src/daemon/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: sent to a target or another host, and its answer taken in.
+//! One attempt at a request: sends it to a target or another host and handles the reply.
 
 use super::{
     headers,
@@ -7,7 +7,7 @@
 };
 use crate::{
     base::{HeaderLine, header},
-    forward::{Attempt, Reply, ReplyBody},
+    forward::{Attempt, TargetBody, TargetResponse},
     ledger::KeptAnswer,
     manifest::ServiceKind,
     prelude::*,
@@ -15,7 +15,7 @@
     routing::{AttemptId, CallId, Outcome, Via},
 };
 
-/// One attempt to be carried out.
+/// An attempt that the router has ordered.
 pub(super) struct AttemptCommand {
     pub address: SocketAddr,
     pub attempt: AttemptId,
@@ -38,17 +38,17 @@
     }
 }
 
-/// The head of an answer whose body is streamed.
+/// The head of a response whose body is streamed.
 pub(super) struct ResponseHead {
     pub headers: Vec<HeaderLine>,
     pub status: u16,
 }
 
 impl TrafficHandler {
-    pub(super) async fn run(self: Arc<Self>, cmd: AttemptCommand) {
+    pub(super) async fn run_attempt(self: Arc<Self>, cmd: AttemptCommand) {
         let started = self.deps.clock.now();
         let attempt = cmd.attempt;
-        let sent = self.send(&cmd, &[]).await;
+        let sent = self.send_attempt(&cmd, &[]).await;
         let latency = self.deps.clock.now().saturating_sub(started);
         match sent {
             Ok(reply) => self.handle_reply(cmd, reply, latency).await,
@@ -56,27 +56,28 @@
         }
     }
 
-    /// Sends the request, with the lines that ask for a file's rest in place of its own.
-    pub(super) async fn send(
+    /// Sends the request. `range_headers`, which request the remainder of a file, replace the
+    /// request's own headers of the same names.
+    pub(super) async fn send_attempt(
         &self,
         cmd: &AttemptCommand,
         range_headers: &[HeaderLine],
-    ) -> crate::forward::Result<Reply> {
+    ) -> crate::forward::Result<TargetResponse> {
         let view = self.view();
         let service = view.as_ref().and_then(|view| view.manifest.service(&cmd.incoming.service));
-        let repeatable = service.is_some_and(|service| service.kind.is_idempotent());
+        let is_idempotent = service.is_some_and(|service| service.kind.is_idempotent());
         let streams = service.is_some_and(|service| service.kind == ServiceKind::File);
         let attempt = Attempt {
             address: cmd.address,
             body: cmd.incoming.body.clone(),
-            connections: service.map_or(1, |service| service.connections),
-            deadline: cmd.timeout,
+            max_connections: service.map_or(1, |service| service.connections),
+            timeout: cmd.timeout,
             headers: self.headers_for(cmd, range_headers),
             method: cmd.incoming.method.clone(),
             path: cmd.path(),
-            repeatable,
+            is_idempotent,
             request: cmd.request.clone(),
-            whole: !streams,
+            buffer_response: !streams,
         };
         match cmd.hop {
             Some(_) => self.deps.peers.send(attempt).await,
@@ -86,7 +87,7 @@
 
     fn headers_for(&self, cmd: &AttemptCommand, range_headers: &[HeaderLine]) -> Vec<HeaderLine> {
         let mut lines = cmd.incoming.forwarded_headers();
-        lines.retain(|line| range_headers.iter().all(|ours| ours.name != line.name));
+        lines.retain(|line| range_headers.iter().all(|range| range.name != line.name));
         lines.extend_from_slice(range_headers);
         let Some(via) = cmd.hop else { return lines };
         lines.extend(cmd.incoming.hop_headers());
@@ -103,7 +104,12 @@
         lines
     }
 
-    async fn handle_reply(self: &Arc<Self>, cmd: AttemptCommand, reply: Reply, latency: Duration) {
+    async fn handle_reply(
+        self: &Arc<Self>,
+        cmd: AttemptCommand,
+        reply: TargetResponse,
+        latency: Duration,
+    ) {
         if cmd.hop.is_some() {
             let text = header(&reply.headers, headers::MARK);
             self.merge_mark(text.and_then(|text| decode_mark(text, cmd.fingerprint)));
@@ -112,11 +118,11 @@
             return self.finish_attempt(cmd.attempt, Outcome::Refused { error, latency });
         }
         match reply.body {
-            ReplyBody::Stream(body) => {
+            TargetBody::Stream(body) => {
                 let head = ResponseHead { headers: reply.headers, status: reply.status };
                 self.stream(cmd, head, body, latency).await;
             }
-            ReplyBody::Whole(body) => {
+            TargetBody::Whole(body) => {
                 let status = reply.status;
                 let kept = Arc::new(KeptAnswer { body, headers: reply.headers, status });
                 if let Some(pending) = lock(&self.pending).get_mut(&cmd.call) {
@@ -129,8 +135,8 @@
     }
 }
 
-/// The error kind that another host answered with, if it did.
-pub(super) fn refusal(cmd: &AttemptCommand, reply: &Reply) -> Option<ErrorKind> {
+/// The error kind that another host responded with, if any.
+pub(super) fn refusal(cmd: &AttemptCommand, reply: &TargetResponse) -> Option<ErrorKind> {
     cmd.hop?;
     let line = reply.headers.iter().find(|line| &*line.name == headers::ERROR)?;
     let name = serde_json::Value::String(line.value.to_string());
--- a/src/daemon/probe.rs
+++ b/src/daemon/probe.rs
@@ -1,10 +1,10 @@
-//! Asks this host's own targets for their load.
+//! Reads the load reports of the targets that this host owns.
 
 use bytes::Bytes;
 
 use super::traffic::TrafficHandler;
 use crate::{
-    forward::{Attempt, Reply, ReplyBody, Upstream},
+    forward::{Attempt, TargetBody, TargetResponse, Upstream},
     manifest::Target,
     prelude::*,
     routing::Event,
@@ -14,10 +14,10 @@
 /// Path of a target's load report.
 const LOAD_PATH: &str = "/load";
 
-/// Longest time for one report; a later one would be of no use.
+/// Shorter than `PROBE_INTERVAL`, after which the next report is requested.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks every target that this host owns, once.
+/// Requests a load report from each target that this host owns.
 pub(super) fn probe_all(traffic: &Arc<TrafficHandler>, targets: &Arc<dyn Upstream>) {
     let Some(view) = traffic.view() else { return };
     let services = &view.manifest.services;
@@ -34,17 +34,18 @@
     let attempt = Attempt {
         address: target.address,
         body: Bytes::new(),
-        connections: 1,
-        deadline: PROBE_TIMEOUT,
+        max_connections: 1,
+        timeout: PROBE_TIMEOUT,
         headers: Vec::new(),
         method: http::Method::GET,
         path: LOAD_PATH.into(),
-        repeatable: true,
+        is_idempotent: true,
         request: "load".into(),
-        whole: true,
+        buffer_response: true,
     };
-    // No answer changes nothing: the last report loses its weight with time.
-    let Ok(Reply { body: ReplyBody::Whole(body), status: 200, .. }) = targets.send(attempt).await
+    // A failed probe is ignored: the weight of the last report decays with time.
+    let Ok(TargetResponse { body: TargetBody::Whole(body), status: 200, .. }) =
+        targets.send(attempt).await
     else {
         return;
     };
--- a/src/event_log/queue.rs
+++ b/src/event_log/queue.rs
@@ -1,86 +1,88 @@
-//! Lines that wait to be written, within bounds of rate and size.
+//! The queue of lines to be written, limited in rate and in size.
 //!
-//! Load pattern: an overload refuses thousands of requests a second while whoever reads the output
-//! is slow or stopped. The first lines of each second by kind and cause are kept; when the queue is
-//! full, steps of requests give way to failures and to what the host believes. What is dropped is
-//! counted by kind.
+//! In an overload a host refuses thousands of requests per second while the reader of its output
+//! may be slow or stopped. In each second the queue accepts a limited number of lines per kind and
+//! rate key. When it is full, lines about failures and about the host's state displace steps of
+//! successful requests. Dropped lines are counted by kind.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::{EventKind, EventLogSettings, kind::Priority};
 use crate::prelude::*;
 
-/// Span of the rate bound.
-const SECOND: Duration = Duration::from_secs(1);
+/// Period that the rate limit applies to.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// One line that asks to be kept.
+/// A line to be queued.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingLine {
-    /// With `kind`, what the rate is bounded by.
-    pub cause: &'static str,
+    /// Together with `kind`, the key of the rate limit.
+    pub rate_key: &'static str,
     pub kind: EventKind,
     pub text: Vec<u8>,
     pub priority: Priority,
 }
 
-/// The queue; a pure state machine.
+/// The line queue, without I/O; callers pass in the time.
 #[derive(Debug)]
 pub struct LineQueue {
     bytes: usize,
-    /// Lines dropped since they were last told, by kind.
+    /// Lines dropped since the last report, by kind.
     dropped: BTreeMap<EventKind, u64>,
     lines: VecDeque<PendingLine>,
-    rates: HashMap<(EventKind, &'static str), u32>,
-    second: Moment,
+    window_counts: HashMap<(EventKind, &'static str), u32>,
+    window_start: Moment,
     settings: EventLogSettings,
 }
 
 impl LineQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: EventLogSettings) -> Self {
         Self {
             bytes: 0,
             dropped: BTreeMap::new(),
             lines: VecDeque::new(),
-            rates: HashMap::new(),
-            second: Moment::ZERO,
+            window_counts: HashMap::new(),
+            window_start: Moment::ZERO,
             settings,
         }
     }
 
-    /// Whether a line of this kind and cause may still be written in this second; if not, it is
-    /// counted. Asked before the line is made, since that costs more.
-    pub fn admits(&mut self, kind: EventKind, cause: &'static str, now: Moment) -> bool {
-        if SECOND <= now.saturating_sub(self.second) {
-            self.second = now;
-            self.rates.clear();
+    /// Checks the rate limit for a line of this kind and rate key; a refused line is counted as
+    /// dropped. Called before the line is formatted, since formatting costs more.
+    pub fn admit(&mut self, kind: EventKind, rate_key: &'static str, now: Moment) -> bool {
+        if RATE_WINDOW <= now.saturating_sub(self.window_start) {
+            self.window_start = now;
+            self.window_counts.clear();
         }
-        let count = self.rates.entry((kind, cause)).or_default();
+        let count = self.window_counts.entry((kind, rate_key)).or_default();
         *count += 1;
         let admitted = *count <= self.settings.lines_per_second;
         if !admitted {
-            self.drop_one(kind);
+            self.count_dropped(kind);
         }
         admitted
     }
 
-    /// Keeps a line, in place of lighter ones where there is no room.
+    /// Appends a line. If the queue is full, drops the oldest lines of lower priority to make room;
+    /// if there are none, drops the new line.
     pub fn push(&mut self, pending: PendingLine) {
-        let room = self.settings.queue_bytes;
-        while room < self.bytes + pending.text.len() {
-            let light = self.lines.iter().position(|line| line.priority < pending.priority);
-            let Some(at) = light else { return self.drop_one(pending.kind) };
+        let max_bytes = self.settings.queue_bytes;
+        while max_bytes < self.bytes + pending.text.len() {
+            let lower_priority =
+                self.lines.iter().position(|line| line.priority < pending.priority);
+            let Some(at) = lower_priority else { return self.count_dropped(pending.kind) };
             if let Some(line) = self.lines.remove(at) {
                 self.bytes -= line.text.len();
-                self.drop_one(line.kind);
+                self.count_dropped(line.kind);
             }
         }
         self.bytes += pending.text.len();
         self.lines.push_back(pending);
     }
 
-    /// Takes all lines out, oldest first, each with its line feed.
-    pub fn take(&mut self) -> Vec<u8> {
+    /// Removes and concatenates all lines, oldest first; each ends with a line feed.
+    pub fn take_lines(&mut self) -> Vec<u8> {
         let mut text = Vec::with_capacity(self.bytes);
         for line in std::mem::take(&mut self.lines) {
             text.extend_from_slice(&line.text);
@@ -89,12 +91,12 @@
         text
     }
 
-    /// Takes the counts of dropped lines out.
+    /// Returns the counts of dropped lines and resets them.
     pub fn take_dropped(&mut self) -> BTreeMap<EventKind, u64> {
         std::mem::take(&mut self.dropped)
     }
 
-    fn drop_one(&mut self, kind: EventKind) {
+    fn count_dropped(&mut self, kind: EventKind) {
         *self.dropped.entry(kind).or_default() += 1;
     }
 }
--- a/src/manifest/store.rs
+++ b/src/manifest/store.rs
@@ -168,7 +168,7 @@
             Err(reason) => return OfferOutcome::Refused(reason),
         };
         let previous = self.sequence();
-        invariant::hold(previous < Some(manifest.sequence), "manifest-only-moves-up", || {
+        invariant::check(previous < Some(manifest.sequence), "manifest-only-moves-up", || {
             format!("from {previous:?} to {}", manifest.sequence)
         });
         self.parts.retain(|id, _| signed.parts.contains(id));
--- a/src/metrics/metered_sink.rs
+++ b/src/metrics/metered_sink.rs
@@ -1,4 +1,4 @@
-//! Counts events on their way to the time line.
+//! Derives metrics from timeline events.
 
 use super::{Metric, Metrics};
 use crate::{
@@ -6,20 +6,20 @@
     timeline::{EventKind, EventSink},
 };
 
-/// Passes events on and turns each into the counters it stands for, so that the decisions need no
-/// second call for metrics.
-pub struct MeteredSink {
+/// Passes events on to another sink and updates the metrics that are derived from them, so that
+/// code that records an event needs no second call.
+pub struct MeteredTimelineSink {
     metrics: Arc<dyn Metrics>,
-    next: Arc<dyn EventSink>,
+    inner: Arc<dyn EventSink>,
 }
 
-impl MeteredSink {
-    /// Counts into `metrics` what goes to `next`.
-    pub fn new(next: Arc<dyn EventSink>, metrics: Arc<dyn Metrics>) -> Self {
-        Self { metrics, next }
+impl MeteredTimelineSink {
+    /// Creates a sink that counts events in `metrics` and passes them on to `inner`.
+    pub fn new(inner: Arc<dyn EventSink>, metrics: Arc<dyn Metrics>) -> Self {
+        Self { metrics, inner }
     }
 
-    fn meter(&self, kind: &EventKind) {
+    fn count_event(&self, kind: &EventKind) {
         let metrics = &*self.metrics;
         metrics.count(Metric::Events, 1, Some(kind.name()));
         match kind {
@@ -49,10 +49,10 @@
     }
 }
 
-impl EventSink for MeteredSink {
+impl EventSink for MeteredTimelineSink {
     fn record(&self, request: Option<&RequestId>, kind: EventKind) {
-        self.meter(&kind);
-        self.next.record(request, kind);
+        self.count_event(&kind);
+        self.inner.record(request, kind);
     }
 
     fn is_on(&self) -> bool {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The kind's name as callers see it, such as `cap-reached`.
+/// The name of an error kind as callers see it, such as `cap-reached`.
 fn error_name(error: ErrorKind) -> String {
     match serde_json::to_value(error) {
         Ok(serde_json::Value::String(name)) => name,
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,7 +1,7 @@
 //! Decodes the operators' configuration from its object in the store.
 
 use crate::{
-    base::span_text,
+    base::duration_text,
     entry::{
         Declaration, DecodeError, Idempotency, KeyDigest, Route, ServiceRules, Team, TeamError,
         TeamLimit, Teams,
@@ -34,7 +34,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Limits {
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     idle_timeout: Duration,
     max_body_bytes: usize,
 }
@@ -63,7 +63,7 @@
     #[serde(default)]
     session_affinity: bool,
     /// Latency objective: responses within this time have their full value.
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     target_latency: Duration,
 }
 
@@ -82,7 +82,7 @@
     #[serde(default = "default_max_attempts")]
     max_attempts: u32,
     service: Option<ServiceId>,
-    #[serde(with = "span_text::field")]
+    #[serde(with = "duration_text::field")]
     timeout: Duration,
     /// Weighted services, used if `service` is absent.
     #[serde(default)]
@@ -103,7 +103,7 @@
     #[serde(default = "default_cold_rate")]
     cold_per_s: f64,
     /// Time for which a target stays cold after it starts.
-    #[serde(default, with = "span_text::optional")]
+    #[serde(default, with = "duration_text::optional")]
     cold_start: Option<Duration>,
     #[serde(default)]
     max_connections: u32,
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -43,7 +43,7 @@
 pub fn reply_metadata(status: StatusCode, headers: &HeaderMap) -> ReplyMetadata {
     ReplyMetadata {
         attempt_id: text(headers, &ATTEMPT_ID).map(Arc::from),
-        cold_for: text(headers, &COLD_REMAINING).and_then(crate::base::span_text::parse),
+        cold_for: text(headers, &COLD_REMAINING).and_then(crate::base::duration_text::parse),
         load: text(headers, &LOAD).and_then(parse_load),
         not_run: headers.contains_key(&NOT_EXECUTED),
         wrong_target: status == StatusCode::MISDIRECTED_REQUEST,
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -249,14 +249,14 @@
             regions_silent: !view.silent_regions.is_empty(),
             service: state.arrival.service.clone(),
         };
-        if !self.caps.allow(&query, now) {
+        if !self.shift_limiter.allow(&query, now) {
             return false;
         }
         let request = state.arrival.request.clone();
         let kind = EventKind::Shifted { home: home.clone(), service: query.service };
         self.call_mut(call).shifted = true;
         self.call_mut(call).shift_attempted = true;
-        self.record_event(Some(&request), kind);
+        self.record_timeline_event(Some(&request), kind);
         true
     }
 
@@ -268,7 +268,7 @@
             return;
         }
         let service = state.arrival.service.clone();
-        self.caps.refund(&service, &view.own.region, now);
+        self.shift_limiter.refund(&service, &view.own.region, now);
     }
 
     /// Sends to a target: directly if this host owns it, otherwise through its owner as `via`.
@@ -352,12 +352,15 @@
         let arrival = state.arrival.clone();
         let needs_entry = state.is_booking() && arrival.via != Via::SlotHop;
         let has_entry = state.in_ledger;
-        invariant::hold(!needs_entry || has_entry, "entry-before-dispatch", || {
+        invariant::check(!needs_entry || has_entry, "entry-before-dispatch", || {
             format!("request {} has no ledger entry", arrival.request)
         });
         self.quarantine.record_start(arrival.fingerprint, &target, now);
         self.selector.record_start(&target, now);
-        self.record_event(Some(&arrival.request), EventKind::Dispatched { target: target.clone() });
+        self.record_timeline_event(
+            Some(&arrival.request),
+            EventKind::Dispatched { target: target.clone() },
+        );
         self.actions.push(Action::Dispatch { address, attempt, call, target, timeout });
     }
 
--- a/src/why/read.rs
+++ b/src/why/search.rs
@@ -1,4 +1,4 @@
-//! Finds the lines that matter for one request.
+//! Finds the log lines that are relevant to a request.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -12,104 +12,105 @@
     prelude::*,
 };
 
-/// Most lines of the request itself that are kept: one attempt has some twenty at most, and its id
-/// may be that of a caller who repeats it.
-const REQUEST_MOST: usize = 1_000;
+/// Maximum number of lines of the request itself. An attempt has about twenty at most, but callers
+/// may reuse an ID.
+const MAX_REQUEST_LINES: usize = 1_000;
 
-/// Most lines about one subject, on one host, that are kept from before the request.
-const BEFORE_MOST: usize = 3;
+/// Maximum number of lines per host and subject from before the request.
+const MAX_LINES_BEFORE: usize = 3;
 
-/// Most lines of context that are kept in all.
-const CONTEXT_MOST: usize = 2_000;
+/// Maximum number of context lines from during and shortly after the request, and of lines about
+/// dropped lines.
+const MAX_CONTEXT_LINES: usize = 2_000;
 
-/// Time after the request's last line in which a change of belief may still explain it: a lost
-/// target is told after a connection is tried again.
-const AFTER: Duration = Duration::from_secs(2);
+/// Period after the last line of the request whose state changes may still explain its outcome: the
+/// loss of a target is only logged after another connection attempt.
+const CONTEXT_AFTER: Duration = Duration::from_secs(2);
 
-/// Longest line that is read; a longer one is none of ours.
-const LINE_MOST: u64 = 64 * 1024;
+/// Maximum length of a line; no event is longer.
+const MAX_LINE_BYTES: u64 = 64 * 1024;
 
 /// Result of reading logs.
 pub type Result<T> = std::result::Result<T, ReadError>;
 
 /// A log could not be read.
 #[derive(Debug, thiserror::Error)]
-#[error("{path}: {source}; name files that hold the hosts' standard output", path = path.display())]
+#[error("{path}: {source}; pass files with the hosts' standard output", path = path.display())]
 pub struct ReadError {
     path: PathBuf,
     source: io::Error,
 }
 
-/// What the logs hold of one request.
+/// The log lines that are relevant to a request.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// What the hosts believed then: their last word before about each thing that the request
-    /// touched, and what changed while it ran.
+pub struct LogMatches {
+    /// State changes of the hosts: the last ones before the request about each subject that
+    /// concerns it, and those while it ran or shortly after.
     pub context: Vec<Line>,
-    /// Lines of the request, as they were found.
+    /// Lines of the request, in the order of the files.
     pub request: Vec<Line>,
-    /// Hosts that dropped lines while the request may have run, with what they dropped. All hosts'
-    /// where the request was not found.
+    /// `LinesDropped` events from the time that the request may have run; those of all hosts if the
+    /// request was not found.
     pub dropped: Vec<Line>,
-    /// Lines that are no events.
-    pub strange: u64,
-    /// Lines that were read.
-    pub lines: u64,
+    /// Number of lines that are not events.
+    pub unparsed: u64,
+    /// Number of lines read.
+    pub total_lines: u64,
 }
 
-/// Finds what is known of the request with this id.
-pub fn find(id: &str, files: &[PathBuf]) -> Result<Found> {
-    let mut found = Found::default();
+/// Searches the files for lines that are relevant to the request with this ID.
+pub fn find_request(id: &str, files: &[PathBuf]) -> Result<LogMatches> {
+    let mut matches = LogMatches::default();
     for path in files {
-        each_line(path, |line| found.first(id, line))?;
+        for_each_line(path, |line| matches.add(id, line))?;
     }
-    let span = Span::of(&found.request);
-    let mut context = Context::default();
+    let scope = RequestScope::of(&matches.request);
+    let mut context = ContextLines::default();
     for path in files {
-        each_line(path, |line| {
+        for_each_line(path, |line| {
             if let Ok(line) = line {
-                context.take(line, &span);
+                context.add(line, &scope);
             }
         })?;
     }
-    found.dropped = context.dropped;
-    found.context = context.before.into_values().flatten().chain(context.during).collect();
-    Ok(found)
+    matches.dropped = context.dropped;
+    matches.context = context.before.into_values().flatten().chain(context.during).collect();
+    Ok(matches)
 }
 
-impl Found {
-    fn first(&mut self, id: &str, line: std::result::Result<Line, Strange>) {
-        self.lines += 1;
+impl LogMatches {
+    fn add(&mut self, id: &str, line: std::result::Result<Line, NotAnEvent>) {
+        self.total_lines += 1;
         let Ok(line) = line else {
-            self.strange += 1;
+            self.unparsed += 1;
             return;
         };
-        if line.request.attempt.as_deref() == Some(id) && self.request.len() < REQUEST_MOST {
+        if line.request.attempt.as_deref() == Some(id) && self.request.len() < MAX_REQUEST_LINES {
             self.request.push(line);
         }
     }
 }
 
-/// Where and when the request ran, and what it touched.
+/// The hosts, times, services and targets that the request involved.
 #[derive(Debug, Default)]
-struct Span {
-    /// First and last line of each host, by its wall clock.
+struct RequestScope {
+    /// Times of the first and last line of each host, by its wall clock.
     hosts: BTreeMap<HostId, (u64, u64)>,
     services: BTreeSet<ServiceId>,
     targets: BTreeSet<TargetId>,
 }
 
-impl Span {
+impl RequestScope {
     fn of(lines: &[Line]) -> Self {
-        let mut span = Self::default();
+        let mut scope = Self::default();
         for line in lines {
             let at = line.at_ms;
-            let host = span.hosts.entry(line.host.clone()).or_insert((at, at));
+            let host = scope.hosts.entry(line.host.clone()).or_insert((at, at));
             *host = (host.0.min(at), host.1.max(at));
-            span.services.extend(service(&line.event).cloned());
-            span.targets.extend(target(&line.event).cloned());
+            scope.services.extend(service(&line.event).cloned());
+            scope.targets.extend(target(&line.event).cloned());
         }
-        span
+        scope
     }
 }
 
@@ -140,7 +141,8 @@
     }
 }
 
-/// What a change of belief is about; two lines about one subject replace each other.
+/// What a state change is about. Of the lines about the same subject from before the request, only
+/// the last few are kept.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Subject {
     Declaration,
@@ -152,8 +154,8 @@
     Zone(ZoneId),
 }
 
-impl Span {
-    /// The subject of a change that may have mattered to the request.
+impl RequestScope {
+    /// The subject of a state change that may have affected the request.
     fn subject(&self, event: &Event) -> Option<Subject> {
         match event {
             Event::DeclarationInForce { .. } | Event::DeclarationStale { .. } => {
@@ -190,63 +192,67 @@
     }
 }
 
-/// Lines of context, bounded.
+/// State changes around the time of the request, limited in number.
 #[derive(Debug, Default)]
-struct Context {
+struct ContextLines {
     before: BTreeMap<(HostId, Subject), VecDeque<Line>>,
     dropped: Vec<Line>,
     during: Vec<Line>,
 }
 
-impl Context {
-    fn take(&mut self, line: Line, span: &Span) {
-        let times = span.hosts.get(&line.host);
+impl ContextLines {
+    fn add(&mut self, line: Line, scope: &RequestScope) {
+        let times = scope.hosts.get(&line.host);
         if matches!(line.event, Event::LinesDropped { .. }) {
-            let near = |(first, last): &(u64, u64)| {
-                *first <= line.at_ms && line.at_ms <= last + AFTER.as_millis() as u64
+            let is_near = |(first, last): &(u64, u64)| {
+                *first <= line.at_ms && line.at_ms <= last + CONTEXT_AFTER.as_millis() as u64
             };
-            let matters = span.hosts.is_empty() || times.is_some_and(near);
-            if matters && self.dropped.len() < CONTEXT_MOST {
+            let is_relevant = scope.hosts.is_empty() || times.is_some_and(is_near);
+            if is_relevant && self.dropped.len() < MAX_CONTEXT_LINES {
                 self.dropped.push(line);
             }
             return;
         }
         let Some((first, last)) = times else { return };
-        let Some(subject) = span.subject(&line.event) else { return };
+        let Some(subject) = scope.subject(&line.event) else { return };
         if line.at_ms < *first {
-            // What a host heard of others long ago, and forgot by a new start, explains nothing.
+            // A restarted host has lost its earlier state, so earlier changes explain nothing.
             if matches!(line.event, Event::Started { .. }) {
                 self.before.retain(|(host, _), _| *host != line.host);
             }
             let kept = self.before.entry((line.host.clone(), subject)).or_default();
-            if BEFORE_MOST <= kept.len() {
+            if MAX_LINES_BEFORE <= kept.len() {
                 kept.pop_front();
             }
             kept.push_back(line);
-        } else if line.at_ms <= last + AFTER.as_millis() as u64 && self.during.len() < CONTEXT_MOST
+        } else if line.at_ms <= last + CONTEXT_AFTER.as_millis() as u64
+            && self.during.len() < MAX_CONTEXT_LINES
         {
             self.during.push(line);
         }
     }
 }
 
-/// A line that is no event.
-struct Strange;
+/// A line that is not an event.
+struct NotAnEvent;
 
-/// Hands on each line. Collectors put a time or a name before a line: it is read from its first
-/// brace.
-fn each_line(path: &Path, mut f: impl FnMut(std::result::Result<Line, Strange>)) -> Result<()> {
+/// Calls `f` for each line. Collectors may put a time or a name before a line, so it is parsed from
+/// its first brace.
+fn for_each_line(
+    path: &Path,
+    mut f: impl FnMut(std::result::Result<Line, NotAnEvent>),
+) -> Result<()> {
     let fail = |source| ReadError { path: path.to_owned(), source };
     let mut reader = BufReader::new(File::open(path).map_err(fail)?);
     let mut text = Vec::new();
     loop {
         text.clear();
-        let mut limited = io::Read::take(&mut reader, LINE_MOST);
+        let mut limited = io::Read::take(&mut reader, MAX_LINE_BYTES);
         if limited.read_until(b'\n', &mut text).map_err(fail)? == 0 {
             return Ok(());
         }
         let json = text.iter().position(|byte| *byte == b'{').map(|at| &text[at..]);
         let line = json.and_then(|json| serde_json::from_slice(json).ok());
-        f(line.ok_or(Strange));
+        f(line.ok_or(NotAnEvent));
     }
 }
