--- a/src/ingress/body.rs
+++ b/src/ingress/body.rs
@@ -57,11 +57,11 @@
 /// an incomplete request is known not to have run.
 ///
 /// Returns `DeadlinePassed` if the caller stops sending for longer than the idle timeout or is not
-/// done within `time`; otherwise its body could occupy memory indefinitely.
+/// done within `timeout`; otherwise its body could occupy memory indefinitely.
 pub async fn read_body<S, B, E>(
     body: S,
     limit: u64,
-    time: Duration,
+    timeout: Duration,
     memory: &BodyMemory,
 ) -> Result<(Bytes, BodyReservation)>
 where
@@ -69,7 +69,7 @@
     B: Buf,
 {
     let limit = limit.min(memory.limits.body_bytes);
-    let deadline = Instant::now() + time;
+    let deadline = Instant::now() + timeout;
     let (mut reservation, mut whole) = (BodyReservation::default(), BytesMut::new());
     let mut body = std::pin::pin!(body);
     loop {
