--- a/src/store/circuit_breaker.rs
+++ b/src/store/circuit_breaker.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Records that the platform record_answer, with any status that is not a server error.
+    /// Records that the platform answered, with any status that is not a server error.
     pub fn record_answer(&mut self) {
         if self.state != BreakerState::Closed {
             self.backoff = open_delays(self.seed);
--- a/src/store/rate_limit.rs
+++ b/src/store/rate_limit.rs
@@ -36,15 +36,15 @@
 const BURST_SECONDS: f64 = 5.0;
 
 impl RateLimits {
-    /// RateLimits of one host. 1,700 idle hosts make almost no calls, and a few hosts that restart at
+    /// Limits of one host. 1,700 idle hosts make almost no calls, and a few hosts that restart at
     /// once stay far below the platform's limits.
     pub const HOST: Self = Self { reads: 10.0, watches: 4.0, writes: 4.0 };
 
-    /// RateLimits of a client that writes a manifest with hundreds of parts.
+    /// Limits of a client that writes a manifest with hundreds of parts.
     pub const OPERATOR: Self = Self { reads: 100.0, watches: 4.0, writes: 40.0 };
 }
 
-/// RateLimits the rate of calls with one token bucket per kind.
+/// Limits the rate of calls with one token bucket per kind.
 #[derive(Debug)]
 pub struct CallRateLimiter {
     counts: CallCounts,
