--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -9,8 +9,8 @@
 //! A request whose expected answer time exceeds its limit is refused at once, since it would only
 //! delay the requests behind it. The limit always applies, but matters mainly under overload, when
 //! there are more requests than slots for several seconds: the wait at a target is then estimated
-//! from the requests in flight there. A refused request is not sent to another target with free slots: a
-//! cache miss there would occupy a slot several times as long and evict another object.
+//! from the requests in flight there. A refused request is not sent to another target with free
+//! slots: a cache miss there would occupy a slot several times as long and evict another object.
 
 use super::{ObjectTag, ServiceEstimates, Tuning, target_index::rendezvous_weight};
 use crate::{entry::KnownTarget, prelude::*};
@@ -28,13 +28,13 @@
 /// Extra cost of a target in another zone of the region, for the traffic between zones.
 const CROSS_ZONE_COST: Duration = Duration::from_millis(6);
 
-/// Extra cost of a spill, that is, of a region other than the one selected by the shares: it adds to
-/// the traffic shifted between regions.
+/// Extra cost of a spill, that is, of a region other than the one selected by the shares: it adds
+/// to the traffic shifted between regions.
 const SPILL_COST: Duration = Duration::from_millis(150);
 
 /// Rank from which the rank cost no longer rises; a few targets are enough for any object. The rank
-/// is a target's position in the hash order of an object. Each rank adds `Tuning::rank_cost_secs` to
-/// the cost, so that all hosts prefer the same few targets for the object.
+/// is a target's position in the hash order of an object. Each rank adds `Tuning::rank_cost_secs`
+/// to the cost, so that all hosts prefer the same few targets for the object.
 const MAX_RANK: usize = 4;
 
 /// Cap on the expected answer time and on `Choice::Busy::free_in`, in seconds. Callers retry sooner
--- a/src/placement/tests/simulation.rs
+++ b/src/placement/tests/simulation.rs
@@ -34,7 +34,8 @@
 /// Interval of heartbeats, in milliseconds.
 const HEARTBEAT_MS: u64 = 100;
 
-/// Counts of requests by outcome.
+/// Counts of requests by outcome. Refusals count when the request arrives, misses when its run
+/// starts, and answers, in time or late, when the run ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub misses: u32,
@@ -49,7 +50,8 @@
         f64::from(self.in_time) / f64::from((self.in_time + self.late + self.refused).max(1))
     }
 
-    /// Fraction of the runs that were cache hits.
+    /// Fraction of the runs that were cache hits. Runs count at their end and misses at their
+    /// start, so runs in progress at either end of the simulated span make it slightly inexact.
     pub fn hit_fraction(&self) -> f64 {
         let runs = self.in_time + self.late;
         1.0 - f64::from(self.misses) / f64::from(runs.max(1))
@@ -57,6 +59,7 @@
 }
 
 struct Run {
+    /// Time of arrival, in milliseconds since the start of the simulation.
     arrived: u64,
     forecast: Forecast,
     /// Number of host restarts before it was sent.
@@ -88,6 +91,7 @@
 pub struct Simulation {
     hosts: Vec<Host>,
     known_targets: Vec<Arc<KnownTarget>>,
+    /// Time since the start of the simulation, in milliseconds.
     now: u64,
     rng: ChaCha8Rng,
     /// Factor by which each target is slowed down.
@@ -152,6 +156,7 @@
     }
 
     fn place_request(&mut self, host: usize) {
+        // The multiplier, 2^32 divided by the golden ratio, spreads the tags over all values.
         let object = self.rng.random_range(0..OBJECTS).wrapping_mul(0x9e37_79b9);
         let now = Duration::from_millis(self.now);
         let it = &mut self.hosts[host];
--- a/src/placement/tests/uncached_objects.rs
+++ b/src/placement/tests/uncached_objects.rs
@@ -41,8 +41,8 @@
     assert!(matches!(choice, Choice::Send(_)), "{choice:?}");
 }
 
-/// A cache miss takes 300 ms, longer than the limit of 120 ms. If requests were refused for that, an
-/// object that was never requested, or that all targets have evicted, would never be cached, and
+/// A cache miss takes 300 ms, longer than the limit of 120 ms. If requests were refused for that,
+/// an object that was never requested, or that all targets have evicted, would never be cached, and
 /// all its requests would be refused forever. So the primary target accepts a request for such an
 /// object if it has a free slot, and only then.
 #[test]
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -36,26 +36,37 @@
 /// A request that reached this host.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Arrival {
+    /// The ledger generation that may run the request, as the caller got it from a look-up.
     pub binding: Option<Binding>,
+    /// Length of the body, in bytes.
     pub body_len: u64,
+    /// Number of the request at this host; unlike `request`, never given by the caller.
     pub call: CallId,
+    /// Address of the client that a header names, otherwise that of the connection's peer.
     pub client: IpAddr,
     /// On this host's clock.
     pub deadline: Moment,
+    /// Hash of method, path and body; the ledger compares it between requests with the same key.
     pub digest: RequestDigest,
+    /// Hash of member, service, method, path and body, which identifies the request in the
+    /// quarantine.
     #[serde(with = "fingerprint_hex")]
     pub fingerprint: Fingerprint,
+    /// The caller's idempotency key, which names the request's entry in the ledger.
     pub key: Option<IdempotencyKey>,
+    /// The member that the request names, or that of this host.
     pub member: MemberId,
+    /// Id that the caller gave, or a new one.
     pub request: RequestId,
     pub service: ServiceId,
+    /// How the request reached this host.
     pub via: Via,
 }
 
 impl Arrival {
-    /// Whether the request names a ledger entry, which knows the outcome of earlier copies: it takes
-    /// both the binding and the key. A slot hop comes from the host that holds the entry and asks
-    /// for this one attempt only.
+    /// Whether the request names a ledger entry, which knows the outcome of earlier copies. That
+    /// takes both the binding and the key. A slot hop comes from the host that holds the entry and
+    /// asks for this one attempt only.
     pub fn names_ledger_entry(&self) -> bool {
         self.via != Via::SlotHop && self.binding.is_some() && self.key.is_some()
     }
@@ -102,13 +113,14 @@
     Cancelled {
         call: CallId,
     },
+    /// An attempt has ended.
     Ended {
         attempt: AttemptId,
         outcome: Outcome,
     },
     /// A planned stop of this host has begun.
     Leave,
-    /// Peers reported requests that crash targets.
+    /// Peers sent quarantine marks of requests that crash targets.
     Marked {
         marks: Vec<QuarantineMark>,
     },
@@ -117,7 +129,10 @@
         report: LoadReport,
         target: TargetId,
     },
+    /// The periodic timer, which rotates the ledger, expires and serves queued requests, and hedges
+    /// slow reads.
     Tick,
+    /// The control thread has published a new view.
     Viewed {
         view: Arc<View>,
     },
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -7,11 +7,12 @@
 //! Terms:
 //!
 //! - member: a customer with one manifest that shares the platform; not a node of the cluster.
-//! - weighing: whether the member prefers short response times or spare slots; part of its manifest.
+//! - weighing: whether the member prefers short response times or spare slots; part of its
+//!   manifest.
 //! - policy: how a target is chosen among the usable ones, by default by the member's weighing.
 //! - booking: a request that must run at most once.
-//! - ledger: record of the bookings that one incarnation of a host has accepted. A binding names the
-//!   ledger generation that may run a booking, and the booking's key names its entry there.
+//! - ledger: record of the bookings that one incarnation of a host has accepted. A binding names
+//!   the ledger generation that may run a booking, and the booking's key names its entry there.
 //! - owner: the one host that hands out the slots of a target; other hosts ask it for a slot.
 //! - tenure: a host's lease on the targets that it owns.
 //! - baseline: rate of requests to a service from the callers of one home region.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -186,8 +186,8 @@
         self.ledger.seal(now)
     }
 
-    /// Adopts the sealed ledger of a host that stops: this host answers for its entries from now on,
-    /// but runs no new booking with its bindings.
+    /// Adopts the sealed ledger of a host that stops: this host answers for its entries from now
+    /// on, but runs no new booking with its bindings.
     pub fn adopt(&mut self, sealed: SealedLedger, now: Moment) -> crate::ledger::Result<()> {
         self.ledger.adopt(sealed, now)
     }
--- a/src/selection/health.rs
+++ b/src/selection/health.rs
@@ -38,7 +38,11 @@
     /// Concurrency allowed by the ramp since the last cold start, not yet bounded by the slots.
     ramp_limit: u32,
     ejected_until: Option<Moment>,
+    /// Number of ejections, which sets the duration of the next one. Reset if more than
+    /// `EJECTION_RESET_AFTER` passes between a readmission and the next ejection.
     ejections: u32,
+    /// Consecutive failures; a success resets them, and a readmission sets them to one less than
+    /// ejects the target.
     failures: u32,
     in_flight: u32,
     /// The target ran more requests than its report has slots, without shedding: the report is
@@ -51,6 +55,7 @@
     recent_sheds: f64,
     last_shed: Moment,
     report: Option<(LoadReport, Moment)>,
+    /// When the last ejection ended; the creation of this record if there was none.
     readmitted_at: Moment,
     /// Successes since `ramp_limit` last changed.
     successes: u32,
--- a/src/selection/mod.rs
+++ b/src/selection/mod.rs
@@ -4,8 +4,8 @@
 //! In-flight counts are the host's own and exact. Load reports are delayed and can be wrong, so a
 //! report may only lower a target's concurrency limit, and never below half of its slots.
 //!
-//! Used by hosts started with `run`. Entry hosts use `crate::placement`, which has a `Candidate` and
-//! a `HealthSignal` of its own.
+//! Used by hosts started with `run`. Entry hosts use `crate::placement`, which has a `Candidate`
+//! and a `HealthSignal` of its own.
 
 mod candidate;
 mod health;
